--- a/src/controllers/group.cpp
+++ b/src/controllers/group.cpp
@@ -176,18 +176,18 @@
 }
 
 // Every answer tells something of its member: a status need be asked only where there was none.
-void GroupController::noteAnswer(size_t index, const decisions::MemberGlimpse& glimpse, TimePoint askedAt)
+void GroupController::noteAnswer(size_t index, const decisions::PiggybackedStatus& piggybacked, TimePoint askedAt)
 {
-    if (index >= m_members.size() || glimpse.term == 0)
+    if (index >= m_members.size() || piggybacked.term == 0)
         return;
     auto& it = m_state.health.members[index];
-    if (it.isReachable() && askedAt >= it.askedAt && !decisions::isInAgreement(it, glimpse)) {
+    if (it.isReachable() && askedAt >= it.askedAt && !decisions::matchesLastStatus(it, piggybacked)) {
         m_members[index].probeTimer->cancel();
         return;
     }
-    if (askedAt - it.askedAt < decisions::kGlimpseSpacing)
+    if (askedAt - it.askedAt < decisions::kPiggybackedStatusInterval)
         return;
-    takeEvent(decisions::GlimpseAnswered { index, glimpse, decisions::roundDown(askedAt) });
+    takeEvent(decisions::PiggybackedStatusReceived { index, piggybacked, decisions::roundDown(askedAt) });
 }
 
 asio::awaitable<decisions::GroupEvent> GroupController::probeOnce(std::unique_ptr<links::HttpConnection>& link, size_t index)
--- a/src/controllers/group.h
+++ b/src/controllers/group.h
@@ -135,7 +135,7 @@
     boost::asio::awaitable<void> waitForProbe(size_t index, base::TimePoint sentAt, uint64_t epoch);
     decisions::ProbeTimings getProbeTimings() const;
     void probeNow();
-    void noteAnswer(size_t index, const decisions::MemberGlimpse& glimpse, base::TimePoint askedAt);
+    void noteAnswer(size_t index, const decisions::PiggybackedStatus& piggybacked, base::TimePoint askedAt);
     void takeEvent(const decisions::GroupEvent& event);
     void releaseWaiting(uint64_t termBefore);
     void publishStatus();
--- a/src/decisions/group_state.cpp
+++ b/src/decisions/group_state.cpp
@@ -73,8 +73,8 @@
         health.withoutPrimarySince = now;
     else if (auto* status = std::get_if<StatusAnswered>(&event))
         takeHealth(step, takeStatus(health, status->member, status->status, status->askedAt, now), now);
-    else if (auto* glimpse = std::get_if<GlimpseAnswered>(&event))
-        takeHealth(step, takeGlimpse(health, glimpse->member, glimpse->glimpse, glimpse->askedAt, now), now);
+    else if (auto* piggybacked = std::get_if<PiggybackedStatusReceived>(&event))
+        takeHealth(step, applyPiggybackedStatus(health, piggybacked->member, piggybacked->piggybacked, piggybacked->askedAt, now), now);
     else if (auto* failure = std::get_if<ProbeFailed>(&event))
         takeHealth(step, takeFailure(health, failure->member, failure->wasRefused, failure->askedAt), now);
     else
--- a/src/decisions/group_state.h
+++ b/src/decisions/group_state.h
@@ -41,11 +41,11 @@
     friend bool operator==(const StatusAnswered&, const StatusAnswered&) = default;
 };
 
-struct GlimpseAnswered {
+struct PiggybackedStatusReceived {
     size_t member { 0 };
-    MemberGlimpse glimpse {};
+    PiggybackedStatus piggybacked {};
     TimePoint askedAt {};
-    friend bool operator==(const GlimpseAnswered&, const GlimpseAnswered&) = default;
+    friend bool operator==(const PiggybackedStatusReceived&, const PiggybackedStatusReceived&) = default;
 };
 
 struct ProbeFailed {
@@ -55,7 +55,7 @@
     friend bool operator==(const ProbeFailed&, const ProbeFailed&) = default;
 };
 
-using GroupEvent = std::variant<RoleChanged, WorkBegan, StatusAnswered, GlimpseAnswered, ProbeFailed, FailoverEvent>;
+using GroupEvent = std::variant<RoleChanged, WorkBegan, StatusAnswered, PiggybackedStatusReceived, ProbeFailed, FailoverEvent>;
 
 struct GroupStep {
     GroupState state {};
--- a/src/decisions/health.cpp
+++ b/src/decisions/health.cpp
@@ -106,21 +106,21 @@
     return health;
 }
 
-bool isInAgreement(const MemberHealth& member, const MemberGlimpse& glimpse)
+bool matchesLastStatus(const MemberHealth& member, const PiggybackedStatus& piggybacked)
 {
     auto& status = member.status;
-    return glimpse.term == status.term && glimpse.fencedTerm == status.fencedTerm && glimpse.log.term == status.log.term;
+    return piggybacked.term == status.term && piggybacked.fencedTerm == status.fencedTerm && piggybacked.log.term == status.log.term;
 }
 
 // The bound of an age stays an upper one: a glimpse of the primary shows at least the position it had when it was asked.
-GroupHealth takeGlimpse(GroupHealth health, size_t index, const MemberGlimpse& glimpse, TimePoint askedAt, TimePoint now)
+GroupHealth applyPiggybackedStatus(GroupHealth health, size_t index, const PiggybackedStatus& piggybacked, TimePoint askedAt, TimePoint now)
 {
     auto& it = health.members[index];
-    if (!it.isReachable() || askedAt < it.askedAt || !isInAgreement(it, glimpse))
+    if (!it.isReachable() || askedAt < it.askedAt || !matchesLastStatus(it, piggybacked))
         return health;
     auto probedAt = it.probedAt;
     auto status = it.status;
-    status.log.position = std::max(status.log.position, glimpse.log.position);
+    status.log.position = std::max(status.log.position, piggybacked.log.position);
     health = takeStatus(std::move(health), index, status, askedAt, now);
     health.members[index].probedAt = probedAt;
     return health;
--- a/src/decisions/health.h
+++ b/src/decisions/health.h
@@ -31,11 +31,11 @@
 };
 
 // What an ordinary answer shows of a member: that of a statement, or of a confirmation.
-struct MemberGlimpse {
+struct PiggybackedStatus {
     uint64_t term { 0 }; // the term it works in; 0: the answer did not say
     uint64_t fencedTerm { 0 };
     Mark log {}; // last entry of its log
-    friend bool operator==(const MemberGlimpse&, const MemberGlimpse&) = default;
+    friend bool operator==(const PiggybackedStatus&, const PiggybackedStatus&) = default;
 };
 
 // A probe that a replica's age can be counted from: when it was sent, and how far the primary had come.
@@ -70,7 +70,7 @@
 
 inline constexpr size_t kAgeMarkLimit = 128;
 inline constexpr milliseconds kAgeMarkSpacing { 50 }; // marks are no nearer to each other
-inline constexpr milliseconds kGlimpseSpacing { 20 }; // answers that follow each other faster need not be taken in
+inline constexpr milliseconds kPiggybackedStatusInterval { 20 }; // answers that follow each other faster need not be taken in
 
 struct ProbeTimings {
     milliseconds interval { 100 }; // ms; a member that gave no answer of any kind for so long is asked
@@ -88,10 +88,10 @@
 GroupHealth takeStatus(GroupHealth health, size_t index, const MemberStatus& status, TimePoint askedAt, TimePoint now);
 // Whether an ordinary answer shows the member as the last status did, its log being longer at most. If not, only a status
 // can tell what happened.
-bool isInAgreement(const MemberHealth& member, const MemberGlimpse& glimpse);
+bool matchesLastStatus(const MemberHealth& member, const PiggybackedStatus& piggybacked);
 // Takes in an ordinary answer in place of a status. One that is not in agreement, or comes from a member that fails its
 // probes, changes nothing.
-GroupHealth takeGlimpse(GroupHealth health, size_t index, const MemberGlimpse& glimpse, TimePoint askedAt, TimePoint now);
+GroupHealth applyPiggybackedStatus(GroupHealth health, size_t index, const PiggybackedStatus& piggybacked, TimePoint askedAt, TimePoint now);
 // Takes in that a question sent at `askedAt` got no answer (`wasRefused`: nothing listens there).
 GroupHealth takeFailure(GroupHealth health, size_t index, bool wasRefused, TimePoint askedAt);
 // Whether all is well: every member answers, works in the term of a known primary and is promised to no other.
--- a/src/decisions/trace.cpp
+++ b/src/decisions/trace.cpp
@@ -92,15 +92,15 @@
         line["askedUs"] = getOffset(it.askedAt, origin);
         line["status"] = { { "member", status.member }, { "term", status.term }, { "fencedTerm", status.fencedTerm }, { "primary", status.primary }, { "isPrimary", status.role == Role::Primary }, { "log", formatLog(status.log) }, { "heardAgoMs", status.heardPrimaryAgo.count() }, { "fence", status.canFence } };
     }
-    void operator()(const GlimpseAnswered& it) const
+    void operator()(const PiggybackedStatusReceived& it) const
     {
         line["event"] = "glimpse";
         line["member"] = it.member;
         line["askedUs"] = getOffset(it.askedAt, origin);
-        line["term"] = it.glimpse.term;
-        line["fencedTerm"] = it.glimpse.fencedTerm;
-        line["logTerm"] = it.glimpse.log.term;
-        line["position"] = it.glimpse.log.position;
+        line["term"] = it.piggybacked.term;
+        line["fencedTerm"] = it.piggybacked.fencedTerm;
+        line["logTerm"] = it.piggybacked.log.term;
+        line["position"] = it.piggybacked.log.position;
     }
     void operator()(const ProbeFailed& it) const
     {
@@ -192,10 +192,10 @@
     return { line.at("member").to_number<size_t>(), std::move(status), readTime(line.at("askedUs")) };
 }
 
-static GlimpseAnswered readGlimpse(const json::object& line)
+static PiggybackedStatusReceived readPiggybackedStatus(const json::object& line)
 {
-    MemberGlimpse glimpse { line.at("term").to_number<uint64_t>(), line.at("fencedTerm").to_number<uint64_t>(), { line.at("logTerm").to_number<uint64_t>(), line.at("position").to_number<uint64_t>() } };
-    return { line.at("member").to_number<size_t>(), glimpse, readTime(line.at("askedUs")) };
+    PiggybackedStatus piggybacked { line.at("term").to_number<uint64_t>(), line.at("fencedTerm").to_number<uint64_t>(), { line.at("logTerm").to_number<uint64_t>(), line.at("position").to_number<uint64_t>() } };
+    return { line.at("member").to_number<size_t>(), piggybacked, readTime(line.at("askedUs")) };
 }
 
 static FenceAnswered readFence(const json::object& line)
@@ -216,7 +216,7 @@
     if (name == "status")
         return readStatus(line);
     if (name == "glimpse")
-        return readGlimpse(line);
+        return readPiggybackedStatus(line);
     if (name == "failed")
         return ProbeFailed { line.at("member").to_number<size_t>(), line.at("refused").as_bool(), readTime(line.at("askedUs")) };
     if (name == "tick")
--- a/src/links/target.h
+++ b/src/links/target.h
@@ -57,7 +57,7 @@
     Mark mark {}; // last entry of the member's log when it answered
     bool wasReplayed { false }; // the key was known: this is the first run's answer
     bool didRun { true }; // settle only: false means that the key is closed now
-    decisions::MemberGlimpse glimpse {}; // term 0 from a target that does not say what it works in
+    decisions::PiggybackedStatus glimpse {}; // term 0 from a target that does not say what it works in
 };
 
 struct AwaitAnswer {
--- a/tests/unit/health_test.cpp
+++ b/tests/unit/health_test.cpp
@@ -38,9 +38,9 @@
 BOOST_AUTO_TEST_CASE(ordinary_answers_keep_ages_young_without_a_status)
 {
     auto health = makeGroup(0);
-    health = takeGlimpse(health, 0, { 1, 0, { 1, 150 } }, at(200), at(201));
+    health = applyPiggybackedStatus(health, 0, { 1, 0, { 1, 150 } }, at(200), at(201));
     BOOST_TEST(getAgeBound(health, 1, 150, at(210))->count() == 210); // nobody else stood in the term since
-    health = takeGlimpse(health, 1, { 1, 0, { 1, 150 } }, at(205), at(206));
+    health = applyPiggybackedStatus(health, 1, { 1, 0, { 1, 150 } }, at(205), at(206));
     BOOST_TEST(getAgeBound(health, 1, 150, at(210))->count() == 10);
     BOOST_TEST(getAgeBound(health, 1, 149, at(210))->count() == 210);
     BOOST_TEST(health.members[1].status.log.position == 150u);
@@ -49,13 +49,13 @@
 BOOST_AUTO_TEST_CASE(answer_that_shows_a_change_changes_nothing_until_a_status_explains_it)
 {
     auto health = makeGroup(0);
-    for (auto& it : { MemberGlimpse { 2, 2, { 1, 200 } }, MemberGlimpse { 1, 2, { 1, 200 } }, MemberGlimpse { 1, 0, { 2, 200 } } }) {
-        BOOST_TEST(!isInAgreement(health.members[1], it));
-        BOOST_TEST((takeGlimpse(health, 1, it, at(200), at(201)) == health));
+    for (auto& it : { PiggybackedStatus { 2, 2, { 1, 200 } }, PiggybackedStatus { 1, 2, { 1, 200 } }, PiggybackedStatus { 1, 0, { 2, 200 } } }) {
+        BOOST_TEST(!matchesLastStatus(health.members[1], it));
+        BOOST_TEST((applyPiggybackedStatus(health, 1, it, at(200), at(201)) == health));
     }
     auto failing = takeFailure(health, 1, false, at(100));
-    BOOST_TEST((takeGlimpse(failing, 1, { 1, 0, { 1, 200 } }, at(200), at(201)) == failing));
-    BOOST_TEST((takeGlimpse(health, 1, { 1, 0, { 1, 200 } }, at(-1), at(201)) == health)); // asked before the newest
+    BOOST_TEST((applyPiggybackedStatus(failing, 1, { 1, 0, { 1, 200 } }, at(200), at(201)) == failing));
+    BOOST_TEST((applyPiggybackedStatus(health, 1, { 1, 0, { 1, 200 } }, at(-1), at(201)) == health)); // asked before the newest
 }
 
 // An answer to a statement does not say when the replica last heard its primary: that stays as old as the last status.
@@ -65,7 +65,7 @@
     for (int ms = 100; ms <= 900; ms += 100)
         health = takeFailure(health, 0, false, at(ms));
     for (size_t i = 1; i < 3; ++i)
-        health = takeGlimpse(health, i, { 1, 0, { 1, 100 } }, at(890), at(891));
+        health = applyPiggybackedStatus(health, i, { 1, 0, { 1, 100 } }, at(890), at(891));
     auto record = makeRecord();
     FailoverView view { record, health, std::vector<bool>(3), 0, {} };
     BOOST_TEST(getDownReason(view, at(900)).empty()); // neither yes nor no is known
@@ -79,12 +79,12 @@
     ProbeTimings timings;
     auto health = makeGroup(0);
     BOOST_TEST((getProbeDue(health, 1, at(0), timings) == at(100)));
-    health = takeGlimpse(health, 1, { 1, 0, { 1, 120 } }, at(80), at(81));
+    health = applyPiggybackedStatus(health, 1, { 1, 0, { 1, 120 } }, at(80), at(81));
     BOOST_TEST((getProbeDue(health, 1, at(0), timings) == at(180)));
     BOOST_TEST((getProbeDue(health, 2, at(0), timings) == at(100)));
-    health = takeGlimpse(health, 0, { 1, 0, { 1, 120 } }, at(80), at(81));
+    health = applyPiggybackedStatus(health, 0, { 1, 0, { 1, 120 } }, at(80), at(81));
     BOOST_TEST((getProbeDue(health, 0, at(0), timings) == at(130))); // the primary's silence is noticed sooner
-    health = takeGlimpse(health, 1, { 1, 0, { 1, 130 } }, at(950), at(951));
+    health = applyPiggybackedStatus(health, 1, { 1, 0, { 1, 130 } }, at(950), at(951));
     BOOST_TEST((getProbeDue(health, 1, at(0), timings) == at(1000))); // a status now and then, whatever comes
 }
 
@@ -108,8 +108,8 @@
     auto health = makeGroup(0);
     for (int ms = 1; ms <= 5000; ++ms) {
         auto position = 100U + static_cast<unsigned>(ms);
-        health = takeGlimpse(health, 0, { 1, 0, { 1, position } }, at(ms), at(ms));
-        health = takeGlimpse(health, 1, { 1, 0, { 1, position } }, at(ms), at(ms));
+        health = applyPiggybackedStatus(health, 0, { 1, 0, { 1, position } }, at(ms), at(ms));
+        health = applyPiggybackedStatus(health, 1, { 1, 0, { 1, position } }, at(ms), at(ms));
     }
     // A replica that lags by 4 s still has a bound, within the spacing of the marks.
     auto age = getAgeBound(health, 1, 1100, at(5000));
