--- a/src/alderward.h
+++ b/src/alderward.h
@@ -51,7 +51,7 @@
 #include "decisions/records.h"
 
 //-----------------------------------------------------------------------------
-// [SECTION] Health: MemberStatus, GroupHealth, takeStatus(), takeFailure(), applyPiggybackedStatus(), getProbeDue(), getAgeBound()
+// [SECTION] Health: MemberStatus, GroupHealth, takeStatus(), takeFailure(), applyPiggybackedStatus(), getProbeDue(), getStalenessBound()
 //-----------------------------------------------------------------------------
 #include "decisions/health.h"
 
--- a/src/controllers/group_statements.cpp
+++ b/src/controllers/group_statements.cpp
@@ -156,7 +156,7 @@
     outcome.mark = std::max(order.mark, answer->mark);
     outcome.member = member;
     outcome.role = isPrimary ? decisions::Role::Primary : decisions::Role::Replica;
-    outcome.age = decisions::getAgeBound(m_state.health, answer->mark.term, answer->mark.position, Clock::now());
+    outcome.age = decisions::getStalenessBound(m_state.health, answer->mark.term, answer->mark.position, Clock::now());
     base::count(isPrimary ? Counter::ReadsByPrimary : Counter::ReadsByReplica);
     co_return co_await checkAge(order, std::move(outcome), index, sentAt);
 }
--- a/src/daemon/operators.cpp
+++ b/src/daemon/operators.cpp
@@ -45,7 +45,7 @@
     it["term"] = health.status.term;
     it["fencedTerm"] = health.status.fencedTerm;
     it["position"] = health.status.log.position;
-    auto age = decisions::getAgeBound(group, health.status.log.term, health.status.log.position, Clock::now());
+    auto age = decisions::getStalenessBound(group, health.status.log.term, health.status.log.position, Clock::now());
     it["ageMs"] = age ? json::value(age->count()) : json::value(nullptr);
     return it;
 }
--- a/src/decisions/failover.cpp
+++ b/src/decisions/failover.cpp
@@ -232,7 +232,7 @@
         auto& it = view.health.members[i];
         if (i == *view.health.primary || !it.isReachable() || view.isLeaving[i])
             continue;
-        auto age = getAgeBound(view.health, it.status.log.term, it.status.log.position, now);
+        auto age = getStalenessBound(view.health, it.status.log.term, it.status.log.position, now);
         if (age && *age <= view.timings.handOverLag + view.timings.silentFor)
             return true;
     }
--- a/src/decisions/health.cpp
+++ b/src/decisions/health.cpp
@@ -51,41 +51,41 @@
     if (health.primary && !found)
         health.withoutPrimarySince = now;
     if (term != health.term)
-        health.ageMarks.clear();
+        health.freshnessCheckpoints.clear();
     health.primary = found;
     health.term = term;
 }
 
 // A mark is confirmed once a majority, the primary included, stood in the term when asked at or after the mark's time.
-static void confirmAgeMarks(GroupHealth& health)
+static void confirmCheckpoints(GroupHealth& health)
 {
-    for (auto& mark : health.ageMarks) {
-        if (mark.isConfirmed)
+    for (auto& checkpoint : health.freshnessCheckpoints) {
+        if (checkpoint.isConfirmed)
             continue;
         auto standing = std::ranges::count_if(health.members, [&](const MemberHealth& it) {
-            return it.isKnown && it.askedAt >= mark.askedAt && it.status.standsIn(health.term);
+            return it.isKnown && it.askedAt >= checkpoint.askedAt && it.status.standsIn(health.term);
         });
-        mark.isConfirmed = static_cast<size_t>(standing) > health.members.size() / 2;
+        checkpoint.isConfirmed = static_cast<size_t>(standing) > health.members.size() / 2;
     }
 }
 
 // Marks nearer to each other than this would push out the old ones, which lagging replicas are measured by.
-static bool isMarkDue(const GroupHealth& health, TimePoint askedAt)
+static bool isCheckpointDue(const GroupHealth& health, TimePoint askedAt)
 {
-    return health.ageMarks.empty() || askedAt - health.ageMarks.back().askedAt >= kAgeMarkSpacing;
+    return health.freshnessCheckpoints.empty() || askedAt - health.freshnessCheckpoints.back().askedAt >= kFreshnessCheckpointInterval;
 }
 
 // Old marks go first, but the newest confirmed one always stays: dropping it would make a reachable group look ageless.
-static void addAgeMark(GroupHealth& health, const AgeMark& mark)
+static void addCheckpoint(GroupHealth& health, const FreshnessCheckpoint& checkpoint)
 {
-    health.ageMarks.push_back(mark);
-    if (health.ageMarks.size() <= kAgeMarkLimit)
+    health.freshnessCheckpoints.push_back(checkpoint);
+    if (health.freshnessCheckpoints.size() <= kMaxFreshnessCheckpoints)
         return;
-    auto newestConfirmed = std::ranges::find_if(health.ageMarks.rbegin(), health.ageMarks.rend(), &AgeMark::isConfirmed);
-    auto victim = health.ageMarks.begin();
-    if (newestConfirmed != health.ageMarks.rend() && std::prev(newestConfirmed.base()) == victim)
+    auto newestConfirmed = std::ranges::find_if(health.freshnessCheckpoints.rbegin(), health.freshnessCheckpoints.rend(), &FreshnessCheckpoint::isConfirmed);
+    auto victim = health.freshnessCheckpoints.begin();
+    if (newestConfirmed != health.freshnessCheckpoints.rend() && std::prev(newestConfirmed.base()) == victim)
         ++victim;
-    health.ageMarks.erase(victim);
+    health.freshnessCheckpoints.erase(victim);
 }
 
 GroupHealth takeStatus(GroupHealth health, size_t index, const MemberStatus& status, TimePoint askedAt, TimePoint now)
@@ -100,9 +100,9 @@
     it.failures = 0;
     it.refusals = 0;
     updatePrimary(health, now);
-    if (health.primary == index && isMarkDue(health, askedAt))
-        addAgeMark(health, { askedAt, status.log.position, false });
-    confirmAgeMarks(health);
+    if (health.primary == index && isCheckpointDue(health, askedAt))
+        addCheckpoint(health, { askedAt, status.log.position, false });
+    confirmCheckpoints(health);
     return health;
 }
 
@@ -176,14 +176,14 @@
     return changed;
 }
 
-std::optional<milliseconds> getAgeBound(const GroupHealth& health, uint64_t term, uint64_t position, TimePoint now)
+std::optional<milliseconds> getStalenessBound(const GroupHealth& health, uint64_t term, uint64_t position, TimePoint now)
 {
     if (term != health.term)
         return std::nullopt;
-    auto it = std::ranges::find_if(health.ageMarks.rbegin(), health.ageMarks.rend(), [position](const AgeMark& mark) {
-        return mark.isConfirmed && mark.position <= position;
+    auto it = std::ranges::find_if(health.freshnessCheckpoints.rbegin(), health.freshnessCheckpoints.rend(), [position](const FreshnessCheckpoint& checkpoint) {
+        return checkpoint.isConfirmed && checkpoint.position <= position;
     });
-    if (it == health.ageMarks.rend())
+    if (it == health.freshnessCheckpoints.rend())
         return std::nullopt;
     return std::chrono::ceil<milliseconds>(now - it->askedAt);
 }
--- a/src/decisions/health.h
+++ b/src/decisions/health.h
@@ -39,11 +39,11 @@
 };
 
 // A probe that a replica's age can be counted from: when it was sent, and how far the primary had come.
-struct AgeMark {
+struct FreshnessCheckpoint {
     TimePoint askedAt {}; // send time of the probe to the primary
     uint64_t position { 0 }; // primary's position in that answer
     bool isConfirmed { false }; // a majority stood in the term, asked at or after askedAt
-    friend bool operator==(const AgeMark&, const AgeMark&) = default;
+    friend bool operator==(const FreshnessCheckpoint&, const FreshnessCheckpoint&) = default;
 };
 
 struct MemberHealth {
@@ -64,12 +64,12 @@
     uint64_t term { 0 }; // of the primary we route to; 0: none known
     std::optional<size_t> primary {}; // index of that primary
     TimePoint withoutPrimarySince {}; // when `primary` was last lost; meaningless while there is one
-    std::vector<AgeMark> ageMarks {}; // ascending by askedAt, of the present term only, at most kAgeMarkLimit
+    std::vector<FreshnessCheckpoint> freshnessCheckpoints {}; // ascending by askedAt, of the present term only, at most kMaxFreshnessCheckpoints
     friend bool operator==(const GroupHealth&, const GroupHealth&) = default;
 };
 
-inline constexpr size_t kAgeMarkLimit = 128;
-inline constexpr milliseconds kAgeMarkSpacing { 50 }; // marks are no nearer to each other
+inline constexpr size_t kMaxFreshnessCheckpoints = 128;
+inline constexpr milliseconds kFreshnessCheckpointInterval { 50 }; // marks are no nearer to each other
 inline constexpr milliseconds kPiggybackedStatusInterval { 20 }; // answers that follow each other faster need not be taken in
 
 struct ProbeTimings {
@@ -103,6 +103,6 @@
 
 // How old a member's data can be at most, for a member of the present term whose log has reached `position`.
 // Empty: no bound is known. Grows while probes fail, so a cut-off or superseded group looks old, never fresh.
-std::optional<milliseconds> getAgeBound(const GroupHealth& health, uint64_t term, uint64_t position, TimePoint now);
+std::optional<milliseconds> getStalenessBound(const GroupHealth& health, uint64_t term, uint64_t position, TimePoint now);
 
 }
--- a/src/decisions/routing.cpp
+++ b/src/decisions/routing.cpp
@@ -46,7 +46,7 @@
 {
     if (!need.maximumAge)
         return true;
-    auto age = getAgeBound(health, log.term, log.position, now);
+    auto age = getStalenessBound(health, log.term, log.position, now);
     return age && *age <= *need.maximumAge;
 }
 
@@ -61,8 +61,8 @@
 {
     if (log.term != mark.term || log.term != health.term)
         return false;
-    auto age = getAgeBound(health, log.term, log.position, now);
-    auto newest = health.ageMarks.empty() ? TimePoint {} : health.ageMarks.back().askedAt;
+    auto age = getStalenessBound(health, log.term, log.position, now);
+    auto newest = health.freshnessCheckpoints.empty() ? TimePoint {} : health.freshnessCheckpoints.back().askedAt;
     return age && now - *age + kWorthWaiting >= newest;
 }
 
--- a/tests/unit/health_test.cpp
+++ b/tests/unit/health_test.cpp
@@ -39,10 +39,10 @@
 {
     auto health = makeGroup(0);
     health = applyPiggybackedStatus(health, 0, { 1, 0, { 1, 150 } }, at(200), at(201));
-    BOOST_TEST(getAgeBound(health, 1, 150, at(210))->count() == 210); // nobody else stood in the term since
+    BOOST_TEST(getStalenessBound(health, 1, 150, at(210))->count() == 210); // nobody else stood in the term since
     health = applyPiggybackedStatus(health, 1, { 1, 0, { 1, 150 } }, at(205), at(206));
-    BOOST_TEST(getAgeBound(health, 1, 150, at(210))->count() == 10);
-    BOOST_TEST(getAgeBound(health, 1, 149, at(210))->count() == 210);
+    BOOST_TEST(getStalenessBound(health, 1, 150, at(210))->count() == 10);
+    BOOST_TEST(getStalenessBound(health, 1, 149, at(210))->count() == 210);
     BOOST_TEST(health.members[1].status.log.position == 150u);
 }
 
@@ -112,10 +112,10 @@
         health = applyPiggybackedStatus(health, 1, { 1, 0, { 1, position } }, at(ms), at(ms));
     }
     // A replica that lags by 4 s still has a bound, within the spacing of the marks.
-    auto age = getAgeBound(health, 1, 1100, at(5000));
+    auto age = getStalenessBound(health, 1, 1100, at(5000));
     BOOST_REQUIRE(age.has_value());
     BOOST_TEST(age->count() >= 4000);
-    BOOST_TEST(age->count() <= 4000 + kAgeMarkSpacing.count());
+    BOOST_TEST(age->count() <= 4000 + kFreshnessCheckpointInterval.count());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/unit/routing_test.cpp
+++ b/tests/unit/routing_test.cpp
@@ -88,9 +88,9 @@
 BOOST_AUTO_TEST_CASE(age_grows_from_the_newest_confirmed_probe_that_the_position_reached)
 {
     auto health = makeGroup(10);
-    BOOST_TEST((getAgeBound(health, 1, 100, at(60)) == milliseconds(50)));
-    BOOST_TEST(!getAgeBound(health, 1, 99, at(60)));
-    BOOST_TEST(!getAgeBound(health, 2, 100, at(60)));
+    BOOST_TEST((getStalenessBound(health, 1, 100, at(60)) == milliseconds(50)));
+    BOOST_TEST(!getStalenessBound(health, 1, 99, at(60)));
+    BOOST_TEST(!getStalenessBound(health, 2, 100, at(60)));
 }
 
 BOOST_AUTO_TEST_CASE(a_probe_that_no_majority_confirmed_makes_nothing_fresh)
@@ -100,7 +100,7 @@
     health = takeStatus(health, 0, makeStatus(Role::Primary, 200), at(1000), at(1000));
     health = takeFailure(health, 1, false, at(1000));
     health = takeFailure(health, 2, false, at(1000));
-    BOOST_TEST((getAgeBound(health, 1, 200, at(1010)) == milliseconds(1000)));
+    BOOST_TEST((getStalenessBound(health, 1, 200, at(1010)) == milliseconds(1000)));
     auto route = routeRead(health, kIdle, { {}, milliseconds(100) }, at(1010));
     BOOST_TEST((route.kind != RouteKind::Member || route.member == 0u));
 }
@@ -127,7 +127,7 @@
     auto health = makeGroup(10);
     for (int i = 0; i < 300; ++i)
         health = takeStatus(health, 0, makeStatus(Role::Primary, 100), at(100 + i), at(100 + i));
-    BOOST_TEST((getAgeBound(health, 1, 100, at(1000)) == milliseconds(990)));
+    BOOST_TEST((getStalenessBound(health, 1, 100, at(1000)) == milliseconds(990)));
 }
 
 // ---- confirmation ----
