--- a/examples/decide.cpp
+++ b/examples/decide.cpp
@@ -13,7 +13,7 @@
     status.role = role;
     status.log = { 1, position, { { 1, 1 } } };
     status.primary = "a";
-    status.heardPrimaryAgo = milliseconds(heardMs);
+    status.primaryContactAge = milliseconds(heardMs);
     return status;
 }
 
@@ -42,12 +42,12 @@
     record.members = { { "a", "10.0.0.1:1", "x" }, { "b", "10.0.0.2:1", "y" }, { "c", "10.0.0.3:1", "z" } };
     auto start = TimePoint {} + std::chrono::hours(1);
     auto health = makeHealth(record, start);
-    health = takeStatus(health, 0, makeStatus("a", Role::Primary, 100, 0), start, start);
+    health = applyStatus(health, 0, makeStatus("a", Role::Primary, 100, 0), start, start);
     auto now = start + milliseconds(400);
     for (int ms : { 50, 100, 150 })
-        health = takeFailure(health, 0, true, start + milliseconds(ms));
-    health = takeStatus(health, 1, makeStatus("b", Role::Replica, 99, 350), now, now);
-    health = takeStatus(health, 2, makeStatus("c", Role::Replica, 100, 350), now, now);
+        health = applyProbeFailure(health, 0, true, start + milliseconds(ms));
+    health = applyStatus(health, 1, makeStatus("b", Role::Replica, 99, 350), now, now);
+    health = applyStatus(health, 2, makeStatus("c", Role::Replica, 100, 350), now, now);
 
     FailoverView view { record, health, { false, false, false }, 0, {} };
     fmt::print("the timer ticks\n");
--- a/src/alderward.h
+++ b/src/alderward.h
@@ -51,7 +51,7 @@
 #include "decisions/records.h"
 
 //-----------------------------------------------------------------------------
-// [SECTION] Health: MemberStatus, GroupHealth, takeStatus(), takeFailure(), applyPiggybackedStatus(), getProbeDue(), getStalenessBound()
+// [SECTION] Health: MemberStatus, GroupHealth, takeStatus(), applyProbeFailure(), applyPiggybackedStatus(), getNextProbeTime(), getStalenessBound()
 //-----------------------------------------------------------------------------
 #include "decisions/health.h"
 
--- a/src/controllers/group.cpp
+++ b/src/controllers/group.cpp
@@ -154,7 +154,7 @@
 {
     auto timer = m_members[index].probeTimer;
     while (epoch == m_epoch) {
-        auto due = decisions::getProbeDue(m_state.health, index, sentAt, getProbeTimings());
+        auto due = decisions::getNextProbeTime(m_state.health, index, sentAt, getProbeTimings());
         if (Clock::now() >= due)
             co_return;
         timer->expires_at(due);
@@ -168,9 +168,9 @@
 {
     decisions::ProbeTimings timings;
     timings.interval = milliseconds(m_node.settings.probeIntervalMs);
-    timings.fullInterval = std::max(timings.fullInterval, timings.interval);
+    timings.fullStatusInterval = std::max(timings.fullStatusInterval, timings.interval);
     timings.idleInterval = std::max(timings.idleInterval, timings.interval);
-    timings.isFirst = !m_role.homes.empty() && m_role.homes.front() == m_node.settings.name;
+    timings.isFirstHome = !m_role.homes.empty() && m_role.homes.front() == m_node.settings.name;
     timings.isIdle = m_orders == 0 && Clock::now() - m_usedAt >= kIdleAfter;
     return timings;
 }
@@ -230,7 +230,7 @@
 void GroupController::takeEvent(const decisions::GroupEvent& event)
 {
     auto termBefore = m_state.health.term;
-    bool wasCalm = decisions::isCalm(m_state.health);
+    bool wasCalm = decisions::isGroupHealthy(m_state.health);
     auto now = decisions::roundDown(Clock::now());
     auto step = decisions::stepGroup(std::move(m_state), event, now);
     m_state = std::move(step.state);
@@ -243,7 +243,7 @@
         perform(it);
     if (std::holds_alternative<decisions::FailoverEvent>(event))
         return;
-    if (wasCalm && !decisions::isCalm(m_state.health))
+    if (wasCalm && !decisions::isGroupHealthy(m_state.health))
         probeNow();
     repairFollowers();
     wakeHolders();
@@ -292,7 +292,7 @@
         return false;
     return std::ranges::any_of(m_state.health.members, [&](const decisions::MemberHealth& it) {
         return it.isReachable() && it.probedAt >= primary.failingSince && it.status.term == m_state.health.term
-            && it.status.role == decisions::Role::Replica && it.status.heardPrimaryAgo < decisions::FailoverTimings {}.unheardFor;
+            && it.status.role == decisions::Role::Replica && it.status.primaryContactAge < decisions::FailoverTimings {}.unheardFor;
     });
 }
 
--- a/src/decisions/failover.cpp
+++ b/src/decisions/failover.cpp
@@ -27,7 +27,7 @@
         if (i == primary || !it.isReachable() || !isFresh)
             continue;
         // One that follows an older term was cut off by the last promotion, not by this fault.
-        bool hears = it.status.term == view.health.term && it.status.heardPrimaryAgo < view.timings.unheardFor;
+        bool hears = it.status.term == view.health.term && it.status.primaryContactAge < view.timings.unheardFor;
         ++(hears ? hearing.hear : hearing.doNotHear);
     }
     return hearing;
--- a/src/decisions/group_state.cpp
+++ b/src/decisions/group_state.cpp
@@ -13,7 +13,7 @@
 {
     if (!(state.record == event.record)) {
         bool isFirst = state.record.members.empty();
-        state.health = isFirst ? makeHealth(event.record, now) : changeRecord(state.health, state.record, event.record, now);
+        state.health = isFirst ? makeHealth(event.record, now) : updateForRecord(state.health, state.record, event.record, now);
         state.failover.phase = FailoverPhase::Idle;
         state.failover.grants.clear();
         state.failover.refusals.clear();
@@ -72,11 +72,11 @@
     else if (std::holds_alternative<WorkBegan>(event))
         health.withoutPrimarySince = now;
     else if (auto* status = std::get_if<StatusAnswered>(&event))
-        takeHealth(step, takeStatus(health, status->member, status->status, status->askedAt, now), now);
+        takeHealth(step, applyStatus(health, status->member, status->status, status->askedAt, now), now);
     else if (auto* piggybacked = std::get_if<PiggybackedStatusReceived>(&event))
         takeHealth(step, applyPiggybackedStatus(health, piggybacked->member, piggybacked->piggybacked, piggybacked->askedAt, now), now);
     else if (auto* failure = std::get_if<ProbeFailed>(&event))
-        takeHealth(step, takeFailure(health, failure->member, failure->wasRefused, failure->askedAt), now);
+        takeHealth(step, applyProbeFailure(health, failure->member, failure->wasRefused, failure->askedAt), now);
     else
         runFailover(step, std::get<FailoverEvent>(event), now);
     return step;
--- a/src/decisions/health.cpp
+++ b/src/decisions/health.cpp
@@ -63,7 +63,7 @@
         if (checkpoint.isConfirmed)
             continue;
         auto standing = std::ranges::count_if(health.members, [&](const MemberHealth& it) {
-            return it.isKnown && it.askedAt >= checkpoint.askedAt && it.status.standsIn(health.term);
+            return it.isKnown && it.askedAt >= checkpoint.askedAt && it.status.isActiveInTerm(health.term);
         });
         checkpoint.isConfirmed = static_cast<size_t>(standing) > health.members.size() / 2;
     }
@@ -88,7 +88,7 @@
     health.freshnessCheckpoints.erase(victim);
 }
 
-GroupHealth takeStatus(GroupHealth health, size_t index, const MemberStatus& status, TimePoint askedAt, TimePoint now)
+GroupHealth applyStatus(GroupHealth health, size_t index, const MemberStatus& status, TimePoint askedAt, TimePoint now)
 {
     auto& it = health.members[index];
     if (it.isKnown && askedAt < it.askedAt)
@@ -121,35 +121,35 @@
     auto probedAt = it.probedAt;
     auto status = it.status;
     status.log.position = std::max(status.log.position, piggybacked.log.position);
-    health = takeStatus(std::move(health), index, status, askedAt, now);
+    health = applyStatus(std::move(health), index, status, askedAt, now);
     health.members[index].probedAt = probedAt;
     return health;
 }
 
-bool isCalm(const GroupHealth& health)
+bool isGroupHealthy(const GroupHealth& health)
 {
     return health.primary && std::ranges::all_of(health.members, [&](const MemberHealth& it) {
-        return it.isReachable() && it.status.standsIn(health.term);
+        return it.isReachable() && it.status.isActiveInTerm(health.term);
     });
 }
 
-TimePoint getProbeDue(const GroupHealth& health, size_t index, TimePoint sentAt, const ProbeTimings& timings)
+TimePoint getNextProbeTime(const GroupHealth& health, size_t index, TimePoint sentAt, const ProbeTimings& timings)
 {
     auto& it = health.members[index];
     if (!it.isReachable())
-        return sentAt + timings.failedPause;
-    if (!isCalm(health))
+        return sentAt + timings.unreachableInterval;
+    if (!isGroupHealthy(health))
         return sentAt + timings.interval;
     // Of a group that nobody uses, one home watches the primary closely; it tells the others of a new one.
-    bool isWatched = !timings.isIdle || (timings.isFirst && health.primary == index);
+    bool isWatched = !timings.isIdle || (timings.isFirstHome && health.primary == index);
     auto interval = isWatched ? timings.interval : timings.idleInterval;
     // Steady answers would end just before a fault, and each detection begin a whole interval after it; without them it is
     // half of one on the mean. So the primary is given no more than that.
     auto patience = health.primary == index ? interval / 2 : interval;
-    return std::min(std::max(sentAt + interval, it.askedAt + patience), sentAt + timings.fullInterval);
+    return std::min(std::max(sentAt + interval, it.askedAt + patience), sentAt + timings.fullStatusInterval);
 }
 
-GroupHealth takeFailure(GroupHealth health, size_t index, bool wasRefused, TimePoint askedAt)
+GroupHealth applyProbeFailure(GroupHealth health, size_t index, bool wasRefused, TimePoint askedAt)
 {
     auto& it = health.members[index];
     if (it.isKnown && askedAt < it.askedAt)
@@ -161,7 +161,7 @@
     return health;
 }
 
-GroupHealth changeRecord(const GroupHealth& health, const GroupRecord& before, const GroupRecord& after, TimePoint now)
+GroupHealth updateForRecord(const GroupHealth& health, const GroupRecord& before, const GroupRecord& after, TimePoint now)
 {
     auto changed = makeHealth(after, now);
     for (size_t i = 0; i < after.members.size(); ++i) {
--- a/src/decisions/health.h
+++ b/src/decisions/health.h
@@ -22,12 +22,12 @@
     Role role { Role::Replica };
     LogState log {};
     std::string primary {}; // whom it follows
-    milliseconds heardPrimaryAgo { 0 }; // time since its primary last answered it; 0 for a primary
+    milliseconds primaryContactAge { 0 }; // time since its primary last answered it; 0 for a primary
     bool canFence { true };
     friend bool operator==(const MemberStatus&, const MemberStatus&) = default;
 
     // It neither left `other` nor promised to a later term.
-    bool standsIn(uint64_t other) const { return term == other && fencedTerm <= other; }
+    bool isActiveInTerm(uint64_t other) const { return term == other && fencedTerm <= other; }
 };
 
 // What an ordinary answer shows of a member: that of a statement, or of a confirmation.
@@ -50,7 +50,7 @@
     bool isKnown { false }; // has answered at least once
     MemberStatus status {}; // newest answer
     TimePoint askedAt {}; // when the question of the newest answer of any kind was sent
-    TimePoint probedAt {}; // when the newest answered status question was sent: heardPrimaryAgo is as of then
+    TimePoint probedAt {}; // when the newest answered status question was sent: primaryContactAge is as of then
     unsigned failures { 0 }; // probes failed in a row
     unsigned refusals { 0 }; // of these, in a row: nothing listened
     TimePoint failingSince {}; // send time of the first probe that failed
@@ -74,18 +74,18 @@
 
 struct ProbeTimings {
     milliseconds interval { 100 }; // ms; a member that gave no answer of any kind for so long is asked
-    milliseconds fullInterval { 1000 }; // ms; a status is asked this often, whatever ordinary answers say
-    milliseconds failedPause { 40 }; // ms; a member that does not answer is asked sooner
+    milliseconds fullStatusInterval { 1000 }; // ms; a status is asked this often, whatever ordinary answers say
+    milliseconds unreachableInterval { 40 }; // ms; a member that does not answer is asked sooner
     milliseconds idleInterval { 1000 }; // ms; in place of `interval` while `isIdle`, but for the primary at the first home
     bool isIdle { false }; // this home got no statements of the group of late
-    bool isFirst { false }; // this home acts first when the primary fails
+    bool isFirstHome { false }; // this home acts first when the primary fails
 };
 
 GroupHealth makeHealth(const GroupRecord& record, TimePoint now);
 // Keeps what is known of members that stay in the record.
-GroupHealth changeRecord(const GroupHealth& health, const GroupRecord& before, const GroupRecord& after, TimePoint now);
+GroupHealth updateForRecord(const GroupHealth& health, const GroupRecord& before, const GroupRecord& after, TimePoint now);
 // Takes in a member's answer to a question sent at `askedAt`. An older answer than the newest is dropped.
-GroupHealth takeStatus(GroupHealth health, size_t index, const MemberStatus& status, TimePoint askedAt, TimePoint now);
+GroupHealth applyStatus(GroupHealth health, size_t index, const MemberStatus& status, TimePoint askedAt, TimePoint now);
 // Whether an ordinary answer shows the member as the last status did, its log being longer at most. If not, only a status
 // can tell what happened.
 bool matchesLastStatus(const MemberHealth& member, const PiggybackedStatus& piggybacked);
@@ -93,11 +93,11 @@
 // probes, changes nothing.
 GroupHealth applyPiggybackedStatus(GroupHealth health, size_t index, const PiggybackedStatus& piggybacked, TimePoint askedAt, TimePoint now);
 // Takes in that a question sent at `askedAt` got no answer (`wasRefused`: nothing listens there).
-GroupHealth takeFailure(GroupHealth health, size_t index, bool wasRefused, TimePoint askedAt);
+GroupHealth applyProbeFailure(GroupHealth health, size_t index, bool wasRefused, TimePoint askedAt);
 // Whether all is well: every member answers, works in the term of a known primary and is promised to no other.
-bool isCalm(const GroupHealth& health);
+bool isGroupHealthy(const GroupHealth& health);
 // When the next status question to a member is due. `sentAt` is the send time of the last one, answered or not.
-TimePoint getProbeDue(const GroupHealth& health, size_t index, TimePoint sentAt, const ProbeTimings& timings);
+TimePoint getNextProbeTime(const GroupHealth& health, size_t index, TimePoint sentAt, const ProbeTimings& timings);
 // The largest term that any member has shown, fenced or worked in.
 uint64_t getHighestTerm(const GroupHealth& health);
 
--- a/src/decisions/trace.cpp
+++ b/src/decisions/trace.cpp
@@ -90,7 +90,7 @@
         line["event"] = "status";
         line["member"] = it.member;
         line["askedUs"] = getOffset(it.askedAt, origin);
-        line["status"] = { { "member", status.member }, { "term", status.term }, { "fencedTerm", status.fencedTerm }, { "primary", status.primary }, { "isPrimary", status.role == Role::Primary }, { "log", formatLog(status.log) }, { "heardAgoMs", status.heardPrimaryAgo.count() }, { "fence", status.canFence } };
+        line["status"] = { { "member", status.member }, { "term", status.term }, { "fencedTerm", status.fencedTerm }, { "primary", status.primary }, { "isPrimary", status.role == Role::Primary }, { "log", formatLog(status.log) }, { "heardAgoMs", status.primaryContactAge.count() }, { "fence", status.canFence } };
     }
     void operator()(const PiggybackedStatusReceived& it) const
     {
@@ -187,7 +187,7 @@
     status.role = object.at("isPrimary").as_bool() ? Role::Primary : Role::Replica;
     status.log = readLog(object.at("log"));
     status.primary = readText(object.at("primary"));
-    status.heardPrimaryAgo = milliseconds(object.at("heardAgoMs").to_number<int64_t>());
+    status.primaryContactAge = milliseconds(object.at("heardAgoMs").to_number<int64_t>());
     status.canFence = object.at("fence").as_bool();
     return { line.at("member").to_number<size_t>(), std::move(status), readTime(line.at("askedUs")) };
 }
--- a/src/links/target.cpp
+++ b/src/links/target.cpp
@@ -107,7 +107,7 @@
     status.role = getString(*object, "role") == "primary" ? decisions::Role::Primary : decisions::Role::Replica;
     status.log = parseLog(*object);
     status.primary = getString(*object, "primary");
-    status.heardPrimaryAgo = base::milliseconds(getNumber(*object, "heardPrimaryAgoMs"));
+    status.primaryContactAge = base::milliseconds(getNumber(*object, "heardPrimaryAgoMs"));
     status.canFence = getBool(*object, "fence", true);
     co_return status;
 }
--- a/tests/unit/failover_test.cpp
+++ b/tests/unit/failover_test.cpp
@@ -30,7 +30,7 @@
     status.term = 1;
     status.role = role;
     status.log = { 1, 10, { { 1, 1 } } };
-    status.heardPrimaryAgo = milliseconds(heardMs);
+    status.primaryContactAge = milliseconds(heardMs);
     status.primary = "a";
     return status;
 }
@@ -39,11 +39,11 @@
 GroupHealth makeFailing(int ms, bool refuses, int heardMs)
 {
     auto health = makeHealth(makeRecord(), at(-1000));
-    health = takeStatus(health, 0, makeStatus(Role::Primary, 0), at(-50), at(-50));
+    health = applyStatus(health, 0, makeStatus(Role::Primary, 0), at(-50), at(-50));
     for (int t = 0; t <= ms; t += 40)
-        health = takeFailure(health, 0, refuses, at(t));
+        health = applyProbeFailure(health, 0, refuses, at(t));
     for (size_t i = 1; i < 3; ++i)
-        health = takeStatus(health, i, makeStatus(Role::Replica, heardMs), at(ms), at(ms));
+        health = applyStatus(health, i, makeStatus(Role::Replica, heardMs), at(ms), at(ms));
     return health;
 }
 
@@ -244,7 +244,7 @@
     {
         auto& it = m_members[member];
         if (it.isDown) {
-            m_health[host] = takeFailure(m_health[host], member, m_random() % 2 == 0, at(m_ms));
+            m_health[host] = applyProbeFailure(m_health[host], member, m_random() % 2 == 0, at(m_ms));
             return;
         }
         MemberStatus status;
@@ -252,8 +252,8 @@
         status.fencedTerm = it.fenced;
         status.role = it.isPrimary ? Role::Primary : Role::Replica;
         status.log = getLog(it);
-        status.heardPrimaryAgo = milliseconds(isPrimaryUp(it.term) ? 10 : 900);
-        m_health[host] = takeStatus(m_health[host], member, status, at(m_ms), at(m_ms));
+        status.primaryContactAge = milliseconds(isPrimaryUp(it.term) ? 10 : 900);
+        m_health[host] = applyStatus(m_health[host], member, status, at(m_ms), at(m_ms));
         for (auto& follow : getFollowers(m_record, m_health[host])) {
             if (m_random() % 8 == 0)
                 m_messages.push_back({ host, follow });
--- a/tests/unit/health_test.cpp
+++ b/tests/unit/health_test.cpp
@@ -17,7 +17,7 @@
     status.term = 1;
     status.role = role;
     status.log = { 1, position, { { 1, 1 } } };
-    status.heardPrimaryAgo = heardAgo;
+    status.primaryContactAge = heardAgo;
     return status;
 }
 
@@ -25,9 +25,9 @@
 GroupHealth makeGroup(int ms)
 {
     auto health = makeHealth(makeRecord(), at(0));
-    health = takeStatus(health, 0, makeStatus(Role::Primary, 100, milliseconds(0)), at(ms), at(ms));
+    health = applyStatus(health, 0, makeStatus(Role::Primary, 100, milliseconds(0)), at(ms), at(ms));
     for (size_t i = 1; i < 3; ++i)
-        health = takeStatus(health, i, makeStatus(Role::Replica, 100, milliseconds(5)), at(ms), at(ms));
+        health = applyStatus(health, i, makeStatus(Role::Replica, 100, milliseconds(5)), at(ms), at(ms));
     return health;
 }
 
@@ -53,7 +53,7 @@
         BOOST_TEST(!matchesLastStatus(health.members[1], it));
         BOOST_TEST((applyPiggybackedStatus(health, 1, it, at(200), at(201)) == health));
     }
-    auto failing = takeFailure(health, 1, false, at(100));
+    auto failing = applyProbeFailure(health, 1, false, at(100));
     BOOST_TEST((applyPiggybackedStatus(failing, 1, { 1, 0, { 1, 200 } }, at(200), at(201)) == failing));
     BOOST_TEST((applyPiggybackedStatus(health, 1, { 1, 0, { 1, 200 } }, at(-1), at(201)) == health)); // asked before the newest
 }
@@ -63,14 +63,14 @@
 {
     auto health = makeGroup(0);
     for (int ms = 100; ms <= 900; ms += 100)
-        health = takeFailure(health, 0, false, at(ms));
+        health = applyProbeFailure(health, 0, false, at(ms));
     for (size_t i = 1; i < 3; ++i)
         health = applyPiggybackedStatus(health, i, { 1, 0, { 1, 100 } }, at(890), at(891));
     auto record = makeRecord();
     FailoverView view { record, health, std::vector<bool>(3), 0, {} };
     BOOST_TEST(getDownReason(view, at(900)).empty()); // neither yes nor no is known
     for (size_t i = 1; i < 3; ++i)
-        health = takeStatus(health, i, makeStatus(Role::Replica, 100, milliseconds(880)), at(895), at(896));
+        health = applyStatus(health, i, makeStatus(Role::Replica, 100, milliseconds(880)), at(895), at(896));
     BOOST_TEST(!getDownReason(view, at(900)).empty());
 }
 
@@ -78,14 +78,14 @@
 {
     ProbeTimings timings;
     auto health = makeGroup(0);
-    BOOST_TEST((getProbeDue(health, 1, at(0), timings) == at(100)));
+    BOOST_TEST((getNextProbeTime(health, 1, at(0), timings) == at(100)));
     health = applyPiggybackedStatus(health, 1, { 1, 0, { 1, 120 } }, at(80), at(81));
-    BOOST_TEST((getProbeDue(health, 1, at(0), timings) == at(180)));
-    BOOST_TEST((getProbeDue(health, 2, at(0), timings) == at(100)));
+    BOOST_TEST((getNextProbeTime(health, 1, at(0), timings) == at(180)));
+    BOOST_TEST((getNextProbeTime(health, 2, at(0), timings) == at(100)));
     health = applyPiggybackedStatus(health, 0, { 1, 0, { 1, 120 } }, at(80), at(81));
-    BOOST_TEST((getProbeDue(health, 0, at(0), timings) == at(130))); // the primary's silence is noticed sooner
+    BOOST_TEST((getNextProbeTime(health, 0, at(0), timings) == at(130))); // the primary's silence is noticed sooner
     health = applyPiggybackedStatus(health, 1, { 1, 0, { 1, 130 } }, at(950), at(951));
-    BOOST_TEST((getProbeDue(health, 1, at(0), timings) == at(1000))); // a status now and then, whatever comes
+    BOOST_TEST((getNextProbeTime(health, 1, at(0), timings) == at(1000))); // a status now and then, whatever comes
 }
 
 BOOST_AUTO_TEST_CASE(idle_group_is_watched_by_its_first_home_and_a_sick_one_by_all)
@@ -93,14 +93,14 @@
     ProbeTimings timings;
     timings.isIdle = true;
     auto health = makeGroup(0);
-    BOOST_TEST((getProbeDue(health, 0, at(0), timings) == at(1000)));
-    timings.isFirst = true;
-    BOOST_TEST((getProbeDue(health, 0, at(0), timings) == at(100)));
-    BOOST_TEST((getProbeDue(health, 1, at(0), timings) == at(1000)));
-    auto sick = takeFailure(health, 0, true, at(100));
-    BOOST_TEST(!isCalm(sick));
-    BOOST_TEST((getProbeDue(sick, 0, at(100), timings) == at(140)));
-    BOOST_TEST((getProbeDue(sick, 1, at(0), timings) == at(100)));
+    BOOST_TEST((getNextProbeTime(health, 0, at(0), timings) == at(1000)));
+    timings.isFirstHome = true;
+    BOOST_TEST((getNextProbeTime(health, 0, at(0), timings) == at(100)));
+    BOOST_TEST((getNextProbeTime(health, 1, at(0), timings) == at(1000)));
+    auto sick = applyProbeFailure(health, 0, true, at(100));
+    BOOST_TEST(!isGroupHealthy(sick));
+    BOOST_TEST((getNextProbeTime(sick, 0, at(100), timings) == at(140)));
+    BOOST_TEST((getNextProbeTime(sick, 1, at(0), timings) == at(100)));
 }
 
 BOOST_AUTO_TEST_CASE(marks_of_frequent_answers_do_not_push_out_those_that_a_lagging_replica_needs)
--- a/tests/unit/routing_test.cpp
+++ b/tests/unit/routing_test.cpp
@@ -26,9 +26,9 @@
 GroupHealth makeGroup(int ms)
 {
     auto health = makeHealth(makeRecord(), at(0));
-    health = takeStatus(health, 0, makeStatus(Role::Primary, 100), at(ms), at(ms));
-    health = takeStatus(health, 1, makeStatus(Role::Replica, 100), at(ms), at(ms));
-    return takeStatus(health, 2, makeStatus(Role::Replica, 40), at(ms), at(ms));
+    health = applyStatus(health, 0, makeStatus(Role::Primary, 100), at(ms), at(ms));
+    health = applyStatus(health, 1, makeStatus(Role::Replica, 100), at(ms), at(ms));
+    return applyStatus(health, 2, makeStatus(Role::Replica, 40), at(ms), at(ms));
 }
 
 const std::vector<TargetLoad> kIdle(3);
@@ -77,7 +77,7 @@
 {
     auto health = makeHealth(makeRecord(), at(0));
     for (size_t i = 0; i < 3; ++i)
-        health = takeStatus(health, i, makeStatus(i == 1 ? Role::Primary : Role::Replica, 70, 2), at(10), at(10));
+        health = applyStatus(health, i, makeStatus(i == 1 ? Role::Primary : Role::Replica, 70, 2), at(10), at(10));
     auto route = routeRead(health, kIdle, { { 1, 60 }, {} }, at(11));
     BOOST_TEST((route.kind == RouteKind::Refuse));
     BOOST_TEST((route.reason == ErrorKind::SessionWritesLost));
@@ -97,9 +97,9 @@
 {
     auto health = makeGroup(10);
     // The cut-off primary still answers us and moves on; its replicas do not answer any more.
-    health = takeStatus(health, 0, makeStatus(Role::Primary, 200), at(1000), at(1000));
-    health = takeFailure(health, 1, false, at(1000));
-    health = takeFailure(health, 2, false, at(1000));
+    health = applyStatus(health, 0, makeStatus(Role::Primary, 200), at(1000), at(1000));
+    health = applyProbeFailure(health, 1, false, at(1000));
+    health = applyProbeFailure(health, 2, false, at(1000));
     BOOST_TEST((getStalenessBound(health, 1, 200, at(1010)) == milliseconds(1000)));
     auto route = routeRead(health, kIdle, { {}, milliseconds(100) }, at(1010));
     BOOST_TEST((route.kind != RouteKind::Member || route.member == 0u));
@@ -108,25 +108,25 @@
 BOOST_AUTO_TEST_CASE(a_primary_that_a_majority_has_left_is_no_primary)
 {
     auto health = makeGroup(10);
-    health = takeStatus(health, 1, makeStatus(Role::Replica, 100, 1, 2), at(20), at(20));
+    health = applyStatus(health, 1, makeStatus(Role::Replica, 100, 1, 2), at(20), at(20));
     BOOST_TEST(health.primary.has_value());
-    health = takeStatus(health, 2, makeStatus(Role::Replica, 40, 1, 2), at(20), at(20));
+    health = applyStatus(health, 2, makeStatus(Role::Replica, 40, 1, 2), at(20), at(20));
     BOOST_TEST(!health.primary.has_value());
 }
 
 BOOST_AUTO_TEST_CASE(an_older_answer_does_not_replace_a_newer_one)
 {
     auto health = makeGroup(50);
-    auto after = takeStatus(health, 0, makeStatus(Role::Primary, 1), at(20), at(60));
+    auto after = applyStatus(health, 0, makeStatus(Role::Primary, 1), at(20), at(60));
     BOOST_TEST((after == health));
-    BOOST_TEST((takeFailure(health, 0, false, at(20)) == health));
+    BOOST_TEST((applyProbeFailure(health, 0, false, at(20)) == health));
 }
 
 BOOST_AUTO_TEST_CASE(the_newest_confirmed_age_mark_is_never_dropped)
 {
     auto health = makeGroup(10);
     for (int i = 0; i < 300; ++i)
-        health = takeStatus(health, 0, makeStatus(Role::Primary, 100), at(100 + i), at(100 + i));
+        health = applyStatus(health, 0, makeStatus(Role::Primary, 100), at(100 + i), at(100 + i));
     BOOST_TEST((getStalenessBound(health, 1, 100, at(1000)) == milliseconds(990)));
 }
 
@@ -160,12 +160,12 @@
     view.lostAt = at(0);
     BOOST_TEST(mayHoldWrite(view, at(1)));
     // The first replica answered; the primary may be among the two that have not been heard yet.
-    health = takeStatus(health, 1, makeStatus(Role::Replica, 100), at(1), at(1));
+    health = applyStatus(health, 1, makeStatus(Role::Replica, 100), at(1), at(1));
     BOOST_TEST(mayHoldWrite(view, at(2)));
-    health = takeFailure(health, 0, true, at(1));
-    health = takeFailure(health, 2, true, at(1));
+    health = applyProbeFailure(health, 0, true, at(1));
+    health = applyProbeFailure(health, 2, true, at(1));
     BOOST_TEST(!mayHoldWrite(view, at(2)));
-    health = takeStatus(health, 2, makeStatus(Role::Replica, 100), at(3), at(3));
+    health = applyStatus(health, 2, makeStatus(Role::Replica, 100), at(3), at(3));
     BOOST_TEST(mayHoldWrite(view, at(4)));
     BOOST_TEST(!mayHoldWrite(view, at(5001)));
     view.isPathFault = true;
