--- a/src/alderward.h
+++ b/src/alderward.h
@@ -19,7 +19,7 @@
 //   - Passing wall-clock time as `now`. It must be monotonic, and the same clock for all calls.
 //   - Keeping a GroupHealth and changing it in place. Take the returned value; the old one stays as it was.
 //   - Dropping an action. Each one either comes back as an event or times out in the state machine; a lost SendFence is
-//     safe but costs FailoverTimings::fenceLimit.
+//     safe but costs FailoverTimings::fenceTimeout.
 //
 // INDEX
 //   [SECTION] Errors       closed list of kinds, table from kind to answer
--- a/src/controllers/group.cpp
+++ b/src/controllers/group.cpp
@@ -292,7 +292,7 @@
         return false;
     return std::ranges::any_of(m_state.health.members, [&](const decisions::MemberHealth& it) {
         return it.isReachable() && it.probedAt >= primary.failingSince && it.status.term == m_state.health.term
-            && it.status.role == decisions::Role::Replica && it.status.primaryContactAge < decisions::FailoverTimings {}.unheardFor;
+            && it.status.role == decisions::Role::Replica && it.status.primaryContactAge < decisions::FailoverTimings {}.primaryContactTimeout;
     });
 }
 
--- a/src/controllers/group_failover.cpp
+++ b/src/controllers/group_failover.cpp
@@ -135,7 +135,7 @@
 {
     auto self = shared_from_this();
     auto epoch = m_epoch;
-    auto deadline = Clock::now() + decisions::FailoverTimings {}.claimLimit;
+    auto deadline = Clock::now() + decisions::FailoverTimings {}.claimTimeout;
     auto answer = co_await tryClaim(term, deadline);
     if (epoch == m_epoch)
         takeEvent(decisions::FailoverEvent { answer });
--- a/src/decisions/failover.cpp
+++ b/src/decisions/failover.cpp
@@ -23,11 +23,11 @@
     auto failingSince = view.health.members[primary].failingSince;
     for (size_t i = 0; i < view.health.members.size(); ++i) {
         auto& it = view.health.members[i];
-        bool isFresh = it.probedAt >= failingSince && now - it.probedAt <= view.timings.freshFor;
+        bool isFresh = it.probedAt >= failingSince && now - it.probedAt <= view.timings.maxStatusAge;
         if (i == primary || !it.isReachable() || !isFresh)
             continue;
         // One that follows an older term was cut off by the last promotion, not by this fault.
-        bool hears = it.status.term == view.health.term && it.status.primaryContactAge < view.timings.unheardFor;
+        bool hears = it.status.term == view.health.term && it.status.primaryContactAge < view.timings.primaryContactTimeout;
         ++(hears ? hearing.hear : hearing.doNotHear);
     }
     return hearing;
@@ -38,8 +38,8 @@
     auto& it = view.health.members[primary];
     if (it.failures == 0)
         return {};
-    bool isRefusing = it.refusals >= 2 && now - it.failingSince >= view.timings.refusedFor;
-    bool isSilent = now - it.failingSince >= view.timings.silentFor;
+    bool isRefusing = it.refusals >= 2 && now - it.failingSince >= view.timings.refusalTimeout;
+    bool isSilent = now - it.failingSince >= view.timings.silenceTimeout;
     if (!isRefusing && !isSilent)
         return {};
     // Too few answer to fence a majority, or one still hears the primary: then the fault is our path, not the primary.
@@ -56,7 +56,7 @@
     auto reachable = std::ranges::count_if(view.health.members, &MemberHealth::isReachable);
     if (static_cast<size_t>(reachable) < view.record.getMajority())
         return {};
-    if (now - view.health.withoutPrimarySince < view.timings.silentFor)
+    if (now - view.health.withoutPrimarySince < view.timings.silenceTimeout)
         return {};
     return "no member is primary";
 }
@@ -74,7 +74,7 @@
     if (!why.empty())
         step.actions.emplace_back(Note { "promotion-ended", fmt::format("term {}: {}", step.state.term, why) });
     setPhase(step.state, FailoverPhase::Idle, now);
-    step.state.notBefore = now + view.timings.retryAfter;
+    step.state.notBefore = now + view.timings.retryDelay;
     step.state.grants.clear();
     step.state.refusals.clear();
     step.state.chosen.reset();
@@ -186,7 +186,7 @@
     if (state.majorityAt < state.phaseSince)
         state.majorityAt = now;
     bool allAnswered = state.grants.size() + state.refusals.size() == members;
-    if (allAnswered || now - state.majorityAt >= view.timings.fenceGrace)
+    if (allAnswered || now - state.majorityAt >= view.timings.fenceGracePeriod)
         beginPromoting(step, now, chooseHighest(view, state));
 }
 
@@ -233,7 +233,7 @@
         if (i == *view.health.primary || !it.isReachable() || view.isLeaving[i])
             continue;
         auto age = getStalenessBound(view.health, it.status.log.term, it.status.log.position, now);
-        if (age && *age <= view.timings.handOverLag + view.timings.silentFor)
+        if (age && *age <= view.timings.maxHandoverLag + view.timings.silenceTimeout)
             return true;
     }
     return false;
@@ -276,16 +276,16 @@
     bool isStillDue = step.state.isPlanned ? canHandOver(view, now) : !getDownReason(view, now).empty();
     if (!isStillDue)
         return setPhase(step.state, FailoverPhase::Idle, now);
-    if (now - step.state.phaseSince >= view.timings.turnLength * static_cast<int>(view.rank))
+    if (now - step.state.phaseSince >= view.timings.rankDelay * static_cast<int>(view.rank))
         beginClaiming(step, view, now);
 }
 
 // After a pause every probe looks failed and every answer is old: wait until new answers are in.
 static void notePause(FailoverState& state, const FailoverView& view, TimePoint now)
 {
-    bool wasPaused = state.tickedAt != TimePoint {} && now - state.tickedAt > view.timings.pauseLimit;
+    bool wasPaused = state.tickedAt != TimePoint {} && now - state.tickedAt > view.timings.maxTickGap;
     if (wasPaused)
-        state.notBefore = std::max(state.notBefore, now + view.timings.silentFor);
+        state.notBefore = std::max(state.notBefore, now + view.timings.silenceTimeout);
     state.tickedAt = now;
 }
 
@@ -303,23 +303,23 @@
     case FailoverPhase::Waiting:
         return tickWaiting(step, view, now);
     case FailoverPhase::Claiming:
-        // The controller answers within claimLimit; twice that means that its answer is lost.
-        if (elapsed >= view.timings.claimLimit * 2)
+        // The controller answers within claimTimeout; twice that means that its answer is lost.
+        if (elapsed >= view.timings.claimTimeout * 2)
             endAttempt(step, view, now, "no answer about the claim");
         return;
     case FailoverPhase::Draining:
         if (hasCaughtUp(view, state))
             return beginFencing(step, view, now);
-        if (elapsed >= view.timings.drainLimit)
+        if (elapsed >= view.timings.catchUpTimeout)
             endAttempt(step, view, now, "no replica caught up in time");
         return;
     case FailoverPhase::Fencing:
         considerGrants(step, view, now);
-        if (step.state.phase == FailoverPhase::Fencing && elapsed >= view.timings.fenceLimit)
+        if (step.state.phase == FailoverPhase::Fencing && elapsed >= view.timings.fenceTimeout)
             endAttempt(step, view, now, "fencing took too long");
         return;
     case FailoverPhase::Promoting:
-        if (elapsed >= view.timings.promoteLimit)
+        if (elapsed >= view.timings.promoteTimeout)
             endAttempt(step, view, now, "no answer to promote");
         return;
     }
--- a/src/decisions/failover.h
+++ b/src/decisions/failover.h
@@ -14,19 +14,19 @@
 namespace alderward::decisions {
 
 struct FailoverTimings {
-    milliseconds refusedFor { 100 }; // ms; a primary whose port refuses is down after this
-    milliseconds silentFor { 500 }; // ms; a primary that does not answer is down after this
-    milliseconds unheardFor { 250 }; // ms; a replica that heard its primary within this still has it
-    milliseconds turnLength { 250 }; // ms; a candidate of the next rank starts this much later
-    milliseconds claimLimit { 100 }; // ms; wait for the platform's store
-    milliseconds fenceGrace { 30 }; // ms; wait for more grants after a majority granted
-    milliseconds fenceLimit { 400 }; // ms; then the attempt ends
-    milliseconds promoteLimit { 400 }; // ms; then the attempt ends
-    milliseconds drainLimit { 3000 }; // ms; a planned hand-over waits this long for a replica to catch up
-    milliseconds handOverLag { 1000 }; // ms; a planned hand-over starts only if some replica is this close
-    milliseconds retryAfter { 300 }; // ms; pause after an attempt that ended
-    milliseconds pauseLimit { 400 }; // ms; between ticks; after a longer gap this process was paused and knows nothing
-    milliseconds freshFor { 600 }; // ms; a replica's word on its primary counts this long
+    milliseconds refusalTimeout { 100 }; // ms; a primary whose port refuses is down after this
+    milliseconds silenceTimeout { 500 }; // ms; a primary that does not answer is down after this
+    milliseconds primaryContactTimeout { 250 }; // ms; a replica that heard its primary within this still has it
+    milliseconds rankDelay { 250 }; // ms; a candidate of the next rank starts this much later
+    milliseconds claimTimeout { 100 }; // ms; wait for the platform's store
+    milliseconds fenceGracePeriod { 30 }; // ms; wait for more grants after a majority granted
+    milliseconds fenceTimeout { 400 }; // ms; then the attempt ends
+    milliseconds promoteTimeout { 400 }; // ms; then the attempt ends
+    milliseconds catchUpTimeout { 3000 }; // ms; a planned hand-over waits this long for a replica to catch up
+    milliseconds maxHandoverLag { 1000 }; // ms; a planned hand-over starts only if some replica is this close
+    milliseconds retryDelay { 300 }; // ms; pause after an attempt that ended
+    milliseconds maxTickGap { 400 }; // ms; between ticks; after a longer gap this process was paused and knows nothing
+    milliseconds maxStatusAge { 600 }; // ms; a replica's word on its primary counts this long
 };
 
 enum class FailoverPhase { Idle,
