--- a/examples/decide.cpp
+++ b/examples/decide.cpp
@@ -49,7 +49,7 @@
     health = applyStatus(health, 1, makeStatus("b", Role::Replica, 99, 350), now, now);
     health = applyStatus(health, 2, makeStatus("c", Role::Replica, 100, 350), now, now);
 
-    FailoverView view { record, health, { false, false, false }, 0, {} };
+    FailoverContext view { record, health, { false, false, false }, 0, {} };
     fmt::print("the timer ticks\n");
     auto step = stepFailover(view, {}, Tick {}, now);
     print(step);
--- a/src/alderward.h
+++ b/src/alderward.h
@@ -61,7 +61,7 @@
 #include "decisions/routing.h"
 
 //-----------------------------------------------------------------------------
-// [SECTION] Failover: FailoverState, stepFailover(), getDownReason(), getFollowers()
+// [SECTION] Failover: FailoverState, stepFailover(), getPrimaryDownReason(), getPendingFollows()
 //-----------------------------------------------------------------------------
 #include "decisions/failover.h"
 
--- a/src/controllers/group.h
+++ b/src/controllers/group.h
@@ -153,7 +153,7 @@
     boost::asio::awaitable<void> writeClaim(uint64_t term);
     boost::asio::awaitable<decisions::ClaimAnswered> tryClaim(uint64_t term, base::TimePoint deadline);
     boost::asio::awaitable<void> writeClaimLate(uint64_t term);
-    void announce(const decisions::Announce& action);
+    void announce(const decisions::AnnouncePrimary& action);
     void repairFollowers();
 
     // ---- confirmation ----
--- a/src/controllers/group_failover.cpp
+++ b/src/controllers/group_failover.cpp
@@ -31,7 +31,7 @@
         asio::co_spawn(m_strand, sendPromote(*promote), asio::detached);
     else if (auto* follow = std::get_if<decisions::SendFollow>(&action))
         asio::co_spawn(m_strand, sendFollow(*follow), asio::detached);
-    else if (auto* news = std::get_if<decisions::Announce>(&action))
+    else if (auto* news = std::get_if<decisions::AnnouncePrimary>(&action))
         announce(*news);
     else if (auto* note = std::get_if<decisions::Note>(&action)) {
         if (note->kind == "promotion-held-back")
@@ -101,7 +101,7 @@
     if (m_state.failover.phase != decisions::FailoverPhase::Idle)
         return;
     auto now = Clock::now();
-    for (auto& it : decisions::getFollowers(*m_role.record, m_state.health)) {
+    for (auto& it : decisions::getPendingFollows(*m_role.record, m_state.health)) {
         auto& member = m_members[it.member];
         if (now - member.followedAt < kFollowPause)
             continue;
@@ -111,7 +111,7 @@
     }
 }
 
-void GroupController::announce(const decisions::Announce& action)
+void GroupController::announce(const decisions::AnnouncePrimary& action)
 {
     peer::GroupNews news;
     news.set_group(m_name);
--- a/src/decisions/failover.h
+++ b/src/decisions/failover.h
@@ -125,10 +125,10 @@
 };
 
 // Tells the group's other homes at once, and the claim in the store if it is missing.
-struct Announce {
+struct AnnouncePrimary {
     uint64_t term { 0 };
     size_t primary { 0 };
-    friend bool operator==(const Announce&, const Announce&) = default;
+    friend bool operator==(const AnnouncePrimary&, const AnnouncePrimary&) = default;
 };
 
 // For the time line.
@@ -138,7 +138,7 @@
     friend bool operator==(const Note&, const Note&) = default;
 };
 
-using FailoverAction = std::variant<WriteClaim, SendFence, SendPromote, SendFollow, Announce, Note>;
+using FailoverAction = std::variant<WriteClaim, SendFence, SendPromote, SendFollow, AnnouncePrimary, Note>;
 
 struct FailoverStep {
     FailoverState state {};
@@ -146,7 +146,7 @@
 };
 
 // What a step may look at besides its own state.
-struct FailoverView {
+struct FailoverContext {
     const GroupRecord& record;
     const GroupHealth& health;
     std::vector<bool> isLeaving {}; // by member: the record or the platform's list says so
@@ -154,12 +154,12 @@
     FailoverTimings timings {};
 };
 
-FailoverStep stepFailover(const FailoverView& view, FailoverState state, const FailoverEvent& event, TimePoint now);
+FailoverStep stepFailover(const FailoverContext& context, FailoverState state, const FailoverEvent& event, TimePoint now);
 
 // Whether the group's primary looks down, and why. Empty: it does not.
-std::string getDownReason(const FailoverView& view, TimePoint now);
+std::string getPrimaryDownReason(const FailoverContext& context, TimePoint now);
 
 // Members that work in an older term than the known primary's and must be told to follow it.
-std::vector<SendFollow> getFollowers(const GroupRecord& record, const GroupHealth& health);
+std::vector<SendFollow> getPendingFollows(const GroupRecord& record, const GroupHealth& health);
 
 }
--- a/src/decisions/group_state.cpp
+++ b/src/decisions/group_state.cpp
@@ -4,12 +4,12 @@
 
 namespace alderward::decisions {
 
-FailoverView getFailoverView(const GroupState& state)
+FailoverContext makeFailoverContext(const GroupState& state)
 {
     return { state.record, state.health, state.isLeaving, state.rank, {} };
 }
 
-static void takeRole(GroupState& state, const RoleChanged& event, TimePoint now)
+static void applyRoleChange(GroupState& state, const RoleChanged& event, TimePoint now)
 {
     if (!(state.record == event.record)) {
         bool isFirst = state.record.members.empty();
@@ -31,7 +31,7 @@
 }
 
 // Every home sees a new primary in its probes. One that another home promoted counts against the record's bounds here, too.
-static void notePrimary(GroupStep& step, const GroupHealth& before, TimePoint now)
+static void reportPrimaryChange(GroupStep& step, const GroupHealth& before, TimePoint now)
 {
     auto& state = step.state;
     auto& health = state.health;
@@ -48,18 +48,18 @@
 
 static void runFailover(GroupStep& step, const FailoverEvent& event, TimePoint now)
 {
-    auto failover = stepFailover(getFailoverView(step.state), std::move(step.state.failover), event, now);
+    auto failover = stepFailover(makeFailoverContext(step.state), std::move(step.state.failover), event, now);
     step.state.failover = std::move(failover.state);
     std::ranges::move(failover.actions, std::back_inserter(step.actions));
 }
 
-static void takeHealth(GroupStep& step, GroupHealth health, TimePoint now)
+static void applyHealth(GroupStep& step, GroupHealth health, TimePoint now)
 {
     auto before = std::move(step.state.health);
     step.state.health = std::move(health);
     step.isOfNote = isOfNote(before, step.state.health);
     if (step.isOfNote)
-        notePrimary(step, before, now);
+        reportPrimaryChange(step, before, now);
     runFailover(step, Tick {}, now);
 }
 
@@ -68,15 +68,15 @@
     GroupStep step { std::move(state), {}, false };
     auto& health = step.state.health;
     if (auto* role = std::get_if<RoleChanged>(&event))
-        takeRole(step.state, *role, now);
+        applyRoleChange(step.state, *role, now);
     else if (std::holds_alternative<WorkBegan>(event))
         health.withoutPrimarySince = now;
     else if (auto* status = std::get_if<StatusAnswered>(&event))
-        takeHealth(step, applyStatus(health, status->member, status->status, status->askedAt, now), now);
+        applyHealth(step, applyStatus(health, status->member, status->status, status->askedAt, now), now);
     else if (auto* piggybacked = std::get_if<PiggybackedStatusReceived>(&event))
-        takeHealth(step, applyPiggybackedStatus(health, piggybacked->member, piggybacked->piggybacked, piggybacked->askedAt, now), now);
+        applyHealth(step, applyPiggybackedStatus(health, piggybacked->member, piggybacked->piggybacked, piggybacked->askedAt, now), now);
     else if (auto* failure = std::get_if<ProbeFailed>(&event))
-        takeHealth(step, applyProbeFailure(health, failure->member, failure->wasRefused, failure->askedAt), now);
+        applyHealth(step, applyProbeFailure(health, failure->member, failure->wasRefused, failure->askedAt), now);
     else
         runFailover(step, std::get<FailoverEvent>(event), now);
     return step;
--- a/src/decisions/group_state.h
+++ b/src/decisions/group_state.h
@@ -65,6 +65,6 @@
 
 GroupStep stepGroup(GroupState state, const GroupEvent& event, TimePoint now);
 
-FailoverView getFailoverView(const GroupState& state);
+FailoverContext makeFailoverContext(const GroupState& state);
 
 }
--- a/src/decisions/trace.cpp
+++ b/src/decisions/trace.cpp
@@ -31,7 +31,7 @@
         return fmt::format("promote {} in term {}", getName(record, promote->member), promote->term);
     if (auto* follow = std::get_if<SendFollow>(&action))
         return fmt::format("{} follow {} in term {}", getName(record, follow->member), getName(record, follow->primary), follow->term);
-    if (auto* announce = std::get_if<Announce>(&action))
+    if (auto* announce = std::get_if<AnnouncePrimary>(&action))
         return fmt::format("announce {} in term {}", getName(record, announce->primary), announce->term);
     auto& note = std::get<Note>(action);
     return fmt::format("note {}: {}", note.kind, note.cause);
--- a/tests/unit/failover_test.cpp
+++ b/tests/unit/failover_test.cpp
@@ -53,7 +53,7 @@
     std::vector<bool> isLeaving = std::vector<bool>(3, false);
     size_t rank = 0;
 
-    FailoverView getView() const { return { record, health, isLeaving, rank, {} }; }
+    FailoverContext getView() const { return { record, health, isLeaving, rank, {} }; }
     FailoverStep step(const FailoverState& state, const FailoverEvent& event, int ms) const { return stepFailover(getView(), state, event, at(ms)); }
 };
 
@@ -79,18 +79,18 @@
 {
     Fixture it;
     it.health = makeFailing(80, true, 200);
-    BOOST_TEST(getDownReason(it.getView(), at(80)).empty());
+    BOOST_TEST(getPrimaryDownReason(it.getView(), at(80)).empty());
     it.health = makeFailing(280, true, 280);
-    BOOST_TEST(!getDownReason(it.getView(), at(280)).empty());
+    BOOST_TEST(!getPrimaryDownReason(it.getView(), at(280)).empty());
     it.health = makeFailing(280, false, 280);
-    BOOST_TEST(getDownReason(it.getView(), at(280)).empty());
+    BOOST_TEST(getPrimaryDownReason(it.getView(), at(280)).empty());
     it.health = makeFailing(600, false, 600);
-    BOOST_TEST(!getDownReason(it.getView(), at(600)).empty());
+    BOOST_TEST(!getPrimaryDownReason(it.getView(), at(600)).empty());
     it.health = makeFailing(600, false, 40);
-    BOOST_TEST(getDownReason(it.getView(), at(600)).empty());
+    BOOST_TEST(getPrimaryDownReason(it.getView(), at(600)).empty());
     // Old words of replicas do not count.
     it.health = makeFailing(600, false, 600);
-    BOOST_TEST(getDownReason(it.getView(), at(2000)).empty());
+    BOOST_TEST(getPrimaryDownReason(it.getView(), at(2000)).empty());
 }
 
 BOOST_AUTO_TEST_CASE(whole_way_to_a_promotion)
@@ -109,7 +109,7 @@
     BOOST_TEST((std::get<SendPromote>(step.actions.front()) == SendPromote { 2, 2 }));
     step = it.step(step.state, PromoteAnswered { 2, true }, 670);
     BOOST_TEST(countActions<SendFollow>(step) == 2u);
-    BOOST_TEST(countActions<Announce>(step) == 1u);
+    BOOST_TEST(countActions<AnnouncePrimary>(step) == 1u);
     BOOST_TEST((step.state.phase == FailoverPhase::Idle));
     BOOST_TEST(step.state.promotions.size() == 1u);
 }
@@ -254,7 +254,7 @@
         status.log = getLog(it);
         status.primaryContactAge = milliseconds(isPrimaryUp(it.term) ? 10 : 900);
         m_health[host] = applyStatus(m_health[host], member, status, at(m_ms), at(m_ms));
-        for (auto& follow : getFollowers(m_record, m_health[host])) {
+        for (auto& follow : getPendingFollows(m_record, m_health[host])) {
             if (m_random() % 8 == 0)
                 m_messages.push_back({ host, follow });
         }
@@ -281,11 +281,11 @@
 
     void decide(size_t host, const FailoverEvent& event)
     {
-        FailoverView view { m_record, m_health[host], std::vector<bool>(kMembers, false), host, {} };
+        FailoverContext view { m_record, m_health[host], std::vector<bool>(kMembers, false), host, {} };
         auto result = stepFailover(view, m_states[host], event, at(m_ms));
         m_states[host] = std::move(result.state);
         for (auto& it : result.actions) {
-            if (!std::holds_alternative<Note>(it) && !std::holds_alternative<Announce>(it))
+            if (!std::holds_alternative<Note>(it) && !std::holds_alternative<AnnouncePrimary>(it))
                 m_messages.push_back({ host, it });
         }
     }
--- a/tests/unit/health_test.cpp
+++ b/tests/unit/health_test.cpp
@@ -67,11 +67,11 @@
     for (size_t i = 1; i < 3; ++i)
         health = applyPiggybackedStatus(health, i, { 1, 0, { 1, 100 } }, at(890), at(891));
     auto record = makeRecord();
-    FailoverView view { record, health, std::vector<bool>(3), 0, {} };
-    BOOST_TEST(getDownReason(view, at(900)).empty()); // neither yes nor no is known
+    FailoverContext view { record, health, std::vector<bool>(3), 0, {} };
+    BOOST_TEST(getPrimaryDownReason(view, at(900)).empty()); // neither yes nor no is known
     for (size_t i = 1; i < 3; ++i)
         health = applyStatus(health, i, makeStatus(Role::Replica, 100, milliseconds(880)), at(895), at(896));
-    BOOST_TEST(!getDownReason(view, at(900)).empty());
+    BOOST_TEST(!getPrimaryDownReason(view, at(900)).empty());
 }
 
 BOOST_AUTO_TEST_CASE(status_is_asked_where_no_ordinary_answer_came)
