--- a/src/controllers/group.cpp
+++ b/src/controllers/group.cpp
@@ -235,7 +235,7 @@
     auto step = decisions::stepGroup(std::move(m_state), event, now);
     m_state = std::move(step.state);
     m_trace.record(now, event, step.actions, m_state.record);
-    if (step.isOfNote) {
+    if (step.hasNotableChange) {
         releaseWaiting(termBefore);
         publishStatus();
     }
--- a/src/controllers/group_statements.cpp
+++ b/src/controllers/group_statements.cpp
@@ -184,7 +184,7 @@
 {
     decisions::HoldView view { m_state.health };
     view.majority = m_role.record->getMajority();
-    view.isHeldBack = !m_state.failover.heldBack.empty();
+    view.isHeldBack = !m_state.failover.holdBackReason.empty();
     view.isPathFault = isPathFault();
     view.held = m_held;
     view.heldMost = static_cast<size_t>(m_node.settings.heldWrites);
@@ -202,7 +202,7 @@
     if (isDue(order.deadline))
         co_return decisions::Error { route.reason, describeWait(route.reason), kComeBack };
     if (!mayHold()) {
-        auto why = m_state.failover.heldBack.empty() ? std::string(describeWait(route.reason)) : "no promotion: " + m_state.failover.heldBack;
+        auto why = m_state.failover.holdBackReason.empty() ? std::string(describeWait(route.reason)) : "no promotion: " + m_state.failover.holdBackReason;
         co_return decisions::Error { route.reason, why, kComeBack * 4 };
     }
     ++m_held;
--- a/src/daemon/operators.cpp
+++ b/src/daemon/operators.cpp
@@ -69,7 +69,7 @@
     auto primary = status->health.primary;
     it["primary"] = primary ? json::value(entry.record->members[*primary].name) : json::value(nullptr);
     it["failover"] = getPhaseName(status->failover.phase);
-    it["heldBack"] = status->failover.heldBack;
+    it["heldBack"] = status->failover.holdBackReason;
     it["waiting"] = status->waiting;
     it["transactions"] = status->transactions;
     json::array members;
--- a/src/decisions/failover.cpp
+++ b/src/decisions/failover.cpp
@@ -66,7 +66,7 @@
 static void setPhase(FailoverState& state, FailoverPhase phase, TimePoint now)
 {
     state.phase = phase;
-    state.phaseSince = now;
+    state.phaseStartedAt = now;
 }
 
 static void endAttempt(FailoverStep& step, const FailoverContext& context, TimePoint now, const std::string& why)
@@ -74,10 +74,10 @@
     if (!why.empty())
         step.actions.emplace_back(Note { "promotion-ended", fmt::format("term {}: {}", step.state.term, why) });
     setPhase(step.state, FailoverPhase::Idle, now);
-    step.state.notBefore = now + context.timings.retryDelay;
+    step.state.earliestStart = now + context.timings.retryDelay;
     step.state.grants.clear();
     step.state.refusals.clear();
-    step.state.chosen.reset();
+    step.state.chosenMember.reset();
     step.state.isPlanned = false;
 }
 
@@ -85,14 +85,14 @@
 static std::string getPromotionBlocker(const FailoverContext& context, FailoverState& state, TimePoint now)
 {
     auto& limits = context.record.promotion;
-    while (!state.promotions.empty() && now - state.promotions.front() > kPromotionWindow)
-        state.promotions.pop_front();
+    while (!state.recentPromotions.empty() && now - state.recentPromotions.front() > kPromotionWindow)
+        state.recentPromotions.pop_front();
     if (limits.mode == PromotionMode::Off)
         return "the record has promotion mode off";
-    if (!state.promotions.empty() && now - state.promotions.back() < limits.leastInterval)
+    if (!state.recentPromotions.empty() && now - state.recentPromotions.back() < limits.leastInterval)
         return fmt::format("the last promotion is less than {} ms ago", limits.leastInterval.count());
-    if (state.promotions.size() >= limits.mostPerHour)
-        return fmt::format("{} promotions within an hour", state.promotions.size());
+    if (state.recentPromotions.size() >= limits.mostPerHour)
+        return fmt::format("{} promotions within an hour", state.recentPromotions.size());
     return {};
 }
 
@@ -141,7 +141,7 @@
 
 static void startPromoting(FailoverStep& step, TimePoint now, size_t member)
 {
-    step.state.chosen = member;
+    step.state.chosenMember = member;
     setPhase(step.state, FailoverPhase::Promoting, now);
     step.actions.emplace_back(SendPromote { step.state.term, member });
 }
@@ -183,10 +183,10 @@
         return endAttempt(step, context, now, "a majority cannot be fenced");
     if (state.grants.size() < majority)
         return;
-    if (state.majorityAt < state.phaseSince)
-        state.majorityAt = now;
+    if (state.majorityGrantedAt < state.phaseStartedAt)
+        state.majorityGrantedAt = now;
     bool allAnswered = state.grants.size() + state.refusals.size() == members;
-    if (allAnswered || now - state.majorityAt >= context.timings.fenceGracePeriod)
+    if (allAnswered || now - state.majorityGrantedAt >= context.timings.fenceGracePeriod)
         startPromoting(step, now, chooseMostAdvanced(context, state));
 }
 
@@ -243,9 +243,9 @@
 
 static void setHoldBackReason(FailoverStep& step, const std::string& why)
 {
-    if (step.state.heldBack != why && !why.empty())
+    if (step.state.holdBackReason != why && !why.empty())
         step.actions.emplace_back(Note { "promotion-held-back", why });
-    step.state.heldBack = why;
+    step.state.holdBackReason = why;
 }
 
 static void tickIdle(FailoverStep& step, const FailoverContext& context, TimePoint now)
@@ -261,11 +261,11 @@
     if (!bound.empty())
         return setHoldBackReason(step, bound + "; " + reason);
     setHoldBackReason(step, {});
-    if (now < state.notBefore)
+    if (now < state.earliestStart)
         return;
     state.cause = reason;
     state.isPlanned = isPlanned;
-    state.beganAt = now;
+    state.startedAt = now;
     if (context.rank == 0)
         return startClaiming(step, context, now);
     setPhase(state, FailoverPhase::Waiting, now);
@@ -276,24 +276,24 @@
     bool isStillDue = step.state.isPlanned ? canHandOverPrimary(context, now) : !getPrimaryDownReason(context, now).empty();
     if (!isStillDue)
         return setPhase(step.state, FailoverPhase::Idle, now);
-    if (now - step.state.phaseSince >= context.timings.rankDelay * static_cast<int>(context.rank))
+    if (now - step.state.phaseStartedAt >= context.timings.rankDelay * static_cast<int>(context.rank))
         startClaiming(step, context, now);
 }
 
 // After a pause every probe looks failed and every answer is old: wait until new answers are in.
 static void detectPause(FailoverState& state, const FailoverContext& context, TimePoint now)
 {
-    bool wasPaused = state.tickedAt != TimePoint {} && now - state.tickedAt > context.timings.maxTickGap;
+    bool wasPaused = state.lastTickAt != TimePoint {} && now - state.lastTickAt > context.timings.maxTickGap;
     if (wasPaused)
-        state.notBefore = std::max(state.notBefore, now + context.timings.silenceTimeout);
-    state.tickedAt = now;
+        state.earliestStart = std::max(state.earliestStart, now + context.timings.silenceTimeout);
+    state.lastTickAt = now;
 }
 
 static void handleTick(FailoverStep& step, const FailoverContext& context, TimePoint now)
 {
     auto& state = step.state;
     detectPause(state, context, now);
-    auto elapsed = now - state.phaseSince;
+    auto elapsed = now - state.phaseStartedAt;
     bool isSuperseded = state.phase != FailoverPhase::Idle && context.health.primary && context.health.term >= state.term && state.term > 0 && state.phase != FailoverPhase::Waiting;
     if (isSuperseded)
         return endAttempt(step, context, now, fmt::format("term {} has a primary", context.health.term));
@@ -347,7 +347,7 @@
         return;
     if (!event.isDone)
         return endAttempt(step, context, now, "the chosen member refused or did not answer");
-    auto primary = *state.chosen;
+    auto primary = *state.chosenMember;
     state.promotedTerm = state.term;
     step.actions.emplace_back(Note { "promoted", fmt::format("{} in term {}: {}", context.record.members[primary].name, state.term, state.cause) });
     for (size_t i = 0; i < context.record.members.size(); ++i) {
@@ -356,7 +356,7 @@
     }
     step.actions.emplace_back(AnnouncePrimary { state.term, primary });
     if (!state.isPlanned)
-        state.promotions.push_back(now);
+        state.recentPromotions.push_back(now);
     endAttempt(step, context, now, {});
 }
 
--- a/src/decisions/failover.h
+++ b/src/decisions/failover.h
@@ -49,18 +49,18 @@
     FailoverPhase phase { FailoverPhase::Idle };
     bool isPlanned { false }; // a leaving primary is handed over, not a failed one replaced
     uint64_t term { 0 }; // the term this attempt is for
-    TimePoint phaseSince {};
-    TimePoint beganAt {}; // when the suspicion began
-    TimePoint notBefore {}; // no new attempt before this
-    TimePoint tickedAt {}; // last tick
+    TimePoint phaseStartedAt {};
+    TimePoint startedAt {}; // when the suspicion began
+    TimePoint earliestStart {}; // no new attempt before this
+    TimePoint lastTickAt {}; // last tick
     std::map<size_t, FenceAnswer> grants {}; // by member
     std::set<size_t> refusals {}; // members that refused or did not answer
-    TimePoint majorityAt {}; // when a majority had granted
-    std::optional<size_t> chosen {};
+    TimePoint majorityGrantedAt {}; // when a majority had granted
+    std::optional<size_t> chosenMember {};
     uint64_t promotedTerm { 0 }; // of the last promotion that this host carried out
     uint64_t highestTerm { 0 }; // largest term heard of in any answer
-    std::deque<TimePoint> promotions {}; // automatic ones seen in the last hour, oldest first
-    std::string heldBack {}; // why an automatic promotion that is due is not done; empty: none is
+    std::deque<TimePoint> recentPromotions {}; // automatic ones seen in the last hour, oldest first
+    std::string holdBackReason {}; // why an automatic promotion that is due is not done; empty: none is
     std::string cause {}; // of the present attempt
     friend bool operator==(const FailoverState&, const FailoverState&) = default;
 };
--- a/src/decisions/group_state.cpp
+++ b/src/decisions/group_state.cpp
@@ -23,7 +23,7 @@
     state.rank = event.rank;
 }
 
-static bool isOfNote(const GroupHealth& before, const GroupHealth& after)
+static bool hasNotableChange(const GroupHealth& before, const GroupHealth& after)
 {
     if (before.primary != after.primary || before.term != after.term)
         return true;
@@ -35,13 +35,13 @@
 {
     auto& state = step.state;
     auto& health = state.health;
-    if (health.primary && health.term > state.notedTerm) {
+    if (health.primary && health.term > state.lastReportedTerm) {
         auto& name = state.record.members[*health.primary].name;
         step.actions.emplace_back(Note { "primary-seen", fmt::format("{} in term {}", name, health.term) });
-        bool isFirst = state.notedTerm == 0 || before.term == 0;
+        bool isFirst = state.lastReportedTerm == 0 || before.term == 0;
         if (!isFirst && health.term != state.failover.promotedTerm)
-            state.failover.promotions.push_back(now);
-        state.notedTerm = health.term;
+            state.failover.recentPromotions.push_back(now);
+        state.lastReportedTerm = health.term;
     } else if (!health.primary && before.primary)
         step.actions.emplace_back(Note { "primary-lost", fmt::format("none is known in term {}", health.term) });
 }
@@ -57,8 +57,8 @@
 {
     auto before = std::move(step.state.health);
     step.state.health = std::move(health);
-    step.isOfNote = isOfNote(before, step.state.health);
-    if (step.isOfNote)
+    step.hasNotableChange = hasNotableChange(before, step.state.health);
+    if (step.hasNotableChange)
         reportPrimaryChange(step, before, now);
     runFailover(step, Tick {}, now);
 }
--- a/src/decisions/group_state.h
+++ b/src/decisions/group_state.h
@@ -15,7 +15,7 @@
     size_t rank { 0 }; // this host's turn among the homes; 0 goes first
     GroupHealth health {};
     FailoverState failover {};
-    uint64_t notedTerm { 0 }; // of the newest primary that was noted
+    uint64_t lastReportedTerm { 0 }; // of the newest primary that was noted
     friend bool operator==(const GroupState&, const GroupState&) = default;
 };
 
@@ -60,7 +60,7 @@
 struct GroupStep {
     GroupState state {};
     std::vector<FailoverAction> actions {};
-    bool isOfNote { false }; // the primary, the term or a member's reachability changed
+    bool hasNotableChange { false }; // the primary, the term or a member's reachability changed
 };
 
 GroupStep stepGroup(GroupState state, const GroupEvent& event, TimePoint now);
--- a/tests/unit/failover_test.cpp
+++ b/tests/unit/failover_test.cpp
@@ -111,7 +111,7 @@
     BOOST_TEST(countActions<SendFollow>(step) == 2u);
     BOOST_TEST(countActions<AnnouncePrimary>(step) == 1u);
     BOOST_TEST((step.state.phase == FailoverPhase::Idle));
-    BOOST_TEST(step.state.promotions.size() == 1u);
+    BOOST_TEST(step.state.recentPromotions.size() == 1u);
 }
 
 BOOST_AUTO_TEST_CASE(answers_of_another_attempt_are_not_counted)
@@ -156,7 +156,7 @@
 {
     Fixture it;
     FailoverState state;
-    state.tickedAt = at(-5000);
+    state.lastTickAt = at(-5000);
     BOOST_TEST(it.step(state, Tick {}, 600).actions.empty());
 }
 
@@ -166,11 +166,11 @@
     it.record.promotion.mode = PromotionMode::Off;
     auto step = it.step({}, Tick {}, 600);
     BOOST_TEST(countActions<Note>(step) == 1u);
-    BOOST_TEST(!step.state.heldBack.empty());
+    BOOST_TEST(!step.state.holdBackReason.empty());
     BOOST_TEST(it.step(step.state, Tick {}, 610).actions.empty());
     it.record.promotion = { PromotionMode::Automatic, milliseconds(5000), 10 };
     FailoverState state;
-    state.promotions.push_back(at(-1000));
+    state.recentPromotions.push_back(at(-1000));
     BOOST_TEST(countActions<WriteClaim>(it.step(state, Tick {}, 600)) == 0u);
     it.record.promotion = { PromotionMode::Automatic, milliseconds(0), 1 };
     BOOST_TEST(countActions<WriteClaim>(it.step(state, Tick {}, 600)) == 0u);
@@ -398,15 +398,15 @@
 
 BOOST_AUTO_TEST_CASE(random_sequences_make_one_primary_a_term_and_lose_no_confirmed_write)
 {
-    size_t promotions = 0;
+    size_t recentPromotions = 0;
     for (unsigned seed = 1; seed <= 40; ++seed) {
         Model model(seed);
         for (int i = 0; i < 20000; ++i)
             model.step();
         model.check();
-        promotions += model.getPromotions();
+        recentPromotions += model.getPromotions();
     }
-    BOOST_TEST(promotions > 100u);
+    BOOST_TEST(recentPromotions > 100u);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/unit/trace_test.cpp
+++ b/tests/unit/trace_test.cpp
@@ -51,7 +51,7 @@
 {
     auto replay = replayTrace(readTrace("killed"));
     checkPromotion(replay, "primary orders-a refuses connections");
-    BOOST_TEST(replay.state.failover.promotions.size() == 1u);
+    BOOST_TEST(replay.state.failover.recentPromotions.size() == 1u);
 }
 
 BOOST_AUTO_TEST_CASE(frozen_primary_is_replaced_once_and_follows_when_it_wakes)
@@ -68,7 +68,7 @@
     checkPromotion(replay, "primary orders-a is leaving");
     auto first = std::ranges::find_if(replay.actions, [](const std::string& it) { return it.starts_with("fence "); });
     BOOST_TEST(*first == "fence orders-a in term 2");
-    BOOST_TEST(replay.state.failover.promotions.empty());
+    BOOST_TEST(replay.state.failover.recentPromotions.empty());
 }
 
 BOOST_AUTO_TEST_CASE(slow_and_lagging_members_lead_to_nothing)
