--- a/src/gateway/promoter.cpp
+++ b/src/gateway/promoter.cpp
@@ -338,7 +338,7 @@
     if (isPlanned)
         co_await waitForReplica(group, lead.member);
     auto replicas = std::make_shared<Replicas>(m_context.context.get_executor());
-    countPrimaryContacts(group, lead.member, isPlanned, replicas);
+    askReplicas(group, lead.member, isPlanned, replicas);
     if (member != m_context.view.members.end() && !isPlanned)
         isDue = co_await isDead(group, member->second.getTarget());
     // Only now: a cut shows in the links to other hosts no sooner than in the silence of those that were asked.
--- a/src/gateway/promoter.h
+++ b/src/gateway/promoter.h
@@ -92,7 +92,7 @@
     boost::asio::awaitable<bool> isDead(std::string group, TargetAddress leader);
     struct Replicas;
     // All members but the leader, or `withLeader`: it counts among those that are reached, and is no candidate.
-    void countPrimaryContacts(const std::string& group, const std::string& leader, bool withLeader, const std::shared_ptr<Replicas>& replicas);
+    void askReplicas(const std::string& group, const std::string& leader, bool withLeader, const std::shared_ptr<Replicas>& replicas);
     boost::asio::awaitable<void> askReplica(MemberBelief member, bool isCandidate, std::shared_ptr<Replicas> replicas);
     struct Examination;
     boost::asio::awaitable<void> examine(std::string witness, TargetAddress leader, std::shared_ptr<Examination> examination);
--- a/src/gateway/promoter_evidence.cpp
+++ b/src/gateway/promoter_evidence.cpp
@@ -149,7 +149,7 @@
     replicas->latch.countDown();
 }
 
-void Promoter::countPrimaryContacts(const std::string& group, const std::string& leader, bool withLeader, const std::shared_ptr<Replicas>& replicas)
+void Promoter::askReplicas(const std::string& group, const std::string& leader, bool withLeader, const std::shared_ptr<Replicas>& replicas)
 {
     for (auto& id : m_context.view.groups[group].members) {
         bool isLeader = id == leader;
@@ -177,7 +177,7 @@
         if (!now.wasReached)
             co_return;
         auto replicas = std::make_shared<Replicas>(m_context.context.get_executor());
-        countPrimaryContacts(group, leader, false, replicas);
+        askReplicas(group, leader, false, replicas);
         co_await replicas->latch.wait();
         for (auto& it : replicas->findings) {
             if (it.wasReached && it.mayLead && it.received >= now.status.received)
--- a/src/gateway/promoter_evidence.h
+++ b/src/gateway/promoter_evidence.h
@@ -8,7 +8,7 @@
 // Replicas are asked while the primary is examined, so that a dead one costs one wait, not two.
 struct Promoter::Replicas {
     explicit Replicas(const boost::asio::any_io_executor& executor)
-        : latch(executor, 1) // until countPrimaryContacts() knows how many there are
+        : latch(executor, 1) // until askReplicas() knows how many there are
     {
     }
     base::Latch latch;
--- a/tests/unit/quota_test.cpp
+++ b/tests/unit/quota_test.cpp
@@ -348,7 +348,7 @@
     }
 }
 
-double getPromotionBlocker(const Fleet& fleet)
+double getBound(const Fleet& fleet)
 {
     return getQuotaLimits(*findQuota(fleet.accounts, kAccount), fleet.rule).bound;
 }
@@ -544,7 +544,7 @@
             play(fleet, milliseconds(6000), rate / 1.6, [&] { return fleet.random() % hosts; });
             auto before = fleet.begun.size();
             play(fleet, milliseconds(10000), 7.5 * rate / 1.6, [&] { return fleet.random() % hosts; });
-            BOOST_TEST(static_cast<double>(fleet.getMostInWindow()) <= getPromotionBlocker(fleet), hosts << " hosts, " << rate << "/s: " << fleet.getMostInWindow() << " of " << getPromotionBlocker(fleet));
+            BOOST_TEST(static_cast<double>(fleet.getMostInWindow()) <= getBound(fleet), hosts << " hosts, " << rate << "/s: " << fleet.getMostInWindow() << " of " << getBound(fleet));
             BOOST_TEST(static_cast<double>(fleet.begun.size() - before) >= 0.99 * 10 * rate, hosts << " hosts, " << rate << "/s: " << fleet.begun.size() - before);
         }
     }
@@ -576,8 +576,8 @@
         auto load = rate / 1.6 * loads[static_cast<size_t>(pickInt(0, 6))];
         play(fleet, milliseconds(pickInt(200, 2500)), load, [&] { return fleet.random() % hosts; });
     }
-    bool holds = static_cast<double>(fleet.getMostInWindow()) <= getPromotionBlocker(fleet);
-    BOOST_TEST(holds, "seed " << seed << ": " << hosts << " hosts, " << rate << "/s: " << fleet.getMostInWindow() << " of " << getPromotionBlocker(fleet));
+    bool holds = static_cast<double>(fleet.getMostInWindow()) <= getBound(fleet);
+    BOOST_TEST(holds, "seed " << seed << ": " << hosts << " hosts, " << rate << "/s: " << fleet.getMostInWindow() << " of " << getBound(fleet));
     return holds;
 }
 
