--- a/examples/decide.cpp
+++ b/examples/decide.cpp
@@ -20,7 +20,7 @@
 static void print(const FailoverStep& step)
 {
     for (auto& it : step.actions) {
-        if (auto* note = std::get_if<Note>(&it))
+        if (auto* note = std::get_if<AddTimelineEntry>(&it))
             fmt::print("  {}: {}\n", note->kind, note->cause);
         else if (auto* fence = std::get_if<SendFence>(&it))
             fmt::print("  fence member {} for term {}\n", fence->member, fence->term);
--- a/src/controllers/group.cpp
+++ b/src/controllers/group.cpp
@@ -50,7 +50,7 @@
     }
     m_role = std::move(role);
     auto rank = std::ranges::find(m_role.homes, m_node.settings.name) - m_role.homes.begin();
-    takeEvent(decisions::RoleChanged { *m_role.record, m_role.isLeaving, static_cast<size_t>(rank) });
+    takeEvent(decisions::GroupConfigurationChanged { *m_role.record, m_role.isLeaving, static_cast<size_t>(rank) });
     auto share = decisions::getShare(*m_role.record, m_role.homes.size());
     for (size_t i = 0; i < m_members.size(); ++i) {
         m_members[i].pool->setLimits({ share, static_cast<size_t>(m_node.settings.queueLimit) });
@@ -94,7 +94,7 @@
 {
     m_isWorking = true;
     auto epoch = ++m_epoch;
-    takeEvent(decisions::WorkBegan {});
+    takeEvent(decisions::ServingStarted {});
     for (size_t i = 0; i < m_members.size(); ++i) {
         asio::co_spawn(m_strand, probeForever(i, epoch), asio::detached);
         asio::co_spawn(m_strand, confirmForever(i, epoch), asio::detached);
@@ -187,13 +187,13 @@
     }
     if (askedAt - it.askedAt < decisions::kPiggybackedStatusInterval)
         return;
-    takeEvent(decisions::PiggybackedStatusReceived { index, piggybacked, decisions::roundDown(askedAt) });
+    takeEvent(decisions::PiggybackedStatusReceived { index, piggybacked, decisions::truncateToMicroseconds(askedAt) });
 }
 
 asio::awaitable<decisions::GroupEvent> GroupController::probeOnce(std::unique_ptr<links::HttpConnection>& link, size_t index)
 {
     base::count(base::Counter::Probes);
-    auto askedAt = decisions::roundDown(Clock::now());
+    auto askedAt = decisions::truncateToMicroseconds(Clock::now());
     auto deadline = askedAt + milliseconds(m_node.settings.probeTimeoutMs);
     if (!link || !link->isOpen()) {
         link = links::makeHttpConnection(m_strand, m_members[index].record.address);
@@ -231,7 +231,7 @@
 {
     auto termBefore = m_state.health.term;
     bool wasCalm = decisions::isGroupHealthy(m_state.health);
-    auto now = decisions::roundDown(Clock::now());
+    auto now = decisions::truncateToMicroseconds(Clock::now());
     auto step = decisions::stepGroup(std::move(m_state), event, now);
     m_state = std::move(step.state);
     m_trace.record(now, event, step.actions, m_state.record);
--- a/src/controllers/group_failover.cpp
+++ b/src/controllers/group_failover.cpp
@@ -33,7 +33,7 @@
         asio::co_spawn(m_strand, sendFollow(*follow), asio::detached);
     else if (auto* news = std::get_if<decisions::AnnouncePrimary>(&action))
         announce(*news);
-    else if (auto* note = std::get_if<decisions::Note>(&action)) {
+    else if (auto* note = std::get_if<decisions::AddTimelineEntry>(&action)) {
         if (note->kind == "promotion-held-back")
             base::count(base::Counter::PromotionsHeldBack);
         base::getTimeline().add(note->kind, m_name, note->cause);
--- a/src/decisions/failover.cpp
+++ b/src/decisions/failover.cpp
@@ -72,7 +72,7 @@
 static void endAttempt(FailoverStep& step, const FailoverContext& context, TimePoint now, const std::string& why)
 {
     if (!why.empty())
-        step.actions.emplace_back(Note { "promotion-ended", fmt::format("term {}: {}", step.state.term, why) });
+        step.actions.emplace_back(AddTimelineEntry { "promotion-ended", fmt::format("term {}: {}", step.state.term, why) });
     setPhase(step.state, FailoverPhase::Idle, now);
     step.state.earliestStart = now + context.timings.retryDelay;
     step.state.grants.clear();
@@ -110,7 +110,7 @@
 {
     step.state.term = getNextTerm(context, step.state);
     setPhase(step.state, FailoverPhase::Claiming, now);
-    step.actions.emplace_back(Note { "promotion-began", fmt::format("term {}: {}", step.state.term, step.state.cause) });
+    step.actions.emplace_back(AddTimelineEntry { "promotion-began", fmt::format("term {}: {}", step.state.term, step.state.cause) });
     step.actions.emplace_back(WriteClaim { step.state.term });
 }
 
@@ -244,7 +244,7 @@
 static void setHoldBackReason(FailoverStep& step, const std::string& why)
 {
     if (step.state.holdBackReason != why && !why.empty())
-        step.actions.emplace_back(Note { "promotion-held-back", why });
+        step.actions.emplace_back(AddTimelineEntry { "promotion-held-back", why });
     step.state.holdBackReason = why;
 }
 
@@ -349,7 +349,7 @@
         return endAttempt(step, context, now, "the chosen member refused or did not answer");
     auto primary = *state.chosenMember;
     state.promotedTerm = state.term;
-    step.actions.emplace_back(Note { "promoted", fmt::format("{} in term {}: {}", context.record.members[primary].name, state.term, state.cause) });
+    step.actions.emplace_back(AddTimelineEntry { "promoted", fmt::format("{} in term {}: {}", context.record.members[primary].name, state.term, state.cause) });
     for (size_t i = 0; i < context.record.members.size(); ++i) {
         if (i != primary)
             step.actions.emplace_back(SendFollow { state.term, i, primary });
--- a/src/decisions/failover.h
+++ b/src/decisions/failover.h
@@ -132,13 +132,13 @@
 };
 
 // For the time line.
-struct Note {
+struct AddTimelineEntry {
     std::string kind {};
     std::string cause {};
-    friend bool operator==(const Note&, const Note&) = default;
+    friend bool operator==(const AddTimelineEntry&, const AddTimelineEntry&) = default;
 };
 
-using FailoverAction = std::variant<WriteClaim, SendFence, SendPromote, SendFollow, AnnouncePrimary, Note>;
+using FailoverAction = std::variant<WriteClaim, SendFence, SendPromote, SendFollow, AnnouncePrimary, AddTimelineEntry>;
 
 struct FailoverStep {
     FailoverState state {};
--- a/src/decisions/group_state.cpp
+++ b/src/decisions/group_state.cpp
@@ -9,7 +9,7 @@
     return { state.record, state.health, state.isLeaving, state.rank, {} };
 }
 
-static void applyRoleChange(GroupState& state, const RoleChanged& event, TimePoint now)
+static void applyConfiguration(GroupState& state, const GroupConfigurationChanged& event, TimePoint now)
 {
     if (!(state.record == event.record)) {
         bool isFirst = state.record.members.empty();
@@ -37,13 +37,13 @@
     auto& health = state.health;
     if (health.primary && health.term > state.lastReportedTerm) {
         auto& name = state.record.members[*health.primary].name;
-        step.actions.emplace_back(Note { "primary-seen", fmt::format("{} in term {}", name, health.term) });
+        step.actions.emplace_back(AddTimelineEntry { "primary-seen", fmt::format("{} in term {}", name, health.term) });
         bool isFirst = state.lastReportedTerm == 0 || before.term == 0;
         if (!isFirst && health.term != state.failover.promotedTerm)
             state.failover.recentPromotions.push_back(now);
         state.lastReportedTerm = health.term;
     } else if (!health.primary && before.primary)
-        step.actions.emplace_back(Note { "primary-lost", fmt::format("none is known in term {}", health.term) });
+        step.actions.emplace_back(AddTimelineEntry { "primary-lost", fmt::format("none is known in term {}", health.term) });
 }
 
 static void runFailover(GroupStep& step, const FailoverEvent& event, TimePoint now)
@@ -67,9 +67,9 @@
 {
     GroupStep step { std::move(state), {}, false };
     auto& health = step.state.health;
-    if (auto* role = std::get_if<RoleChanged>(&event))
-        applyRoleChange(step.state, *role, now);
-    else if (std::holds_alternative<WorkBegan>(event))
+    if (auto* role = std::get_if<GroupConfigurationChanged>(&event))
+        applyConfiguration(step.state, *role, now);
+    else if (std::holds_alternative<ServingStarted>(event))
         health.withoutPrimarySince = now;
     else if (auto* status = std::get_if<StatusAnswered>(&event))
         applyHealth(step, applyStatus(health, status->member, status->status, status->askedAt, now), now);
--- a/src/decisions/group_state.h
+++ b/src/decisions/group_state.h
@@ -22,16 +22,16 @@
 // ---- events ----
 
 // The record, the list of leaving members or the homes changed.
-struct RoleChanged {
+struct GroupConfigurationChanged {
     GroupRecord record {};
     std::vector<bool> isLeaving {}; // by member
     size_t rank { 0 };
-    friend bool operator==(const RoleChanged&, const RoleChanged&) = default;
+    friend bool operator==(const GroupConfigurationChanged&, const GroupConfigurationChanged&) = default;
 };
 
 // The host has become a home, or works anew after a change of the record.
-struct WorkBegan {
-    friend bool operator==(const WorkBegan&, const WorkBegan&) = default;
+struct ServingStarted {
+    friend bool operator==(const ServingStarted&, const ServingStarted&) = default;
 };
 
 struct StatusAnswered {
@@ -55,7 +55,7 @@
     friend bool operator==(const ProbeFailed&, const ProbeFailed&) = default;
 };
 
-using GroupEvent = std::variant<RoleChanged, WorkBegan, StatusAnswered, PiggybackedStatusReceived, ProbeFailed, FailoverEvent>;
+using GroupEvent = std::variant<GroupConfigurationChanged, ServingStarted, StatusAnswered, PiggybackedStatusReceived, ProbeFailed, FailoverEvent>;
 
 struct GroupStep {
     GroupState state {};
--- a/src/decisions/trace.cpp
+++ b/src/decisions/trace.cpp
@@ -8,7 +8,7 @@
 namespace json = boost::json;
 using std::chrono::microseconds;
 
-TimePoint roundDown(TimePoint time)
+TimePoint truncateToMicroseconds(TimePoint time)
 {
     return std::chrono::floor<microseconds>(time);
 }
@@ -33,7 +33,7 @@
         return fmt::format("{} follow {} in term {}", getName(record, follow->member), getName(record, follow->primary), follow->term);
     if (auto* announce = std::get_if<AnnouncePrimary>(&action))
         return fmt::format("announce {} in term {}", getName(record, announce->primary), announce->term);
-    auto& note = std::get<Note>(action);
+    auto& note = std::get<AddTimelineEntry>(action);
     return fmt::format("note {}: {}", note.kind, note.cause);
 }
 
@@ -72,7 +72,7 @@
     json::object& line;
     TimePoint origin;
 
-    void operator()(const RoleChanged& it) const
+    void operator()(const GroupConfigurationChanged& it) const
     {
         json::array leaving;
         for (bool isLeaving : it.isLeaving)
@@ -83,7 +83,7 @@
         line["leaving"] = std::move(leaving);
         line["rank"] = it.rank;
     }
-    void operator()(const WorkBegan&) const { line["event"] = "began"; }
+    void operator()(const ServingStarted&) const { line["event"] = "began"; }
     void operator()(const StatusAnswered& it) const
     {
         auto& status = it.status;
@@ -166,12 +166,12 @@
     return log;
 }
 
-static RoleChanged readRole(const json::object& line)
+static GroupConfigurationChanged readRole(const json::object& line)
 {
     auto record = parseGroupRecord(readText(line.at("group")), json::serialize(line.at("record")));
     if (!record)
         throw std::runtime_error(formatProblem(record.error()));
-    RoleChanged event { std::move(*record), {}, line.at("rank").to_number<size_t>() };
+    GroupConfigurationChanged event { std::move(*record), {}, line.at("rank").to_number<size_t>() };
     for (auto& it : line.at("leaving").as_array())
         event.isLeaving.push_back(it.as_bool());
     return event;
@@ -212,7 +212,7 @@
     if (name == "role")
         return readRole(line);
     if (name == "began")
-        return WorkBegan {};
+        return ServingStarted {};
     if (name == "status")
         return readStatus(line);
     if (name == "glimpse")
--- a/src/decisions/trace.h
+++ b/src/decisions/trace.h
@@ -11,7 +11,7 @@
 
 // Times in traces are whole microseconds: a controller rounds its times down before it uses them, so that a replay compares
 // the same numbers.
-TimePoint roundDown(TimePoint time);
+TimePoint truncateToMicroseconds(TimePoint time);
 
 struct TraceEntry {
     TimePoint now {};
--- a/tests/unit/failover_test.cpp
+++ b/tests/unit/failover_test.cpp
@@ -165,7 +165,7 @@
     Fixture it;
     it.record.promotion.mode = PromotionMode::Off;
     auto step = it.step({}, Tick {}, 600);
-    BOOST_TEST(countActions<Note>(step) == 1u);
+    BOOST_TEST(countActions<AddTimelineEntry>(step) == 1u);
     BOOST_TEST(!step.state.holdBackReason.empty());
     BOOST_TEST(it.step(step.state, Tick {}, 610).actions.empty());
     it.record.promotion = { PromotionMode::Automatic, milliseconds(5000), 10 };
@@ -285,7 +285,7 @@
         auto result = stepFailover(view, m_states[host], event, at(m_ms));
         m_states[host] = std::move(result.state);
         for (auto& it : result.actions) {
-            if (!std::holds_alternative<Note>(it) && !std::holds_alternative<AnnouncePrimary>(it))
+            if (!std::holds_alternative<AddTimelineEntry>(it) && !std::holds_alternative<AnnouncePrimary>(it))
                 m_messages.push_back({ host, it });
         }
     }
