--- a/src/ctl/show.cpp
+++ b/src/ctl/show.cpp
@@ -155,9 +155,9 @@
     auto replay = decisions::replayTrace(*trace);
     for (auto& it : replay.actions)
         fmt::print("{}\n", it);
-    if (replay.difference.empty())
+    if (replay.firstDifference.empty())
         return kExitDone;
-    fmt::print(stderr, "this version decides otherwise than the one that recorded the trace: {}\n", replay.difference);
+    fmt::print(stderr, "this version decides otherwise than the one that recorded the trace: {}\n", replay.firstDifference);
     return kExitFailed;
 }
 
--- a/src/decisions/trace.cpp
+++ b/src/decisions/trace.cpp
@@ -264,17 +264,17 @@
 
 // ---- replay ----
 
-Replay replayTrace(const std::vector<TraceEntry>& entries)
+ReplayResult replayTrace(const std::vector<TraceEntry>& entries)
 {
-    Replay replay;
+    ReplayResult replay;
     for (size_t i = 0; i < entries.size(); ++i) {
         auto step = stepGroup(std::move(replay.state), entries[i].event, entries[i].now);
         replay.state = std::move(step.state);
         std::vector<std::string> actions;
         for (auto& it : step.actions)
             actions.push_back(formatAction(it, replay.state.record));
-        if (replay.difference.empty() && actions != entries[i].actions)
-            replay.difference = fmt::format("entry {}: recorded [{}], now [{}]", i + 1, fmt::join(entries[i].actions, "; "), fmt::join(actions, "; "));
+        if (replay.firstDifference.empty() && actions != entries[i].actions)
+            replay.firstDifference = fmt::format("entry {}: recorded [{}], now [{}]", i + 1, fmt::join(entries[i].actions, "; "), fmt::join(actions, "; "));
         std::ranges::move(actions, std::back_inserter(replay.actions));
     }
     return replay;
--- a/src/decisions/trace.h
+++ b/src/decisions/trace.h
@@ -28,12 +28,12 @@
 // The error names the line.
 tl::expected<std::vector<TraceEntry>, std::string> parseTrace(const std::string& text);
 
-struct Replay {
+struct ReplayResult {
     GroupState state {}; // after the last entry
     std::vector<std::string> actions {}; // all of them, in order
-    std::string difference {}; // the first entry whose actions differ from the recorded ones; empty: none
+    std::string firstDifference {}; // the first entry whose actions differ from the recorded ones; empty: none
 };
 
-Replay replayTrace(const std::vector<TraceEntry>& entries);
+ReplayResult replayTrace(const std::vector<TraceEntry>& entries);
 
 }
--- a/tests/process/traces_test.cpp
+++ b/tests/process/traces_test.cpp
@@ -43,7 +43,7 @@
         BOOST_REQUIRE_MESSAGE(trace.has_value(), (trace ? std::string() : trace.error()));
         BOOST_TEST(!trace->empty());
         auto replay = decisions::replayTrace(*trace);
-        BOOST_TEST(replay.difference == "");
+        BOOST_TEST(replay.firstDifference == "");
         auto ordered = std::ranges::count_if(replay.actions, [](const std::string& it) { return it.starts_with("promote "); });
         promotions += static_cast<size_t>(ordered);
         if (!isSaved && (ordered > 0 || name == "slow"))
--- a/tests/unit/trace_test.cpp
+++ b/tests/unit/trace_test.cpp
@@ -18,21 +18,21 @@
     return *trace;
 }
 
-size_t countActions(const Replay& replay, const std::string& beginning)
+size_t countActions(const ReplayResult& replay, const std::string& beginning)
 {
     return static_cast<size_t>(std::ranges::count_if(replay.actions, [&](const std::string& it) { return it.starts_with(beginning); }));
 }
 
-std::string getPrimary(const Replay& replay)
+std::string getPrimary(const ReplayResult& replay)
 {
     auto& health = replay.state.health;
     return health.primary ? replay.state.record.members[*health.primary].name : std::string();
 }
 
 // One promotion in term 2 by a fenced majority, begun once, for the stated cause.
-void checkPromotion(const Replay& replay, const std::string& cause)
+void checkPromotion(const ReplayResult& replay, const std::string& cause)
 {
-    BOOST_TEST(replay.difference == "");
+    BOOST_TEST(replay.firstDifference == "");
     BOOST_TEST(countActions(replay, "promote ") == 1u);
     BOOST_TEST(countActions(replay, "note promotion-began: term 2: " + cause) == 1u);
     BOOST_TEST(countActions(replay, "fence ") == 3u);
@@ -74,7 +74,7 @@
 BOOST_AUTO_TEST_CASE(slow_and_lagging_members_lead_to_nothing)
 {
     auto replay = replayTrace(readTrace("slow"));
-    BOOST_TEST(replay.difference == "");
+    BOOST_TEST(replay.firstDifference == "");
     BOOST_TEST(replay.actions == std::vector<std::string> { "note primary-seen: orders-a in term 1" }, boost::test_tools::per_element());
 }
 
@@ -92,7 +92,7 @@
         if (auto* event = std::get_if<FailoverEvent>(&it.event); event && std::holds_alternative<FenceAnswered>(*event))
             std::get<FenceAnswered>(*event).answer.reset();
     }
-    BOOST_TEST(replayTrace(without).difference.starts_with("entry "));
+    BOOST_TEST(replayTrace(without).firstDifference.starts_with("entry "));
 }
 
 BOOST_AUTO_TEST_CASE(entries_come_back_as_they_went)
