--- a/src/decisions/progress.cpp
+++ b/src/decisions/progress.cpp
@@ -4,44 +4,44 @@
 
 namespace alderward::decisions {
 
-static constexpr double kAheadMostSeconds = 1; // a speed is not carried further than this: it may have changed
+static constexpr double kMaxExtrapolationSeconds = 1; // a speed is not carried further than this: it may have changed
 
-Progress takePosition(const Progress& progress, const Mark& position, TimePoint at)
+LogProgress applyPosition(const LogProgress& progress, const Mark& position, TimePoint observedAt)
 {
-    if (at < progress.at)
+    if (observedAt < progress.observedAt)
         return progress;
     auto next = progress;
     next.position = position;
-    next.at = at;
-    bool isAnew = position.term != progress.countedFrom.term || position < progress.position;
-    if (isAnew) {
-        next.countedFrom = position;
-        next.countedAt = at;
-        next.perSecond = 0;
+    next.observedAt = observedAt;
+    bool isReset = position.term != progress.rateBase.term || position < progress.position;
+    if (isReset) {
+        next.rateBase = position;
+        next.rateBaseAt = observedAt;
+        next.positionsPerSecond = 0;
         return next;
     }
-    if (at - progress.countedAt < kCountFor)
+    if (observedAt - progress.rateBaseAt < kMinRateInterval)
         return next;
-    std::chrono::duration<double> passed = at - progress.countedAt;
-    next.perSecond = static_cast<double>(position.position - progress.countedFrom.position) / passed.count();
-    next.countedFrom = position;
-    next.countedAt = at;
+    std::chrono::duration<double> passed = observedAt - progress.rateBaseAt;
+    next.positionsPerSecond = static_cast<double>(position.position - progress.rateBase.position) / passed.count();
+    next.rateBase = position;
+    next.rateBaseAt = observedAt;
     return next;
 }
 
-Progress takeRefusal(const Progress& progress, TimePoint at)
+LogProgress applyRefusal(const LogProgress& progress, TimePoint observedAt)
 {
     auto next = progress;
-    next.behindAt = std::max(progress.behindAt, at);
+    next.lastRefusalAt = std::max(progress.lastRefusalAt, observedAt);
     return next;
 }
 
-Mark estimatePosition(const Progress& progress, TimePoint now)
+Mark estimatePosition(const LogProgress& progress, TimePoint now)
 {
-    std::chrono::duration<double> passed = now - progress.at;
-    auto seconds = std::clamp(passed.count(), 0.0, kAheadMostSeconds);
+    std::chrono::duration<double> passed = now - progress.observedAt;
+    auto seconds = std::clamp(passed.count(), 0.0, kMaxExtrapolationSeconds);
     auto mark = progress.position;
-    mark.position += static_cast<uint64_t>(progress.perSecond * seconds);
+    mark.position += static_cast<uint64_t>(progress.positionsPerSecond * seconds);
     return mark;
 }
 
--- a/src/decisions/progress.h
+++ b/src/decisions/progress.h
@@ -7,24 +7,24 @@
 
 namespace alderward::decisions {
 
-struct Progress {
+struct LogProgress {
     Mark position {}; // newest that was seen; term 0: none
-    TimePoint at {}; // when
-    Mark countedFrom {}; // where the present count of its speed began
-    TimePoint countedAt {};
-    double perSecond { 0 }; // positions; as of the last count
-    TimePoint behindAt {}; // when the member last said that it lacks what a read needs
-    friend bool operator==(const Progress&, const Progress&) = default;
+    TimePoint observedAt {}; // when
+    Mark rateBase {}; // where the present count of its speed began
+    TimePoint rateBaseAt {};
+    double positionsPerSecond { 0 }; // positions; as of the last count
+    TimePoint lastRefusalAt {}; // when the member last said that it lacks what a read needs
+    friend bool operator==(const LogProgress&, const LogProgress&) = default;
 };
 
-inline constexpr milliseconds kCountFor { 250 }; // a speed rests on positions at least this far apart
+inline constexpr milliseconds kMinRateInterval { 250 }; // a speed rests on positions at least this far apart
 
 // The member's log stood at `position` at `at`. What is older than what is known changes nothing. A log that went back, as after a change of
 // primary, is followed.
-Progress takePosition(const Progress& progress, const Mark& position, TimePoint at);
+LogProgress applyPosition(const LogProgress& progress, const Mark& position, TimePoint observedAt);
 // The member lacked what a read needed at `at`. Says nothing of where the log stands, and hides nothing that is heard of that.
-Progress takeRefusal(const Progress& progress, TimePoint at);
+LogProgress applyRefusal(const LogProgress& progress, TimePoint observedAt);
 // Where the log stands by now if it goes on at its speed.
-Mark estimatePosition(const Progress& progress, TimePoint now);
+Mark estimatePosition(const LogProgress& progress, TimePoint now);
 
 }
--- a/src/gateway/cluster_view.cpp
+++ b/src/gateway/cluster_view.cpp
@@ -161,7 +161,7 @@
     member.troubleAt = {};
     member.answeredAt = {};
     member.progress = {};
-    member.progress.at = now; // positions that others saw before say nothing
+    member.progress.observedAt = now; // positions that others saw before say nothing
     member.hasStartedAgain = true;
 }
 
--- a/src/gateway/cluster_view.h
+++ b/src/gateway/cluster_view.h
@@ -19,7 +19,7 @@
     TimePoint troubleAt {}; // the last time a connection to it failed here
     TimePoint answeredAt {};
     TimePoint leadAskedAt {}; // when this host last asked whether it leads, nobody being known to
-    decisions::Progress progress {}; // of its log
+    decisions::LogProgress progress {}; // of its log
 
     TargetAddress getTarget() const { return { listed.id, listed.group, listed.address }; }
 };
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -215,7 +215,7 @@
         auto it = m_view.members.find(target.member);
         if (it == m_view.members.end())
             return;
-        it->second.progress = decisions::takePosition(it->second.progress, position, Clock::now());
+        it->second.progress = decisions::applyPosition(it->second.progress, position, Clock::now());
     };
     observer.onAnswer = [this](const TargetAddress& target) {
         auto it = m_view.members.find(target.member);
--- a/src/gateway/statement_router.cpp
+++ b/src/gateway/statement_router.cpp
@@ -66,8 +66,8 @@
     candidate.isLeader = member.listed.id == leader;
     candidate.wasTried = std::ranges::find(routed.tried, member.listed.id) != routed.tried.end();
     candidate.position = decisions::estimatePosition(member.progress, now);
-    candidate.positionAge = std::chrono::duration_cast<milliseconds>(now - std::max(member.progress.at, member.progress.behindAt));
-    candidate.wasBehind = member.progress.behindAt != TimePoint {};
+    candidate.positionAge = std::chrono::duration_cast<milliseconds>(now - std::max(member.progress.observedAt, member.progress.lastRefusalAt));
+    candidate.wasBehind = member.progress.lastRefusalAt != TimePoint {};
     candidate.isFarBehind = isFarBehind(m_context.view.groups.at(member.listed.group), member, now);
     candidate.slots = std::max(1U, member.listed.slots);
     auto carrier = chooseCarrier(member);
@@ -188,8 +188,8 @@
         return;
     auto& progress = it->second.progress;
     if (position.term != 0)
-        progress = decisions::takePosition(progress, position, now);
-    progress = decisions::takeRefusal(progress, now);
+        progress = decisions::applyPosition(progress, position, now);
+    progress = decisions::applyRefusal(progress, now);
 }
 
 void StatementRouter::takeOutcome(const std::shared_ptr<RoutedStatement>& routed, const TargetAddress& target, const std::optional<TransactionHandle>& transaction, const Outcome& outcome, RoutedDone done)
--- a/src/gateway/status_exchange.cpp
+++ b/src/gateway/status_exchange.cpp
@@ -68,7 +68,7 @@
         if (member == view.members.end() || !it.has_position())
             continue;
         auto& progress = member->second.progress;
-        progress = decisions::takePosition(progress, readMark(it.position()), sentAt - microseconds(it.position_age_us()));
+        progress = decisions::applyPosition(progress, readMark(it.position()), sentAt - microseconds(it.position_age_us()));
     }
 }
 
--- a/tests/unit/member_life_test.cpp
+++ b/tests/unit/member_life_test.cpp
@@ -43,7 +43,7 @@
     auto& group = view.groups["g"];
     auto& member = view.members.at("m");
     BOOST_TEST(group.lead.member == "m");
-    member.progress = decisions::takePosition(member.progress, { 3, 70 }, kStart);
+    member.progress = decisions::applyPosition(member.progress, { 3, 70 }, kStart);
     member.troubleAt = kStart;
     member.leavingSince = kStart;
     auto now = kStart + milliseconds(1000);
@@ -53,9 +53,9 @@
     BOOST_TEST(!member.leavingSince.has_value());
     BOOST_TEST((member.troubleAt == TimePoint {}));
     // What another host saw of the process before comes late and changes nothing.
-    member.progress = decisions::takePosition(member.progress, { 3, 71 }, now - milliseconds(1));
+    member.progress = decisions::applyPosition(member.progress, { 3, 71 }, now - milliseconds(1));
     BOOST_TEST(mustShow(member));
-    member.progress = decisions::takePosition(member.progress, { 3, 2 }, now + milliseconds(1));
+    member.progress = decisions::applyPosition(member.progress, { 3, 2 }, now + milliseconds(1));
     BOOST_TEST(!mustShow(member));
     BOOST_TEST((takeMember(view, makeMember(1000, 9), 1, {}, now) == MemberChange::Outdated)); // the old entry, late
 }
