--- a/src/decisions/leaving.cpp
+++ b/src/decisions/leaving.cpp
@@ -3,13 +3,13 @@
 
 namespace alderward::decisions {
 
-bool takesNewOperations(std::optional<TimePoint> leavingSince, milliseconds drainTime, TimePoint now)
+bool acceptsNewOperations(std::optional<TimePoint> leavingSince, milliseconds drainTime, TimePoint now)
 {
-    auto reserve = std::min(kDrainReserve, drainTime / 2); // a short drain time is not all reserve
-    return !leavingSince || now < *leavingSince + drainTime - reserve;
+    auto margin = std::min(kDrainSafetyMargin, drainTime / 2); // a short drain time is not all reserve
+    return !leavingSince || now < *leavingSince + drainTime - margin;
 }
 
-TimePoint assumeLeavingSince(milliseconds drainTime, TimePoint foundAt)
+TimePoint estimateLeavingSince(milliseconds drainTime, TimePoint foundAt)
 {
     return foundAt - drainTime / 2;
 }
--- a/src/decisions/leaving.h
+++ b/src/decisions/leaving.h
@@ -12,14 +12,14 @@
 namespace alderward::decisions {
 
 // A host hears of a leaving late by the pause after a watch that answered, 1 s at most, and a statement is on its way for some tens of ms.
-inline constexpr milliseconds kDrainReserve { 1500 };
+inline constexpr milliseconds kDrainSafetyMargin { 1500 };
 
 // Whether a new operation may be sent at `now` to a member that has been known to leave since `leavingSince`; empty: it does not leave.
 // Later statements of a transaction are not new ones.
-bool takesNewOperations(std::optional<TimePoint> leavingSince, milliseconds drainTime, TimePoint now);
+bool acceptsNewOperations(std::optional<TimePoint> leavingSince, milliseconds drainTime, TimePoint now);
 
 // Since when a member counts as leaving that was found so, and nobody saw it begin: a host that has just started, or had lost the store. Half of
 // the drain time is taken to be over.
-TimePoint assumeLeavingSince(milliseconds drainTime, TimePoint foundAt);
+TimePoint estimateLeavingSince(milliseconds drainTime, TimePoint foundAt);
 
 }
--- a/src/gateway/cluster_view.cpp
+++ b/src/gateway/cluster_view.cpp
@@ -11,9 +11,9 @@
     return group.lead.member != member.listed.id && floor && position.term != 0 && position < *floor;
 }
 
-bool takesNewOperations(const MemberBelief& member, milliseconds drainTime, TimePoint now)
+bool acceptsNewOperations(const MemberBelief& member, milliseconds drainTime, TimePoint now)
 {
-    return decisions::takesNewOperations(member.leavingSince, drainTime, now) && decisions::takesNewOperations(member.unlistedAt, drainTime, now);
+    return decisions::acceptsNewOperations(member.leavingSince, drainTime, now) && decisions::acceptsNewOperations(member.unlistedAt, drainTime, now);
 }
 
 void denyLead(GroupBelief& group, const std::string& member, TimePoint now)
--- a/src/gateway/cluster_view.h
+++ b/src/gateway/cluster_view.h
@@ -59,7 +59,7 @@
 };
 
 // Whether a new operation may be sent to the member: it does not leave and is listed, or not for long.
-bool takesNewOperations(const MemberBelief& member, milliseconds drainTime, TimePoint now);
+bool acceptsNewOperations(const MemberBelief& member, milliseconds drainTime, TimePoint now);
 
 // Whether nothing is known of what the member holds since it started again. Its carrier asks it; reads do not.
 inline bool mustShow(const MemberBelief& member) { return member.hasStartedAgain && member.progress.position.term == 0; }
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -166,7 +166,7 @@
         pool = std::make_shared<TargetPool>(m_context.get_executor(), m_platform->getCodec(), target, m_settings.name, makeObserver());
         pool->setLimits(getLimits(target));
         auto member = m_view.members.find(target.member);
-        pool->setTakesNew(member != m_view.members.end() && takesNewOperations(member->second, getDrainTime(), Clock::now()));
+        pool->setTakesNew(member != m_view.members.end() && acceptsNewOperations(member->second, getDrainTime(), Clock::now()));
         pool->setComparison(getComparison(target));
     }
     return pool;
@@ -391,7 +391,7 @@
         m_partnersDue = true;
     };
     events.onMember = [this](const links::ListedMember& member, uint64_t revision, std::optional<TimePoint> changedAt) {
-        takeListed(member, revision, changedAt ? *changedAt : decisions::assumeLeavingSince(getDrainTime(), Clock::now()), "listed");
+        takeListed(member, revision, changedAt ? *changedAt : decisions::estimateLeavingSince(getDrainTime(), Clock::now()), "listed");
     };
     events.onMemberGone = [this](const std::string& id, uint64_t revision) { takeUnlisted(id, revision, "listed"); };
     events.onMembersRead = [this] { m_view.hasMembers = true; };
@@ -554,7 +554,7 @@
     for (auto& [id, pool] : m_pools) {
         auto member = m_view.members.find(id);
         bool isKnown = member != m_view.members.end();
-        pool->setTakesNew(isKnown && takesNewOperations(member->second, getDrainTime(), now));
+        pool->setTakesNew(isKnown && acceptsNewOperations(member->second, getDrainTime(), now));
         bool isBehind = isKnown && (mustShow(member->second) || isFarBehind(m_view.groups[member->second.listed.group], member->second, now));
         pool->setPositionInterval(isBehind && pool->isCarrier() ? kPositionInterval : milliseconds(0));
         pool->sweep(now);
--- a/src/gateway/statement_router.cpp
+++ b/src/gateway/statement_router.cpp
@@ -98,7 +98,7 @@
         if (it == m_context.view.members.end() || wasTried)
             return std::nullopt;
         // Also the only one that can serve: it may end at any moment now, and whoever hears nothing from it cannot know what ran.
-        if (!takesNewOperations(it->second, m_context.drainTime, Clock::now()))
+        if (!acceptsNewOperations(it->second, m_context.drainTime, Clock::now()))
             return std::nullopt;
         return it->second.getTarget();
     }
