--- a/src/decisions/comparison.h
+++ b/src/decisions/comparison.h
@@ -9,14 +9,14 @@
 namespace alderward::decisions {
 
 // A replica that was asked what it holds.
-struct ReplicaWitness {
+struct QueriedReplica {
     bool hasAnswered { false };
-    bool mayBeOlder { true }; // its process may run for longer than the primary's, so that it can hold what the primary has lost
-    bool isYounger { false }; // it started after the primary, and may have lost the same
-    friend bool operator==(const ReplicaWitness&, const ReplicaWitness&) = default;
+    bool mayPredatePrimary { true }; // its process may run for longer than the primary's, so that it can hold what the primary has lost
+    bool startedAfterPrimary { false }; // it started after the primary, and may have lost the same
+    friend bool operator==(const QueriedReplica&, const QueriedReplica&) = default;
 };
 
 // Of the group's listed replicas. What those hold that have answered is compared apart, by hasLostLog().
-bool mayBelievePrimary(const std::vector<ReplicaWitness>& replicas);
+bool canTrustPrimary(const std::vector<QueriedReplica>& replicas);
 
 }
--- a/src/gateway/gateway_leads.cpp
+++ b/src/gateway/gateway_leads.cpp
@@ -16,7 +16,7 @@
     std::string group;
     std::string primary;
     links::MemberLife life; // of the primary's process
-    std::vector<decisions::ReplicaWitness> replicas {};
+    std::vector<decisions::QueriedReplica> replicas {};
     size_t left { 0 }; // that have not answered yet, nor been given up
 };
 
@@ -80,10 +80,10 @@
         group.comparedAt = {};
         return;
     }
-    group.wasCompared = decisions::mayBelievePrimary(round.replicas);
+    group.wasCompared = decisions::canTrustPrimary(round.replicas);
     group.lacksAnswers = !group.wasCompared;
-    auto answered = std::ranges::count_if(round.replicas, &decisions::ReplicaWitness::hasAnswered);
-    auto older = std::ranges::count_if(round.replicas, &decisions::ReplicaWitness::mayBeOlder);
+    auto answered = std::ranges::count_if(round.replicas, &decisions::QueriedReplica::hasAnswered);
+    auto older = std::ranges::count_if(round.replicas, &decisions::QueriedReplica::mayPredatePrimary);
     base::logEvent(LogClass::State, "replicas-compared", { { "group", std::string_view(round.group) }, { "member", std::string_view(round.primary) }, { "replicas", static_cast<int64_t>(round.replicas.size()) }, { "older", static_cast<int64_t>(older) }, { "answered", static_cast<int64_t>(answered) }, { "enough", group.wasCompared }, { "term", static_cast<int64_t>(group.heldByReplicas.term) }, { "position", static_cast<int64_t>(group.heldByReplicas.position) } });
 }
 
--- a/tests/unit/comparison_test.cpp
+++ b/tests/unit/comparison_test.cpp
@@ -5,18 +5,18 @@
 
 using namespace alderward;
 using namespace alderward::gateway;
-using decisions::mayBelievePrimary;
-using decisions::ReplicaWitness;
+using decisions::canTrustPrimary;
+using decisions::QueriedReplica;
 
 namespace {
 
 const TimePoint kStart = TimePoint() + milliseconds(100000);
-constexpr ReplicaWitness kSilent { false, true };
-constexpr ReplicaWitness kAnswered { true, true };
-constexpr ReplicaWitness kAlikeAnswered { true, false };
-constexpr ReplicaWitness kAlikeSilent { false, false };
-constexpr ReplicaWitness kYoungSilent { false, false, true };
-constexpr ReplicaWitness kYoungAnswered { true, false, true };
+constexpr QueriedReplica kSilent { false, true };
+constexpr QueriedReplica kAnswered { true, true };
+constexpr QueriedReplica kAlikeAnswered { true, false };
+constexpr QueriedReplica kAlikeSilent { false, false };
+constexpr QueriedReplica kYoungSilent { false, false, true };
+constexpr QueriedReplica kYoungAnswered { true, false, true };
 
 }
 
@@ -24,27 +24,27 @@
 
 BOOST_AUTO_TEST_CASE(a_replica_that_does_not_answer_agrees_with_nothing)
 {
-    BOOST_TEST(!mayBelievePrimary({ kSilent, kSilent }));
-    BOOST_TEST(!mayBelievePrimary({ kSilent }));
-    BOOST_TEST(mayBelievePrimary({ kAnswered, kAnswered }));
-    BOOST_TEST(mayBelievePrimary({ kAnswered, kSilent })); // with the primary two of three, as for a promotion
-    BOOST_TEST(!mayBelievePrimary({ kAnswered, kSilent, kSilent, kSilent }));
+    BOOST_TEST(!canTrustPrimary({ kSilent, kSilent }));
+    BOOST_TEST(!canTrustPrimary({ kSilent }));
+    BOOST_TEST(canTrustPrimary({ kAnswered, kAnswered }));
+    BOOST_TEST(canTrustPrimary({ kAnswered, kSilent })); // with the primary two of three, as for a promotion
+    BOOST_TEST(!canTrustPrimary({ kAnswered, kSilent, kSilent, kSilent }));
 }
 
 BOOST_AUTO_TEST_CASE(a_replica_that_started_after_the_primary_is_not_needed_and_tells_nothing)
 {
-    BOOST_TEST(mayBelievePrimary({}));
-    BOOST_TEST(mayBelievePrimary({ kYoungSilent, kYoungSilent })); // a new group whose replicas are late
-    BOOST_TEST(!mayBelievePrimary({ kYoungAnswered, kSilent })); // it started with nothing, too
-    BOOST_TEST(mayBelievePrimary({ kYoungSilent, kAnswered }));
+    BOOST_TEST(canTrustPrimary({}));
+    BOOST_TEST(canTrustPrimary({ kYoungSilent, kYoungSilent })); // a new group whose replicas are late
+    BOOST_TEST(!canTrustPrimary({ kYoungAnswered, kSilent })); // it started with nothing, too
+    BOOST_TEST(canTrustPrimary({ kYoungSilent, kAnswered }));
 }
 
 // All hosts started 2 s after a handover: the old primary, the oldest of four by its count, had ended and was still listed. The group was refused until its entry lapsed.
 BOOST_AUTO_TEST_CASE(a_member_that_has_ended_and_is_still_listed_does_not_stop_a_group_whose_other_replicas_answer)
 {
-    BOOST_TEST(mayBelievePrimary({ kAlikeAnswered, kAlikeAnswered, kSilent }));
-    BOOST_TEST(!mayBelievePrimary({ kAlikeAnswered, kAlikeSilent, kSilent }));
-    BOOST_TEST(mayBelievePrimary({ kAlikeSilent, kAlikeSilent }));
+    BOOST_TEST(canTrustPrimary({ kAlikeAnswered, kAlikeAnswered, kSilent }));
+    BOOST_TEST(!canTrustPrimary({ kAlikeAnswered, kAlikeSilent, kSilent }));
+    BOOST_TEST(canTrustPrimary({ kAlikeSilent, kAlikeSilent }));
 }
 
 BOOST_AUTO_TEST_CASE(which_process_is_older_goes_by_whatever_speaks_for_it)
