--- a/src/alderward.h
+++ b/src/alderward.h
@@ -51,7 +51,7 @@
 #include "decisions/records.h"
 
 //-----------------------------------------------------------------------------
-// [SECTION] Health: MemberStatus, GroupHealth, takeStatus(), applyProbeFailure(), applyPiggybackedStatus(), getNextProbeTime(), getStalenessBound()
+// [SECTION] Health: MemberStatus, GroupHealth, applyStatus(), applyProbeFailure(), applyPiggybackedStatus(), getNextProbeTime(), getStalenessBound()
 //-----------------------------------------------------------------------------
 #include "decisions/health.h"
 
@@ -83,6 +83,6 @@
 #include "decisions/limits.h"
 
 //-----------------------------------------------------------------------------
-// [SECTION] Membership: Membership, takeNews(), suspectHost(), ageMembership(), choosePartners()
+// [SECTION] Membership: Membership, applyHostUpdates(), suspectHost(), expireHosts(), choosePartners()
 //-----------------------------------------------------------------------------
 #include "decisions/membership.h"
--- a/src/controllers/hosts.cpp
+++ b/src/controllers/hosts.cpp
@@ -13,7 +13,7 @@
 namespace asio = boost::asio;
 using base::Clock;
 using base::milliseconds;
-using decisions::HostNews;
+using decisions::HostInfo;
 using decisions::HostState;
 
 static constexpr milliseconds kExchangeTimeout { 400 };
@@ -30,7 +30,7 @@
 }();
 static constexpr size_t kLeavingTold = 4; // peers told at once of our leaving
 
-static peer::HostNews toMessage(const HostNews& news)
+static peer::HostNews toMessage(const HostInfo& news)
 {
     peer::HostNews it;
     it.set_name(news.name);
@@ -44,9 +44,9 @@
 }
 
 template <typename Messages>
-static std::vector<HostNews> fromMessages(const Messages& messages)
+static std::vector<HostInfo> fromMessages(const Messages& messages)
 {
-    std::vector<HostNews> news;
+    std::vector<HostInfo> news;
     for (const peer::HostNews& it : messages) {
         auto state = std::min(it.state(), static_cast<uint32_t>(HostState::Dead));
         news.push_back({ it.name(), it.incarnation(), static_cast<HostState>(state), it.data_centre(), it.peer_address(), it.caller_address(), it.operator_address() });
@@ -65,7 +65,7 @@
     return { field.data(), static_cast<size_t>(field.size()) };
 }
 
-static HostNews describeSelf(const base::Settings& settings, uint64_t incarnation)
+static HostInfo describeSelf(const base::Settings& settings, uint64_t incarnation)
 {
     return { settings.name, incarnation, HostState::Alive, settings.dataCentre, settings.peerAddress, settings.callerAddress, settings.operatorAddress };
 }
@@ -118,10 +118,10 @@
         m_onChange();
 }
 
-void HostsController::takeNews(const std::vector<HostNews>& news, const std::string& from)
+void HostsController::takeNews(const std::vector<HostInfo>& news, const std::string& from)
 {
     checkStrand();
-    publish(decisions::takeNews(m_membership, news, Clock::now()), "news from " + from);
+    publish(decisions::applyHostUpdates(m_membership, news, Clock::now()), "news from " + from);
 }
 
 peer::ExchangeRequest HostsController::makeRequest()
@@ -131,7 +131,7 @@
     request.set_from(m_node.settings.name);
     request.set_hosts_digest(decisions::getDigest(m_membership));
     request.set_records_digest(m_configuration.getDigest());
-    for (auto& it : decisions::takeNewsToTell(m_membership, m_timings))
+    for (auto& it : decisions::takeUpdatesToSend(m_membership, m_timings))
         *request.add_hosts() = toMessage(it);
     return request;
 }
@@ -180,7 +180,7 @@
     for (auto& [name, host] : configuration->platformHosts)
         listed.push_back(host);
     auto before = m_membership.hosts.size();
-    decisions::takePlatformList(m_membership, listed, Clock::now());
+    decisions::applyPlatformList(m_membership, listed, Clock::now());
     if (m_membership.hosts.size() == before)
         return;
     m_snapshot.publish(std::make_shared<const decisions::Membership>(m_membership));
@@ -199,12 +199,12 @@
 void HostsController::beginRound()
 {
     auto seed = decisions::getHash(m_node.settings.name) + m_round;
-    publish(decisions::ageMembership(m_membership, m_timings, Clock::now()), "no refutation in time");
+    publish(decisions::expireHosts(m_membership, m_timings, Clock::now()), "no refutation in time");
     takePlatformList();
     for (auto& it : decisions::choosePartners(m_membership, static_cast<size_t>(m_node.settings.partners), seed))
         asio::co_spawn(m_strand, exchangeWith(it), asio::detached);
     if (m_round % kRoundsPerRevival == 0) {
-        if (auto dead = decisions::chooseDead(m_membership, seed))
+        if (auto dead = decisions::chooseDeadHost(m_membership, seed))
             asio::co_spawn(m_strand, synchronise(*dead), asio::detached);
     }
     ++m_round;
@@ -238,7 +238,7 @@
     message.clear_hosts();
     for (auto& [name, known] : membership.hosts) {
         if (buckets[decisions::getBucket(name)])
-            *message.add_hosts() = toMessage(known.news);
+            *message.add_hosts() = toMessage(known.info);
     }
 }
 
@@ -334,7 +334,7 @@
         for (auto& it : m_configuration.getVersions(decisions::getDifferences(m_configuration.getBucketDigests(), toSpan(request.record_buckets()))))
             *reply.add_versions() = it;
     } else {
-        for (auto& it : decisions::takeNewsToTell(m_membership, m_timings))
+        for (auto& it : decisions::takeUpdatesToSend(m_membership, m_timings))
             *reply.add_hosts() = toMessage(it);
     }
     // A sender that is new and knows nothing gets everything with its first exchange.
@@ -352,9 +352,9 @@
 
 asio::awaitable<void> HostsController::tellLeaving()
 {
-    auto self = m_membership.hosts[m_node.settings.name].news;
+    auto self = m_membership.hosts[m_node.settings.name].info;
     self.state = HostState::Leaving;
-    decisions::setOwnNews(m_membership, self, Clock::now());
+    decisions::setSelfInfo(m_membership, self, Clock::now());
     publish({ self.name }, "planned stop");
     for (auto& it : decisions::choosePartners(m_membership, kLeavingTold, m_round))
         co_await send(it, makeRequest(), kExchangeTimeout);
--- a/src/controllers/hosts.h
+++ b/src/controllers/hosts.h
@@ -50,7 +50,7 @@
     void addBuckets(auto& message) const;
     void takeReply(const peer::ExchangeReply& reply, const std::string& from);
     boost::asio::awaitable<void> synchronise(std::string name);
-    void takeNews(const std::vector<decisions::HostNews>& news, const std::string& from);
+    void takeNews(const std::vector<decisions::HostInfo>& news, const std::string& from);
     void publish(const std::vector<std::string>& changed, const std::string& cause);
     boost::asio::awaitable<links::LinkResult<peer::ExchangeReply>> send(std::string name, peer::ExchangeRequest request, base::milliseconds limit);
 
--- a/src/daemon/operators.cpp
+++ b/src/daemon/operators.cpp
@@ -106,7 +106,7 @@
     status["refusedRecords"] = std::move(refused);
     json::object hosts;
     for (auto& [name, known] : membership->hosts)
-        hosts[name] = { { "state", decisions::getHostStateName(known.news.state) }, { "incarnation", known.news.incarnation }, { "dataCentre", known.news.dataCentre }, { "operatorAddress", known.news.operatorAddress } };
+        hosts[name] = { { "state", decisions::getHostStateName(known.info.state) }, { "incarnation", known.info.incarnation }, { "dataCentre", known.info.dataCentre }, { "operatorAddress", known.info.operatorAddress } };
     status["hosts"] = std::move(hosts);
     return status;
 }
--- a/src/decisions/membership.cpp
+++ b/src/decisions/membership.cpp
@@ -6,7 +6,7 @@
 
 namespace alderward::decisions {
 
-static constexpr unsigned kTellFactor = 3; // news is told this many times the logarithm of the number of hosts
+static constexpr unsigned kRetransmitMultiplier = 3; // info is told this many times the logarithm of the number of hosts
 
 std::string_view getHostStateName(HostState state)
 {
@@ -22,63 +22,63 @@
     }
 }
 
-static unsigned getTellCount(const Membership& membership)
+static unsigned getTransmissionLimit(const Membership& membership)
 {
-    return kTellFactor * static_cast<unsigned>(std::ceil(std::log2(static_cast<double>(membership.hosts.size()) + 2)));
+    return kRetransmitMultiplier * static_cast<unsigned>(std::ceil(std::log2(static_cast<double>(membership.hosts.size()) + 2)));
 }
 
 // What one host adds to the digest. Computing the whole digest for each exchange grew with the fleet.
-static uint64_t getShare(const HostNews& news)
+static uint64_t getDigestContribution(const HostInfo& info)
 {
-    bool isCounted = !news.name.empty() && news.state != HostState::Dead;
-    return isCounted ? getHash(fmt::format("{}\n{}\n{}", news.name, news.incarnation, static_cast<int>(news.state))) : 0;
+    bool isCounted = !info.name.empty() && info.state != HostState::Dead;
+    return isCounted ? getHash(fmt::format("{}\n{}\n{}", info.name, info.incarnation, static_cast<int>(info.state))) : 0;
 }
 
-static void setNews(Membership& membership, const HostNews& news, TimePoint now)
+static void setHostInfo(Membership& membership, const HostInfo& info, TimePoint now)
 {
-    auto& known = membership.hosts[news.name];
-    membership.digest ^= getShare(known.news) ^ getShare(news);
-    known.news = news;
+    auto& known = membership.hosts[info.name];
+    membership.digest ^= getDigestContribution(known.info) ^ getDigestContribution(info);
+    known.info = info;
     known.changedAt = now;
-    known.tellLeft = getTellCount(membership);
+    known.remainingTransmissions = getTransmissionLimit(membership);
 }
 
-Membership makeMembership(const HostNews& self, TimePoint now)
+Membership makeMembership(const HostInfo& self, TimePoint now)
 {
     Membership membership;
     membership.self = self.name;
-    setNews(membership, self, now);
+    setHostInfo(membership, self, now);
     return membership;
 }
 
-void setOwnNews(Membership& membership, const HostNews& news, TimePoint now)
+void setSelfInfo(Membership& membership, const HostInfo& info, TimePoint now)
 {
-    setNews(membership, news, now);
+    setHostInfo(membership, info, now);
 }
 
-static bool isNewer(const HostNews& news, const HostNews& known)
+static bool supersedes(const HostInfo& info, const HostInfo& known)
 {
-    return std::pair(news.incarnation, news.state) > std::pair(known.incarnation, known.state);
+    return std::pair(info.incarnation, info.state) > std::pair(known.incarnation, known.state);
 }
 
-// We live, whatever others say. A host that was frozen and came back finds itself dead in others' news and answers with
+// We live, whatever others say. A host that was frozen and came back finds itself dead in others' info and answers with
 // a higher incarnation; a host that is leaving stays so.
-static bool refute(Membership& membership, const HostNews& news, TimePoint now)
+static bool refuteSuspicion(Membership& membership, const HostInfo& info, TimePoint now)
 {
-    auto self = membership.hosts[membership.self].news;
-    if (!isNewer(news, self))
+    auto self = membership.hosts[membership.self].info;
+    if (!supersedes(info, self))
         return false;
-    self.incarnation = news.incarnation + 1;
-    setNews(membership, self, now);
+    self.incarnation = info.incarnation + 1;
+    setHostInfo(membership, self, now);
     return true;
 }
 
-std::vector<std::string> takeNews(Membership& membership, const std::vector<HostNews>& news, TimePoint now)
+std::vector<std::string> applyHostUpdates(Membership& membership, const std::vector<HostInfo>& updates, TimePoint now)
 {
     std::vector<std::string> changed;
-    for (auto& it : news) {
+    for (auto& it : updates) {
         if (it.name == membership.self) {
-            if (refute(membership, it, now))
+            if (refuteSuspicion(membership, it, now))
                 changed.push_back(it.name);
             continue;
         }
@@ -86,42 +86,42 @@
         bool isUnknown = known == membership.hosts.end();
         if (isUnknown && it.state == HostState::Dead)
             continue;
-        if (!isUnknown && !isNewer(it, known->second.news))
+        if (!isUnknown && !supersedes(it, known->second.info))
             continue;
-        bool hasChanged = isUnknown || known->second.news.state != it.state || known->second.news.incarnation != it.incarnation;
-        setNews(membership, it, now);
+        bool hasChanged = isUnknown || known->second.info.state != it.state || known->second.info.incarnation != it.incarnation;
+        setHostInfo(membership, it, now);
         if (hasChanged)
             changed.push_back(it.name);
     }
     return changed;
 }
 
-void takePlatformList(Membership& membership, const std::vector<PlatformHost>& hosts, TimePoint now)
+void applyPlatformList(Membership& membership, const std::vector<PlatformHost>& hosts, TimePoint now)
 {
-    membership.listed.clear();
+    membership.platformListed.clear();
     for (auto& it : hosts)
-        membership.listed.insert(it.name);
+        membership.platformListed.insert(it.name);
     for (auto& it : hosts) {
         if (it.peerAddress.empty() || it.name == membership.self || membership.hosts.contains(it.name))
             continue;
-        setNews(membership, { it.name, 0, HostState::Alive, it.dataCentre, it.peerAddress, it.callerAddress, it.operatorAddress }, now);
+        setHostInfo(membership, { it.name, 0, HostState::Alive, it.dataCentre, it.peerAddress, it.callerAddress, it.operatorAddress }, now);
     }
 }
 
 bool suspectHost(Membership& membership, const std::string& name, size_t witnesses, size_t asked, TimePoint now)
 {
     auto it = membership.hosts.find(name);
-    if (it == membership.hosts.end() || it->second.news.state != HostState::Alive)
+    if (it == membership.hosts.end() || it->second.info.state != HostState::Alive)
         return false;
     if (asked > 0 && witnesses == 0)
         return false;
-    auto news = it->second.news;
-    news.state = HostState::Suspect;
-    setNews(membership, news, now);
+    auto info = it->second.info;
+    info.state = HostState::Suspect;
+    setHostInfo(membership, info, now);
     return true;
 }
 
-std::vector<std::string> ageMembership(Membership& membership, const MembershipTimings& timings, TimePoint now)
+std::vector<std::string> expireHosts(Membership& membership, const MembershipTimings& timings, TimePoint now)
 {
     std::vector<std::string> changed;
     std::vector<std::string> forgotten;
@@ -129,38 +129,38 @@
         if (name == membership.self)
             continue;
         auto age = now - known.changedAt;
-        bool isGone = known.news.state == HostState::Dead || known.news.state == HostState::Leaving;
-        if (known.news.state == HostState::Suspect && age >= timings.suspectFor) {
-            auto news = known.news;
-            news.state = HostState::Dead;
-            setNews(membership, news, now);
+        bool isGone = known.info.state == HostState::Dead || known.info.state == HostState::Leaving;
+        if (known.info.state == HostState::Suspect && age >= timings.suspicionTimeout) {
+            auto info = known.info;
+            info.state = HostState::Dead;
+            setHostInfo(membership, info, now);
             changed.push_back(name);
-        } else if (isGone && age >= timings.forgetAfter && !membership.listed.contains(name))
+        } else if (isGone && age >= timings.deadHostRetention && !membership.platformListed.contains(name))
             forgotten.push_back(name);
     }
     for (auto& it : forgotten) {
-        membership.digest ^= getShare(membership.hosts[it].news);
+        membership.digest ^= getDigestContribution(membership.hosts[it].info);
         membership.hosts.erase(it);
     }
     return changed;
 }
 
-std::vector<HostNews> takeNewsToTell(Membership& membership, const MembershipTimings& timings)
+std::vector<HostInfo> takeUpdatesToSend(Membership& membership, const MembershipTimings& timings)
 {
     std::vector<KnownHost*> candidates;
     for (auto& [name, known] : membership.hosts) {
-        if (known.tellLeft > 0)
+        if (known.remainingTransmissions > 0)
             candidates.push_back(&known);
     }
-    std::ranges::stable_sort(candidates, std::greater {}, &KnownHost::tellLeft);
-    if (candidates.size() > timings.newsPerExchange)
-        candidates.resize(timings.newsPerExchange);
-    std::vector<HostNews> news;
+    std::ranges::stable_sort(candidates, std::greater {}, &KnownHost::remainingTransmissions);
+    if (candidates.size() > timings.maxUpdatesPerExchange)
+        candidates.resize(timings.maxUpdatesPerExchange);
+    std::vector<HostInfo> updates;
     for (auto* it : candidates) {
-        --it->tellLeft;
-        news.push_back(it->news);
+        --it->remainingTransmissions;
+        updates.push_back(it->info);
     }
-    return news;
+    return updates;
 }
 
 uint64_t getDigest(const Membership& membership)
@@ -172,13 +172,13 @@
 {
     BucketDigests digests {};
     for (auto& [name, known] : membership.hosts)
-        digests[getBucket(name)] ^= getShare(known.news);
+        digests[getBucket(name)] ^= getDigestContribution(known.info);
     return digests;
 }
 
 static bool isLive(const KnownHost& known)
 {
-    return known.news.state == HostState::Alive || known.news.state == HostState::Suspect;
+    return known.info.state == HostState::Alive || known.info.state == HostState::Suspect;
 }
 
 std::vector<PlacedHost> getLiveHosts(const Membership& membership)
@@ -186,7 +186,7 @@
     std::vector<PlacedHost> live;
     for (auto& [name, known] : membership.hosts) {
         if (isLive(known))
-            live.push_back({ name, known.news.dataCentre });
+            live.push_back({ name, known.info.dataCentre });
     }
     return live;
 }
@@ -209,11 +209,11 @@
     return partners;
 }
 
-std::optional<std::string> chooseDead(const Membership& membership, uint64_t seed)
+std::optional<std::string> chooseDeadHost(const Membership& membership, uint64_t seed)
 {
     std::vector<std::string> names;
     for (auto& [name, known] : membership.hosts) {
-        if (known.news.state == HostState::Dead)
+        if (known.info.state == HostState::Dead)
             names.push_back(name);
     }
     if (names.empty())
@@ -221,10 +221,10 @@
     return names[seed % names.size()];
 }
 
-const HostNews* findHost(const Membership& membership, const std::string& name)
+const HostInfo* findHost(const Membership& membership, const std::string& name)
 {
     auto it = membership.hosts.find(name);
-    return it == membership.hosts.end() ? nullptr : &it->second.news;
+    return it == membership.hosts.end() ? nullptr : &it->second.info;
 }
 
 }
--- a/tests/bench/control.cpp
+++ b/tests/bench/control.cpp
@@ -214,12 +214,12 @@
     using namespace alderward::decisions;
     auto now = Clock::now();
     auto membership = makeMembership({ "h0000", 1, HostState::Alive, "dc0", "10.0.0.1:7001", "10.0.0.1:7000", "10.0.0.1:7002" }, now);
-    std::vector<HostNews> news;
+    std::vector<HostInfo> news;
     for (unsigned i = 1; i < hosts; ++i)
         news.push_back({ fmt::format("h{:04}", i), 1, HostState::Alive, fmt::format("dc{}", i % 9), fmt::format("10.0.{}.{}:7001", i / 250, i % 250), fmt::format("10.0.{}.{}:7000", i / 250, i % 250), fmt::format("10.0.{}.{}:7002", i / 250, i % 250) });
-    takeNews(membership, news, now);
+    applyHostUpdates(membership, news, now);
     for (auto& [name, known] : membership.hosts)
-        known.tellLeft = 0; // quiet times
+        known.remainingTransmissions = 0; // quiet times
     return membership;
 }
 
@@ -242,8 +242,8 @@
         size_t chosen = 0;
         auto partners = time([&](int i) { chosen += choosePartners(membership, 1, static_cast<uint64_t>(i)).size(); });
         auto rest = time([&](int) {
-            chosen += ageMembership(membership, timings, Clock::now()).size();
-            chosen += takeNewsToTell(membership, timings).size();
+            chosen += expireHosts(membership, timings, Clock::now()).size();
+            chosen += takeUpdatesToSend(membership, timings).size();
         });
         uint64_t digest = 0;
         auto parts = time([&](int) { digest ^= getBucketDigests(membership)[0]; });
--- a/tests/unit/hosts_test.cpp
+++ b/tests/unit/hosts_test.cpp
@@ -17,15 +17,15 @@
     return TimePoint {} + std::chrono::hours(1) + milliseconds(ms);
 }
 
-HostNews makeNews(const std::string& name, uint64_t incarnation, HostState state)
+HostInfo makeHostInfo(const std::string& name, uint64_t incarnation, HostState state)
 {
     return { name, incarnation, state, "x", "p", "c", "o" };
 }
 
 Membership makeThree()
 {
-    auto membership = makeMembership(makeNews("h1", 10, HostState::Alive), at(0));
-    takeNews(membership, { makeNews("h2", 10, HostState::Alive), makeNews("h3", 10, HostState::Alive) }, at(0));
+    auto membership = makeMembership(makeHostInfo("h1", 10, HostState::Alive), at(0));
+    applyHostUpdates(membership, { makeHostInfo("h2", 10, HostState::Alive), makeHostInfo("h3", 10, HostState::Alive) }, at(0));
     return membership;
 }
 
@@ -47,13 +47,13 @@
 {
     auto it = makeThree();
     suspectHost(it, "h2", 1, 1, at(0));
-    takeNews(it, { makeNews("h2", 10, HostState::Alive) }, at(10));
+    applyHostUpdates(it, { makeHostInfo("h2", 10, HostState::Alive) }, at(10));
     BOOST_TEST((findHost(it, "h2")->state == HostState::Suspect));
-    takeNews(it, { makeNews("h2", 11, HostState::Alive) }, at(20));
+    applyHostUpdates(it, { makeHostInfo("h2", 11, HostState::Alive) }, at(20));
     BOOST_TEST((findHost(it, "h2")->state == HostState::Alive));
     suspectHost(it, "h3", 1, 1, at(0));
-    BOOST_TEST(ageMembership(it, {}, at(2999)).empty());
-    BOOST_TEST(ageMembership(it, {}, at(3000)).size() == 1u);
+    BOOST_TEST(expireHosts(it, {}, at(2999)).empty());
+    BOOST_TEST(expireHosts(it, {}, at(3000)).size() == 1u);
     BOOST_TEST((findHost(it, "h3")->state == HostState::Dead));
     BOOST_TEST(getLiveHosts(it).size() == 2u);
 }
@@ -61,13 +61,13 @@
 BOOST_AUTO_TEST_CASE(a_host_that_wakes_refutes_its_own_death_and_undoes_nothing_else)
 {
     auto it = makeThree();
-    takeNews(it, { makeNews("h1", 10, HostState::Dead) }, at(0));
+    applyHostUpdates(it, { makeHostInfo("h1", 10, HostState::Dead) }, at(0));
     BOOST_TEST((findHost(it, "h1")->state == HostState::Alive));
     BOOST_TEST(findHost(it, "h1")->incarnation == 11u);
     // Its old view of others is older than what they know.
     auto other = makeThree();
-    takeNews(other, { makeNews("h2", 10, HostState::Leaving) }, at(5));
-    takeNews(other, { makeNews("h2", 10, HostState::Alive) }, at(6));
+    applyHostUpdates(other, { makeHostInfo("h2", 10, HostState::Leaving) }, at(5));
+    applyHostUpdates(other, { makeHostInfo("h2", 10, HostState::Alive) }, at(6));
     BOOST_TEST((findHost(other, "h2")->state == HostState::Leaving));
 }
 
@@ -75,49 +75,49 @@
 {
     auto it = makeThree();
     const std::vector<PlatformHost> list { { "h2", "x", "p", "c", "o" }, { "h3", "x", "p", "c", "o" } };
-    takeNews(it, { makeNews("h2", 10, HostState::Leaving) }, at(0));
+    applyHostUpdates(it, { makeHostInfo("h2", 10, HostState::Leaving) }, at(0));
     for (int ms = 0; ms < 300000; ms += 5000) {
-        takePlatformList(it, list, at(ms));
-        ageMembership(it, {}, at(ms));
+        applyPlatformList(it, list, at(ms));
+        expireHosts(it, {}, at(ms));
         BOOST_REQUIRE(getLiveHosts(it).size() == 2u);
     }
     // Once the list has caught up it is forgotten.
-    takePlatformList(it, { list[1] }, at(300000));
-    ageMembership(it, {}, at(300000));
+    applyPlatformList(it, { list[1] }, at(300000));
+    expireHosts(it, {}, at(300000));
     BOOST_TEST(findHost(it, "h2") == nullptr);
 }
 
 BOOST_AUTO_TEST_CASE(digest_is_of_what_is_known_and_not_of_the_way_there)
 {
     auto it = makeThree();
-    takeNews(it, { makeNews("h4", 3, HostState::Alive) }, at(0));
+    applyHostUpdates(it, { makeHostInfo("h4", 3, HostState::Alive) }, at(0));
     suspectHost(it, "h4", 1, 1, at(0));
-    ageMembership(it, {}, at(3000));
+    expireHosts(it, {}, at(3000));
     BOOST_TEST(getDigest(it) == getDigest(makeThree())); // a dead host does not count
-    ageMembership(it, {}, at(70000));
+    expireHosts(it, {}, at(70000));
     BOOST_TEST(findHost(it, "h4") == nullptr);
     BOOST_TEST(getDigest(it) == getDigest(makeThree()));
-    takeNews(it, { makeNews("h3", 11, HostState::Leaving) }, at(70000));
+    applyHostUpdates(it, { makeHostInfo("h3", 11, HostState::Leaving) }, at(70000));
     auto other = makeThree();
-    takeNews(other, { makeNews("h3", 11, HostState::Leaving) }, at(0));
+    applyHostUpdates(other, { makeHostInfo("h3", 11, HostState::Leaving) }, at(0));
     BOOST_TEST(getDigest(it) == getDigest(other));
-    ageMembership(it, {}, at(200000));
+    expireHosts(it, {}, at(200000));
     BOOST_TEST(findHost(it, "h3") == nullptr);
     BOOST_TEST(getDigest(it) != getDigest(other));
 }
 
 BOOST_AUTO_TEST_CASE(news_in_one_exchange_is_bounded_and_told_a_bounded_number_of_times)
 {
-    auto it = makeMembership(makeNews("h0", 1, HostState::Alive), at(0));
-    std::vector<HostNews> news;
+    auto it = makeMembership(makeHostInfo("h0", 1, HostState::Alive), at(0));
+    std::vector<HostInfo> updates;
     for (int i = 1; i < 500; ++i)
-        news.push_back(makeNews("h" + std::to_string(i), 1, HostState::Alive));
-    takeNews(it, news, at(0));
+        updates.push_back(makeHostInfo("h" + std::to_string(i), 1, HostState::Alive));
+    applyHostUpdates(it, updates, at(0));
     size_t told = 0;
     MembershipTimings timings;
     for (int i = 0; i < 5000; ++i) {
-        auto batch = takeNewsToTell(it, timings);
-        BOOST_REQUIRE(batch.size() <= timings.newsPerExchange);
+        auto batch = takeUpdatesToSend(it, timings);
+        BOOST_REQUIRE(batch.size() <= timings.maxUpdatesPerExchange);
         told += batch.size();
     }
     BOOST_TEST(told <= 500u * 3 * 10);
@@ -130,12 +130,12 @@
         std::mt19937 random(seed);
         constexpr size_t kHosts = 30;
         std::vector<Membership> views;
-        std::vector<HostNews> all;
+        std::vector<HostInfo> all;
         for (size_t i = 0; i < kHosts; ++i)
-            all.push_back(makeNews("h" + std::to_string(i), 1, HostState::Alive));
+            all.push_back(makeHostInfo("h" + std::to_string(i), 1, HostState::Alive));
         for (size_t i = 0; i < kHosts; ++i) {
             views.push_back(makeMembership(all[i], at(0)));
-            takeNews(views.back(), all, at(0));
+            applyHostUpdates(views.back(), all, at(0));
         }
         auto isOnOneSide = [](size_t i, size_t j) { return (i < 10) == (j < 10); };
         bool isCut = false;
@@ -143,10 +143,10 @@
             isCut = round >= 20 && round < 60;
             auto now = at(round * 500);
             for (size_t i = 0; i < kHosts; ++i) {
-                ageMembership(views[i], {}, now);
+                expireHosts(views[i], {}, now);
                 auto partners = choosePartners(views[i], 1, random());
                 if (round % 10 == 0) {
-                    if (auto dead = chooseDead(views[i], random()))
+                    if (auto dead = chooseDeadHost(views[i], random()))
                         partners.push_back(*dead);
                 }
                 for (auto& name : partners) {
@@ -155,14 +155,14 @@
                         suspectHost(views[i], name, 1, 1, now);
                         continue;
                     }
-                    std::vector<HostNews> mine;
-                    std::vector<HostNews> theirs;
+                    std::vector<HostInfo> mine;
+                    std::vector<HostInfo> theirs;
                     for (auto& [host, known] : views[i].hosts)
-                        mine.push_back(known.news);
-                    takeNews(views[j], mine, now);
+                        mine.push_back(known.info);
+                    applyHostUpdates(views[j], mine, now);
                     for (auto& [host, known] : views[j].hosts)
-                        theirs.push_back(known.news);
-                    takeNews(views[i], theirs, now);
+                        theirs.push_back(known.info);
+                    applyHostUpdates(views[i], theirs, now);
                 }
             }
         }
