--- a/src/decisions/comparison.h
+++ b/src/decisions/comparison.h
@@ -1,5 +1,5 @@
-// Whether a host that knows no position of a group may believe its primary. A primary that started again under its id still calls itself the primary and holds nothing of
-// what it had acknowledged; only its replicas, or hosts that know a floor, can contradict it.
+// Whether a host that knows no log position of a group can trust its primary. A primary that restarted under the same id
+// still reports itself as primary but has lost its log; only its replicas, or hosts that know a floor, can tell.
 //
 // COMMON MISTAKES
 //   - Counting a replica that does not answer as one that agrees.
@@ -8,15 +8,15 @@
 
 namespace alderward::decisions {
 
-// A replica that was asked what it holds.
+// A replica that was asked for its log position.
 struct QueriedReplica {
     bool hasAnswered { false };
-    bool mayPredatePrimary { true }; // its process may run for longer than the primary's, so that it can hold what the primary has lost
-    bool startedAfterPrimary { false }; // it started after the primary, and may have lost the same
+    bool mayPredatePrimary { true }; // its process may have started before the primary's, so it may hold entries that the primary lost
+    bool startedAfterPrimary { false }; // it started after the primary, so it may lack the same entries
     friend bool operator==(const QueriedReplica&, const QueriedReplica&) = default;
 };
 
-// Of the group's listed replicas. What those hold that have answered is compared apart, by hasLostLog().
+// Takes all listed replicas of the group. The positions in their answers are compared separately, by hasLostLog().
 bool canTrustPrimary(const std::vector<QueriedReplica>& replicas);
 
 }
--- a/src/decisions/failover.cpp
+++ b/src/decisions/failover.cpp
@@ -11,8 +11,8 @@
 namespace {
 
 struct PrimaryContacts {
-    size_t withContact { 0 }; // reachable replicas that still hear the primary
-    size_t withoutContact { 0 }; // reachable replicas that do not
+    size_t withContact { 0 }; // reachable replicas with recent contact to the primary
+    size_t withoutContact { 0 }; // reachable replicas without
 };
 
 }
@@ -26,7 +26,7 @@
         bool isFresh = it.probedAt >= failingSince && now - it.probedAt <= context.timings.maxStatusAge;
         if (i == primary || !it.isReachable() || !isFresh)
             continue;
-        // One that follows an older term was cut off by the last promotion, not by this fault.
+        // A replica in an older term lost contact through the last promotion, not through a failure of the present primary.
         bool hasContact = it.status.term == context.health.term && it.status.primaryContactAge < context.timings.primaryContactTimeout;
         ++(hasContact ? contacts.withContact : contacts.withoutContact);
     }
@@ -42,7 +42,7 @@
     bool isSilent = now - it.failingSince >= context.timings.silenceTimeout;
     if (!isRefusing && !isSilent)
         return {};
-    // Too few answer to fence a majority, or one still hears the primary: then the fault is our path, not the primary.
+    // If a replica still has contact, or too few answer to fence a majority, the network path of this host may be at fault.
     auto contacts = countPrimaryContacts(context, primary, now);
     if (contacts.withContact > 0 || contacts.withoutContact < context.record.getMajority())
         return {};
@@ -61,7 +61,7 @@
     return "no member is primary";
 }
 
-// ---- small steps ----
+// ---- helpers ----
 
 static void setPhase(FailoverState& state, FailoverPhase phase, TimePoint now)
 {
@@ -69,10 +69,10 @@
     state.phaseStartedAt = now;
 }
 
-static void endAttempt(FailoverStep& step, const FailoverContext& context, TimePoint now, const std::string& why)
+static void endAttempt(FailoverStep& step, const FailoverContext& context, TimePoint now, const std::string& reason)
 {
-    if (!why.empty())
-        step.actions.emplace_back(AddTimelineEntry { "promotion-ended", fmt::format("term {}: {}", step.state.term, why) });
+    if (!reason.empty())
+        step.actions.emplace_back(AddTimelineEntry { "promotion-ended", fmt::format("term {}: {}", step.state.term, reason) });
     setPhase(step.state, FailoverPhase::Idle, now);
     step.state.earliestStart = now + context.timings.retryDelay;
     step.state.grants.clear();
@@ -81,7 +81,7 @@
     step.state.isPlanned = false;
 }
 
-// Why the record's bounds forbid an automatic promotion now; empty if they do not.
+// Returns why the group's promotion settings forbid a promotion now; empty if they allow it.
 static std::string getPromotionBlocker(const FailoverContext& context, FailoverState& state, TimePoint now)
 {
     auto& limits = context.record.promotion;
@@ -123,8 +123,8 @@
     }
 }
 
-// The claim decides for a group whose members cannot fence: the store takes only one claim for a term, promote() at the
-// claimed term opens it, and follow() at the higher term closes the old one.
+// Groups whose members do not support fencing rely on the claim: the store accepts one claim for each term. The follow
+// requests of the new term end the old one.
 static std::optional<size_t> chooseWithoutFence(const FailoverContext& context)
 {
     std::optional<size_t> best;
@@ -164,7 +164,7 @@
 
 // ---- fencing ----
 
-// The highest (term, position) among the grants. A leaving member is taken only if no other is as far.
+// Chooses the grant with the highest log term and position. A leaving member is chosen only if no other is as advanced.
 static size_t chooseMostAdvanced(const FailoverContext& context, const FailoverState& state)
 {
     auto getLogOrder = [&](const std::pair<const size_t, FenceAnswer>& it) {
@@ -209,16 +209,16 @@
         endAttempt(step, context, now, "the leaving primary did not grant the term");
 }
 
-// ---- planned hand-over ----
+// ---- planned handover ----
 
 static bool hasReplicaCaughtUp(const FailoverContext& context, const FailoverState& state)
 {
     if (!context.health.primary || !state.grants.contains(*context.health.primary))
         return false;
-    auto& wanted = state.grants.at(*context.health.primary).log;
+    auto& required = state.grants.at(*context.health.primary).log;
     for (size_t i = 0; i < context.health.members.size(); ++i) {
         auto& it = context.health.members[i];
-        if (i != *context.health.primary && it.isReachable() && !context.isLeaving[i] && it.status.log.term == wanted.term && it.status.log.position >= wanted.position)
+        if (i != *context.health.primary && it.isReachable() && !context.isLeaving[i] && it.status.log.term == required.term && it.status.log.position >= required.position)
             return true;
     }
     return false;
@@ -241,11 +241,11 @@
 
 // ---- ticks by phase ----
 
-static void setHoldBackReason(FailoverStep& step, const std::string& why)
+static void setHoldBackReason(FailoverStep& step, const std::string& reason)
 {
-    if (step.state.holdBackReason != why && !why.empty())
-        step.actions.emplace_back(AddTimelineEntry { "promotion-held-back", why });
-    step.state.holdBackReason = why;
+    if (step.state.holdBackReason != reason && !reason.empty())
+        step.actions.emplace_back(AddTimelineEntry { "promotion-held-back", reason });
+    step.state.holdBackReason = reason;
 }
 
 static void tickIdle(FailoverStep& step, const FailoverContext& context, TimePoint now)
@@ -280,7 +280,7 @@
         startClaiming(step, context, now);
 }
 
-// After a pause every probe looks failed and every answer is old: wait until new answers are in.
+// After a pause of the process all health data is stale, so no attempt starts until new probes have been answered.
 static void detectPause(FailoverState& state, const FailoverContext& context, TimePoint now)
 {
     bool wasPaused = state.lastTickAt != TimePoint {} && now - state.lastTickAt > context.timings.maxTickGap;
@@ -303,7 +303,7 @@
     case FailoverPhase::Waiting:
         return tickWaiting(step, context, now);
     case FailoverPhase::Claiming:
-        // The controller answers within claimTimeout; twice that means that its answer is lost.
+        // The controller answers within claimTimeout, so after twice that time the answer is lost.
         if (elapsed >= context.timings.claimTimeout * 2)
             endAttempt(step, context, now, "no answer about the claim");
         return;
@@ -374,7 +374,7 @@
     return step;
 }
 
-// A member that was away during a promotion learns of it here. It has not granted a later term, or it would refuse.
+// Covers members that were unreachable during a promotion. Members that granted a later term would refuse and are skipped.
 std::vector<SendFollow> getPendingFollows(const GroupRecord& record, const GroupHealth& health)
 {
     std::vector<SendFollow> actions;
--- a/src/decisions/failover.h
+++ b/src/decisions/failover.h
@@ -1,7 +1,7 @@
-// Failover and planned hand-over of one group's primary, as one state machine:
+// State machine for failover and planned handover of a group's primary:
 //     idle -> waiting -> claiming -> draining -> fencing -> promoting -> idle
-// The members are their own arbiter: a term belongs to whoever fences a majority of them (docs/design/0002-failover.md).
-// Nothing here does I/O: stepFailover() says what to do, and the answers come back as events.
+// A host may promote a member in a term only after a majority of the members accepted its fence request for that term
+// (docs/design/0002-failover.md). This code does no I/O: stepFailover() returns actions, and their results arrive as events.
 #pragma once
 #include "decisions/health.h"
 #include <deque>
@@ -14,67 +14,67 @@
 namespace alderward::decisions {
 
 struct FailoverTimings {
-    milliseconds refusalTimeout { 100 }; // ms; a primary whose port refuses is down after this
-    milliseconds silenceTimeout { 500 }; // ms; a primary that does not answer is down after this
-    milliseconds primaryContactTimeout { 250 }; // ms; a replica that heard its primary within this still has it
-    milliseconds rankDelay { 250 }; // ms; a candidate of the next rank starts this much later
-    milliseconds claimTimeout { 100 }; // ms; wait for the platform's store
-    milliseconds fenceGracePeriod { 30 }; // ms; wait for more grants after a majority granted
-    milliseconds fenceTimeout { 400 }; // ms; then the attempt ends
-    milliseconds promoteTimeout { 400 }; // ms; then the attempt ends
-    milliseconds catchUpTimeout { 3000 }; // ms; a planned hand-over waits this long for a replica to catch up
-    milliseconds maxHandoverLag { 1000 }; // ms; a planned hand-over starts only if some replica is this close
-    milliseconds retryDelay { 300 }; // ms; pause after an attempt that ended
-    milliseconds maxTickGap { 400 }; // ms; between ticks; after a longer gap this process was paused and knows nothing
-    milliseconds maxStatusAge { 600 }; // ms; a replica's word on its primary counts this long
+    milliseconds refusalTimeout { 100 }; // ms; a primary that refuses connections this long is considered down
+    milliseconds silenceTimeout { 500 }; // ms; a primary that does not answer this long is considered down
+    milliseconds primaryContactTimeout { 250 }; // ms; a replica whose last contact with its primary is younger is connected to it
+    milliseconds rankDelay { 250 }; // ms; additional start delay for each rank
+    milliseconds claimTimeout { 100 }; // ms; for an answer of the platform's store
+    milliseconds fenceGracePeriod { 30 }; // ms; wait for further grants after a majority granted
+    milliseconds fenceTimeout { 400 }; // ms
+    milliseconds promoteTimeout { 400 }; // ms
+    milliseconds catchUpTimeout { 3000 }; // ms; in a planned handover, for a replica to catch up
+    milliseconds maxHandoverLag { 1000 }; // ms; a planned handover requires a replica that lags no more
+    milliseconds retryDelay { 300 }; // ms; between the end of an attempt and the next
+    milliseconds maxTickGap { 400 }; // ms; a longer gap between ticks means that the process was paused and its health data is stale
+    milliseconds maxStatusAge { 600 }; // ms; older statuses say nothing about a replica's contact with its primary
 };
 
 enum class FailoverPhase { Idle,
-    Waiting, // the primary looks down; waiting for this host's turn
-    Claiming, // writing the claim to the platform's store
-    Draining, // planned: the old primary is fenced, a replica is catching up
-    Fencing, // asking the members for the new term
-    Promoting, // a majority granted it; the best member is told
+    Waiting, // the primary is considered down; waiting for the delay of this host's rank
+    Claiming, // writing the claim for the term to the platform's store
+    Draining, // planned handover: the old primary is fenced, a replica catches up
+    Fencing, // sending fence requests for the new term to the members
+    Promoting, // a majority granted the term; the most advanced member is being promoted
 };
 
-// A member's answer to fence().
+// A member's answer to a fence request.
 struct FenceAnswer {
     bool isGranted { false };
-    uint64_t fencedTerm { 0 }; // what it has promised so far
+    uint64_t fencedTerm { 0 }; // highest term that the member has granted
     LogState log {};
     friend bool operator==(const FenceAnswer&, const FenceAnswer&) = default;
 };
 
 struct FailoverState {
     FailoverPhase phase { FailoverPhase::Idle };
-    bool isPlanned { false }; // a leaving primary is handed over, not a failed one replaced
-    uint64_t term { 0 }; // the term this attempt is for
+    bool isPlanned { false }; // a handover from a leaving primary, not the replacement of a failed one
+    uint64_t term { 0 }; // term of the current or last attempt
     TimePoint phaseStartedAt {};
-    TimePoint startedAt {}; // when the suspicion began
-    TimePoint earliestStart {}; // no new attempt before this
-    TimePoint lastTickAt {}; // last tick
-    std::map<size_t, FenceAnswer> grants {}; // by member
-    std::set<size_t> refusals {}; // members that refused or did not answer
-    TimePoint majorityGrantedAt {}; // when a majority had granted
-    std::optional<size_t> chosenMember {};
-    uint64_t promotedTerm { 0 }; // of the last promotion that this host carried out
-    uint64_t highestTerm { 0 }; // largest term heard of in any answer
-    std::deque<TimePoint> recentPromotions {}; // automatic ones seen in the last hour, oldest first
-    std::string holdBackReason {}; // why an automatic promotion that is due is not done; empty: none is
-    std::string cause {}; // of the present attempt
+    TimePoint startedAt {}; // when the present attempt became due
+    TimePoint earliestStart {}; // no attempt starts earlier
+    TimePoint lastTickAt {};
+    std::map<size_t, FenceAnswer> grants {}; // by member index
+    std::set<size_t> refusals {}; // indices of members that refused or did not answer
+    TimePoint majorityGrantedAt {}; // when the number of grants reached a majority
+    std::optional<size_t> chosenMember {}; // index of the member that is being promoted
+    uint64_t promotedTerm { 0 }; // of the last promotion by this host
+    uint64_t highestTerm { 0 }; // highest term in any answer to a claim or fence request
+    std::deque<TimePoint> recentPromotions {}; // automatic promotions within the last hour, oldest first
+    std::string holdBackReason {}; // why a promotion that is due is not started; empty: none is withheld
+    std::string cause {}; // of the current attempt
     friend bool operator==(const FailoverState&, const FailoverState&) = default;
 };
 
 // ---- events ----
 
-// The timer, or news about health.
+// Sent by the timer and after each change of the health data.
 struct Tick {
     friend bool operator==(const Tick&, const Tick&) = default;
 };
 
-enum class ClaimOutcome { Taken, // the store holds our claim
-    Lost, // the store holds another claim for this term or a later one
-    Unavailable }; // no answer in time
+enum class ClaimOutcome { Taken, // the store holds this host's claim
+    Lost, // the store holds another host's claim for this term, or one for a later term
+    Unavailable }; // the store did not answer in time
 
 struct ClaimAnswered {
     uint64_t term { 0 };
@@ -124,14 +124,14 @@
     friend bool operator==(const SendFollow&, const SendFollow&) = default;
 };
 
-// Tells the group's other homes at once, and the claim in the store if it is missing.
+// Notifies the group's other homes of the new primary, and writes the claim if the store lacks it.
 struct AnnouncePrimary {
     uint64_t term { 0 };
     size_t primary { 0 };
     friend bool operator==(const AnnouncePrimary&, const AnnouncePrimary&) = default;
 };
 
-// For the time line.
+// Adds an entry to the host's timeline.
 struct AddTimelineEntry {
     std::string kind {};
     std::string cause {};
@@ -145,21 +145,21 @@
     std::vector<FailoverAction> actions {};
 };
 
-// What a step may look at besides its own state.
+// Read-only inputs of a step.
 struct FailoverContext {
     const GroupRecord& record;
     const GroupHealth& health;
-    std::vector<bool> isLeaving {}; // by member: the record or the platform's list says so
-    size_t rank { 0 }; // this host's turn among the homes; 0 goes first
+    std::vector<bool> isLeaving {}; // by member index; from the record or the platform's list
+    size_t rank { 0 }; // position of this host among the group's homes; 0 starts first
     FailoverTimings timings {};
 };
 
 FailoverStep stepFailover(const FailoverContext& context, FailoverState state, const FailoverEvent& event, TimePoint now);
 
-// Whether the group's primary looks down, and why. Empty: it does not.
+// Returns why the group's primary is considered down; empty if it is not.
 std::string getPrimaryDownReason(const FailoverContext& context, TimePoint now);
 
-// Members that work in an older term than the known primary's and must be told to follow it.
+// Returns a follow request for each reachable member that does not yet follow the known primary in its term.
 std::vector<SendFollow> getPendingFollows(const GroupRecord& record, const GroupHealth& health);
 
 }
--- a/src/decisions/group_state.cpp
+++ b/src/decisions/group_state.cpp
@@ -30,7 +30,7 @@
     return !std::ranges::equal(before.members, after.members, {}, &MemberHealth::isReachable, &MemberHealth::isReachable);
 }
 
-// Every home sees a new primary in its probes. One that another home promoted counts against the record's bounds here, too.
+// Every home sees a new primary in its probes. Promotions by other homes also count against the group's promotion limits.
 static void reportPrimaryChange(GroupStep& step, const GroupHealth& before, TimePoint now)
 {
     auto& state = step.state;
--- a/src/decisions/group_state.h
+++ b/src/decisions/group_state.h
@@ -1,6 +1,6 @@
-// One group as one of its homes knows it: record, health and failover in one value, and the one function that changes it.
-// A controller feeds it what comes in and carries out what it asks for. The same events give the same actions again, which
-// is what a recorded trace is replayed for (decisions/trace.h).
+// State of one group at one of its homes: record, health and failover, changed by a single function. A controller passes
+// events in and performs the returned actions. The same events always give the same actions, so that a recorded trace can
+// be replayed (decisions/trace.h).
 #pragma once
 #include "decisions/failover.h"
 #include "decisions/health.h"
@@ -11,11 +11,11 @@
 
 struct GroupState {
     GroupRecord record {};
-    std::vector<bool> isLeaving {}; // by member: the record or the platform's list says so
-    size_t rank { 0 }; // this host's turn among the homes; 0 goes first
+    std::vector<bool> isLeaving {}; // by member index; from the record or the platform's list
+    size_t rank { 0 }; // position of this host among the group's homes; 0 starts first
     GroupHealth health {};
     FailoverState failover {};
-    uint64_t lastReportedTerm { 0 }; // of the newest primary that was noted
+    uint64_t lastReportedTerm { 0 }; // term of the last primary that was added to the timeline
     friend bool operator==(const GroupState&, const GroupState&) = default;
 };
 
@@ -24,12 +24,12 @@
 // The record, the list of leaving members or the homes changed.
 struct GroupConfigurationChanged {
     GroupRecord record {};
-    std::vector<bool> isLeaving {}; // by member
+    std::vector<bool> isLeaving {}; // by member index
     size_t rank { 0 };
     friend bool operator==(const GroupConfigurationChanged&, const GroupConfigurationChanged&) = default;
 };
 
-// The host has become a home, or works anew after a change of the record.
+// The host has become a home of the group, or resumes after a change of the record.
 struct ServingStarted {
     friend bool operator==(const ServingStarted&, const ServingStarted&) = default;
 };
@@ -50,7 +50,7 @@
 
 struct ProbeFailed {
     size_t member { 0 };
-    bool wasRefused { false }; // nothing listens there
+    bool wasRefused { false }; // the connection was refused
     TimePoint askedAt {};
     friend bool operator==(const ProbeFailed&, const ProbeFailed&) = default;
 };
--- a/src/decisions/health.cpp
+++ b/src/decisions/health.cpp
@@ -19,7 +19,7 @@
     return highest;
 }
 
-// The primary of the largest term in which one is known. One that promised to a later term is a primary no more.
+// Finds the primary of the highest term. A primary that granted a later term no longer counts.
 static std::optional<size_t> findPrimary(const GroupHealth& health)
 {
     std::optional<size_t> found;
@@ -33,13 +33,13 @@
     return found;
 }
 
-// A majority fenced or working above a term proves that its primary is superseded, even if we cannot reach it.
+// Once a majority is in or has granted a higher term, the primary is superseded, even if it cannot be reached.
 static bool isSuperseded(const GroupHealth& health, uint64_t term)
 {
-    auto above = std::ranges::count_if(health.members, [term](const MemberHealth& it) {
+    auto inHigherTerm = std::ranges::count_if(health.members, [term](const MemberHealth& it) {
         return it.isKnown && std::max(it.status.term, it.status.fencedTerm) > term;
     });
-    return static_cast<size_t>(above) > health.members.size() / 2;
+    return static_cast<size_t>(inHigherTerm) > health.members.size() / 2;
 }
 
 static void updatePrimary(GroupHealth& health, TimePoint now)
@@ -56,26 +56,26 @@
     health.term = term;
 }
 
-// A mark is confirmed once a majority, the primary included, stood in the term when asked at or after the mark's time.
+// Confirms checkpoints for which a majority, including the primary, was active in the term in answers to later probes.
 static void confirmCheckpoints(GroupHealth& health)
 {
     for (auto& checkpoint : health.freshnessCheckpoints) {
         if (checkpoint.isConfirmed)
             continue;
-        auto standing = std::ranges::count_if(health.members, [&](const MemberHealth& it) {
+        auto active = std::ranges::count_if(health.members, [&](const MemberHealth& it) {
             return it.isKnown && it.askedAt >= checkpoint.askedAt && it.status.isActiveInTerm(health.term);
         });
-        checkpoint.isConfirmed = static_cast<size_t>(standing) > health.members.size() / 2;
+        checkpoint.isConfirmed = static_cast<size_t>(active) > health.members.size() / 2;
     }
 }
 
-// Marks nearer to each other than this would push out the old ones, which lagging replicas are measured by.
+// A minimum interval keeps frequent replies from evicting the old checkpoints that lagging replicas need.
 static bool isCheckpointDue(const GroupHealth& health, TimePoint askedAt)
 {
     return health.freshnessCheckpoints.empty() || askedAt - health.freshnessCheckpoints.back().askedAt >= kFreshnessCheckpointInterval;
 }
 
-// Old marks go first, but the newest confirmed one always stays: dropping it would make a reachable group look ageless.
+// Evicts the oldest checkpoint, but never the newest confirmed one: without it, no staleness bound would be known.
 static void addCheckpoint(GroupHealth& health, const FreshnessCheckpoint& checkpoint)
 {
     health.freshnessCheckpoints.push_back(checkpoint);
@@ -112,7 +112,7 @@
     return piggybacked.term == status.term && piggybacked.fencedTerm == status.fencedTerm && piggybacked.log.term == status.log.term;
 }
 
-// The bound of an age stays an upper one: a glimpse of the primary shows at least the position it had when it was asked.
+// The staleness bound stays an upper bound: the primary reports at least the position that it had at `askedAt`.
 GroupHealth applyPiggybackedStatus(GroupHealth health, size_t index, const PiggybackedStatus& piggybacked, TimePoint askedAt, TimePoint now)
 {
     auto& it = health.members[index];
@@ -140,13 +140,13 @@
         return sentAt + timings.unreachableInterval;
     if (!isGroupHealthy(health))
         return sentAt + timings.interval;
-    // Of a group that nobody uses, one home watches the primary closely; it tells the others of a new one.
+    // Only the first home probes the primary of an idle group at the full rate; it notifies the others of a new primary.
     bool isWatched = !timings.isIdle || (timings.isFirstHome && health.primary == index);
     auto interval = isWatched ? timings.interval : timings.idleInterval;
-    // Steady answers would end just before a fault, and each detection begin a whole interval after it; without them it is
-    // half of one on the mean. So the primary is given no more than that.
-    auto patience = health.primary == index ? interval / 2 : interval;
-    return std::min(std::max(sentAt + interval, it.askedAt + patience), sentAt + timings.fullStatusInterval);
+    // Under steady traffic the last reply comes just before a fault, which would delay its detection by a whole interval.
+    // Half an interval for the primary matches the mean delay without traffic.
+    auto maxSilence = health.primary == index ? interval / 2 : interval;
+    return std::min(std::max(sentAt + interval, it.askedAt + maxSilence), sentAt + timings.fullStatusInterval);
 }
 
 GroupHealth applyProbeFailure(GroupHealth health, size_t index, bool wasRefused, TimePoint askedAt)
--- a/src/decisions/leaving.cpp
+++ b/src/decisions/leaving.cpp
@@ -5,7 +5,7 @@
 
 bool acceptsNewOperations(std::optional<TimePoint> leavingSince, milliseconds drainTime, TimePoint now)
 {
-    auto margin = std::min(kDrainSafetyMargin, drainTime / 2); // a short drain time is not all reserve
+    auto margin = std::min(kDrainSafetyMargin, drainTime / 2); // leaves half of a short drain time usable
     return !leavingSince || now < *leavingSince + drainTime - margin;
 }
 
--- a/src/decisions/leaving.h
+++ b/src/decisions/leaving.h
@@ -1,25 +1,25 @@
-// How long a member that leaves, or that the platform's list has dropped, may be used.
+// How long operations may be sent to a member that is leaving, or that the platform no longer lists.
 //
-// A member that leaves serves on for the drain time, in which a primary is to be handed over. That can be held up by anything: a lost store, orders
-// without an answer, replicas out of reach. So the bound is no part of the handover: whoever sends an operation looks at the clock itself.
+// A leaving member serves for the drain time, in which a primary is to be handed over. The deadline holds even if the
+// handover is delayed, so every sender checks it.
 //
 // COMMON MISTAKES
-//   - Checking where a statement is routed only. It may wait for its turn before the member until the time is over.
+//   - Checking only when a statement is routed. It may be queued for the member until the time is over.
 #pragma once
 #include "decisions/freshness.h"
 #include <optional>
 
 namespace alderward::decisions {
 
-// A host hears of a leaving late by the pause after a watch that answered, 1 s at most, and a statement is on its way for some tens of ms.
+// Covers the delay until a host learns that a member is leaving, and the transit time of a statement.
 inline constexpr milliseconds kDrainSafetyMargin { 1500 };
 
-// Whether a new operation may be sent at `now` to a member that has been known to leave since `leavingSince`; empty: it does not leave.
-// Later statements of a transaction are not new ones.
+// Whether a new operation may be sent at `now` to a member that has been leaving since `leavingSince`; empty if it is not
+// leaving. Later statements of a transaction are not new operations.
 bool acceptsNewOperations(std::optional<TimePoint> leavingSince, milliseconds drainTime, TimePoint now);
 
-// Since when a member counts as leaving that was found so, and nobody saw it begin: a host that has just started, or had lost the store. Half of
-// the drain time is taken to be over.
+// Estimates when a member began to leave that was already leaving when this host first saw it, after a start or a loss of
+// the store. Assumes that half of the drain time is over.
 TimePoint estimateLeavingSince(milliseconds drainTime, TimePoint foundAt);
 
 }
--- a/src/decisions/membership.cpp
+++ b/src/decisions/membership.cpp
@@ -6,7 +6,7 @@
 
 namespace alderward::decisions {
 
-static constexpr unsigned kRetransmitMultiplier = 3; // info is told this many times the logarithm of the number of hosts
+static constexpr unsigned kRetransmitMultiplier = 3; // transmissions of an update, in multiples of the logarithm of the number of hosts
 
 std::string_view getHostStateName(HostState state)
 {
@@ -27,7 +27,7 @@
     return kRetransmitMultiplier * static_cast<unsigned>(std::ceil(std::log2(static_cast<double>(membership.hosts.size()) + 2)));
 }
 
-// What one host adds to the digest. Computing the whole digest for each exchange grew with the fleet.
+// Contribution of one host to the digest, which is updated incrementally to keep the cost independent of the number of hosts.
 static uint64_t getDigestContribution(const HostInfo& info)
 {
     bool isCounted = !info.name.empty() && info.state != HostState::Dead;
@@ -61,8 +61,8 @@
     return std::pair(info.incarnation, info.state) > std::pair(known.incarnation, known.state);
 }
 
-// We live, whatever others say. A host that was frozen and came back finds itself dead in others' info and answers with
-// a higher incarnation; a host that is leaving stays so.
+// Refutes any update about this host that supersedes its own info, by a higher incarnation. A host that was frozen may find
+// itself declared dead. Its own state, such as leaving, stays.
 static bool refuteSuspicion(Membership& membership, const HostInfo& info, TimePoint now)
 {
     auto self = membership.hosts[membership.self].info;
@@ -199,7 +199,7 @@
         if (isLive(known) && name != membership.self)
             names.push_back(&name);
     }
-    // A shuffle that stops after `count` places: ranking all hosts for one partner grew with the fleet.
+    // A partial Fisher-Yates shuffle, so that the cost does not depend on the number of hosts.
     std::vector<std::string> partners;
     for (size_t i = 0; i < std::min(count, names.size()); ++i) {
         auto j = i + getHash(fmt::format("{}", i), seed) % (names.size() - i);
--- a/src/decisions/progress.cpp
+++ b/src/decisions/progress.cpp
@@ -4,7 +4,7 @@
 
 namespace alderward::decisions {
 
-static constexpr double kMaxExtrapolationSeconds = 1; // a speed is not carried further than this: it may have changed
+static constexpr double kMaxExtrapolationSeconds = 1; // the rate may have changed after this
 
 LogProgress applyPosition(const LogProgress& progress, const Mark& position, TimePoint observedAt)
 {
--- a/src/decisions/trace.cpp
+++ b/src/decisions/trace.cpp
@@ -67,7 +67,7 @@
 
 namespace {
 
-// Writes the fields of one event; the name of the event is field "event".
+// Writes an event's fields to a line; "event" holds its name.
 struct EventWriter {
     json::object& line;
     TimePoint origin;
@@ -145,11 +145,11 @@
     return json::serialize(line);
 }
 
-// ---- reading: any fault throws and is reported with its line by parseTrace() ----
+// ---- reading: errors are thrown, and parseTrace() reports them with their line ----
 
 static TimePoint readTime(const json::value& value)
 {
-    // Any origin will do, as long as times before it stay above the clock's zero, which means "never".
+    // The origin is arbitrary, but times before it must stay above the clock's zero, which means "never".
     return TimePoint {} + std::chrono::hours(1) + microseconds(value.to_number<int64_t>());
 }
 
@@ -227,7 +227,7 @@
         return FailoverEvent { readFence(line) };
     if (name == "promote")
         return FailoverEvent { PromoteAnswered { line.at("term").to_number<uint64_t>(), line.at("done").as_bool() } };
-    throw std::runtime_error("no event is called " + name);
+    throw std::runtime_error("unknown event: " + name);
 }
 
 static TraceEntry readEntry(const std::string& text)
--- a/src/decisions/trace.h
+++ b/src/decisions/trace.h
@@ -1,6 +1,6 @@
-// Recorded traces: what came in at one home of a group and what was decided, as lines of JSON, and their replay.
-// A trace begins when the host becomes a home and holds every event since, or it could not be replayed.
-// [debug] trace_events turns recording on; GET /debug/trace?group=NAME shows it; `alderctl replay FILE` replays it.
+// Recording and replay of the events and actions of a group at one of its homes, as lines of JSON. A trace is complete from
+// the time the host becomes a home; otherwise it could not be replayed. [debug] trace_events enables recording,
+// GET /debug/trace?group=NAME returns the trace, and `alderctl replay FILE` replays it.
 #pragma once
 #include "decisions/group_state.h"
 #include <string>
@@ -9,29 +9,28 @@
 
 namespace alderward::decisions {
 
-// Times in traces are whole microseconds: a controller rounds its times down before it uses them, so that a replay compares
-// the same numbers.
+// Traces store whole microseconds. Controllers truncate times before use, so that a replay computes with the same values.
 TimePoint truncateToMicroseconds(TimePoint time);
 
 struct TraceEntry {
     TimePoint now {};
     GroupEvent event {};
-    std::vector<std::string> actions {}; // as formatAction() writes them
+    std::vector<std::string> actions {}; // as returned by formatAction()
     friend bool operator==(const TraceEntry&, const TraceEntry&) = default;
 };
 
-// One action in words: "fence orders-b in term 2".
+// Formats an action for the trace, for example "fence orders-b in term 2".
 std::string formatAction(const FailoverAction& action, const GroupRecord& record);
 
-// One line each, without line ends. Times are relative to `origin`.
+// Formats an entry as one line without a line end. Times are relative to `origin`.
 std::string formatTraceEntry(const TraceEntry& entry, TimePoint origin);
-// The error names the line.
+// Parses a whole trace. The error gives the line number.
 tl::expected<std::vector<TraceEntry>, std::string> parseTrace(const std::string& text);
 
 struct ReplayResult {
     GroupState state {}; // after the last entry
-    std::vector<std::string> actions {}; // all of them, in order
-    std::string firstDifference {}; // the first entry whose actions differ from the recorded ones; empty: none
+    std::vector<std::string> actions {}; // of all entries, in order
+    std::string firstDifference {}; // describes the first entry whose actions differ from the recorded ones; empty if none does
 };
 
 ReplayResult replayTrace(const std::vector<TraceEntry>& entries);
--- a/tests/unit/trace_test.cpp
+++ b/tests/unit/trace_test.cpp
@@ -110,7 +110,7 @@
 
 BOOST_AUTO_TEST_CASE(bad_line_is_named)
 {
-    BOOST_TEST(parseTrace("{\"atUs\":1,\"event\":\"tick\"}\n{\"atUs\":2,\"event\":\"wish\"}\n").error() == "line 2: no event is called wish");
+    BOOST_TEST(parseTrace("{\"atUs\":1,\"event\":\"tick\"}\n{\"atUs\":2,\"event\":\"wish\"}\n").error() == "line 2: unknown event: wish");
     BOOST_TEST(parseTrace("{\"atUs\":1,\"event\":\"tick\"}\n\nnonsense\n").error().starts_with("line 3: "));
 }
 
