--- a/src/decisions/progress.h
+++ b/src/decisions/progress.h
@@ -12,17 +12,17 @@
     TimePoint observedAt {}; // of `position`
     Mark rateBase {}; // position from which the rate is measured
     TimePoint rateBaseAt {};
-    double positionsPerSecond { 0 }; // 0: not known
+    double positionsPerSecond { 0 }; // 0: unknown, or the log is idle
     TimePoint lastRefusalAt {}; // when the member last lacked the position that a read required
     friend bool operator==(const LogProgress&, const LogProgress&) = default;
 };
 
-inline constexpr milliseconds kMinRateInterval { 250 }; // minimum time between the observations of a rate
+inline constexpr milliseconds kMinRateInterval { 250 }; // minimum time between the two observations that give a rate
 
-// The member's log stood at `position` at `at`. What is older than what is known changes nothing. A log that went back, as after a change of
-// primary, is followed.
+// Applies an observed position. Older observations are ignored. A position that goes back, as after a change of primary, is
+// accepted and resets the rate.
 LogProgress applyPosition(const LogProgress& progress, const Mark& position, TimePoint observedAt);
-// The member lacked what a read needed at `at`. Says nothing of where the log stands, and hides nothing that is heard of that.
+// Records that the member lacked the position that a read required. The observed position stays.
 LogProgress applyRefusal(const LogProgress& progress, TimePoint observedAt);
 // Extrapolates the position at `now` by the rate.
 Mark estimatePosition(const LogProgress& progress, TimePoint now);
--- a/tests/unit/comparison_test.cpp
+++ b/tests/unit/comparison_test.cpp
@@ -1,4 +1,4 @@
-// Whether a host that knows no position of a group may believe its primary.
+// Whether a host that knows no log position of a group can trust its primary.
 #include "decisions/comparison.h"
 #include "gateway/cluster_view.h"
 #include <boost/test/unit_test.hpp>
@@ -13,54 +13,54 @@
 const TimePoint kStart = TimePoint() + milliseconds(100000);
 constexpr QueriedReplica kSilent { false, true };
 constexpr QueriedReplica kAnswered { true, true };
-constexpr QueriedReplica kAlikeAnswered { true, false };
-constexpr QueriedReplica kAlikeSilent { false, false };
-constexpr QueriedReplica kYoungSilent { false, false, true };
-constexpr QueriedReplica kYoungAnswered { true, false, true };
+constexpr QueriedReplica kSameAgeAnswered { true, false };
+constexpr QueriedReplica kSameAgeSilent { false, false };
+constexpr QueriedReplica kYoungerSilent { false, false, true };
+constexpr QueriedReplica kYoungerAnswered { true, false, true };
 
 }
 
 BOOST_AUTO_TEST_SUITE(comparison)
 
-BOOST_AUTO_TEST_CASE(a_replica_that_does_not_answer_agrees_with_nothing)
+BOOST_AUTO_TEST_CASE(replica_without_an_answer_does_not_count_as_agreement)
 {
     BOOST_TEST(!canTrustPrimary({ kSilent, kSilent }));
     BOOST_TEST(!canTrustPrimary({ kSilent }));
     BOOST_TEST(canTrustPrimary({ kAnswered, kAnswered }));
-    BOOST_TEST(canTrustPrimary({ kAnswered, kSilent })); // with the primary two of three, as for a promotion
+    BOOST_TEST(canTrustPrimary({ kAnswered, kSilent })); // a majority of three with the primary
     BOOST_TEST(!canTrustPrimary({ kAnswered, kSilent, kSilent, kSilent }));
 }
 
-BOOST_AUTO_TEST_CASE(a_replica_that_started_after_the_primary_is_not_needed_and_tells_nothing)
+BOOST_AUTO_TEST_CASE(replica_that_started_after_the_primary_is_not_counted)
 {
     BOOST_TEST(canTrustPrimary({}));
-    BOOST_TEST(canTrustPrimary({ kYoungSilent, kYoungSilent })); // a new group whose replicas are late
-    BOOST_TEST(!canTrustPrimary({ kYoungAnswered, kSilent })); // it started with nothing, too
-    BOOST_TEST(canTrustPrimary({ kYoungSilent, kAnswered }));
+    BOOST_TEST(canTrustPrimary({ kYoungerSilent, kYoungerSilent })); // a new group whose replicas start later
+    BOOST_TEST(!canTrustPrimary({ kYoungerAnswered, kSilent })); // the replica that answered may lack the same entries
+    BOOST_TEST(canTrustPrimary({ kYoungerSilent, kAnswered }));
 }
 
-// All hosts started 2 s after a handover: the old primary, the oldest of four by its count, had ended and was still listed. The group was refused until its entry lapsed.
-BOOST_AUTO_TEST_CASE(a_member_that_has_ended_and_is_still_listed_does_not_stop_a_group_whose_other_replicas_answer)
+// Guards against a group being refused until the entry of its old primary, which has ended, expires.
+BOOST_AUTO_TEST_CASE(ended_member_that_is_still_listed_does_not_block_a_group_whose_other_replicas_answer)
 {
-    BOOST_TEST(canTrustPrimary({ kAlikeAnswered, kAlikeAnswered, kSilent }));
-    BOOST_TEST(!canTrustPrimary({ kAlikeAnswered, kAlikeSilent, kSilent }));
-    BOOST_TEST(canTrustPrimary({ kAlikeSilent, kAlikeSilent }));
+    BOOST_TEST(canTrustPrimary({ kSameAgeAnswered, kSameAgeAnswered, kSilent }));
+    BOOST_TEST(!canTrustPrimary({ kSameAgeAnswered, kSameAgeSilent, kSilent }));
+    BOOST_TEST(canTrustPrimary({ kSameAgeSilent, kSameAgeSilent }));
 }
 
-BOOST_AUTO_TEST_CASE(which_process_is_older_goes_by_whatever_speaks_for_it)
+BOOST_AUTO_TEST_CASE(either_start_time_or_sequence_may_show_an_older_process)
 {
     BOOST_TEST(mayBeOlder({ 1000, 1 }, { 1001, 1 }));
     BOOST_TEST(!mayBeOlder({ 1001, 1 }, { 1000, 1 }));
     BOOST_TEST(!mayBeOlder({ 1000, 1 }, { 1000, 1 }));
     BOOST_TEST(mayBeOlder({ 0, 40 }, { 0, 3 }));
-    BOOST_TEST(!mayBeOlder({ 0, 41 }, { 0, 40 })); // two that started together count at different moments
-    BOOST_TEST(!mayBeOlder({ 0, 43 }, { 0, 40 })); // and one has said that it leaves, and that its role changed twice
-    BOOST_TEST(mayBeOlder({ 5000, 40 }, { 1000, 3 })); // a clock that is wrong
-    BOOST_TEST(mayBeOlder({ 0, 0 }, { 0, 0 })); // nothing is said
+    BOOST_TEST(!mayBeOlder({ 0, 41 }, { 0, 40 })); // processes that started together count at different times
+    BOOST_TEST(!mayBeOlder({ 0, 43 }, { 0, 40 })); // a leave and two role changes also count
+    BOOST_TEST(mayBeOlder({ 5000, 40 }, { 1000, 3 })); // wrong clock
+    BOOST_TEST(mayBeOlder({ 0, 0 }, { 0, 0 })); // nothing is reported
 }
 
-// A host that compared, and has no floor yet, would go on trusting the process that came after.
-BOOST_AUTO_TEST_CASE(a_primary_that_starts_again_after_the_comparison_is_compared_anew)
+// Guards against trusting a restarted primary because of a comparison with its previous process.
+BOOST_AUTO_TEST_CASE(restarted_primary_is_compared_again)
 {
     ClusterView view;
     links::ListedMember member { .id = "m", .group = "g", .address = "10.0.0.1:1", .dataCentre = "a", .slots = 2, .saysPrimary = true, .life = { 1000, 1 } };
--- a/tests/unit/failover_test.cpp
+++ b/tests/unit/failover_test.cpp
@@ -1,4 +1,4 @@
-// Failover as a state machine: outcomes step by step, and seeded random sequences over a model of the members.
+// The failover state machine: single steps, and seeded random sequences against a model of the members.
 #include "decisions/failover.h"
 #include <boost/test/unit_test.hpp>
 #include <random>
@@ -24,32 +24,33 @@
     return record;
 }
 
-MemberStatus makeStatus(Role role, int heardMs)
+MemberStatus makeStatus(Role role, int contactMs)
 {
     MemberStatus status;
     status.term = 1;
     status.role = role;
     status.log = { 1, 10, { { 1, 1 } } };
-    status.primaryContactAge = milliseconds(heardMs);
+    status.primaryContactAge = milliseconds(contactMs);
     status.primary = "a";
     return status;
 }
 
-// A group whose primary fails since 0 ms, refusing or silent, seen at `ms`; replicas heard it `heardMs` ago.
-GroupHealth makeFailing(int ms, bool refuses, int heardMs)
+// Makes the health at `ms` of a group whose primary has failed since 0 ms, by refused connections or silence. The replicas
+// last had contact with it `contactMs` before.
+GroupHealth makeFailingHealth(int ms, bool refuses, int contactMs)
 {
     auto health = makeHealth(makeRecord(), at(-1000));
     health = applyStatus(health, 0, makeStatus(Role::Primary, 0), at(-50), at(-50));
     for (int t = 0; t <= ms; t += 40)
         health = applyProbeFailure(health, 0, refuses, at(t));
     for (size_t i = 1; i < 3; ++i)
-        health = applyStatus(health, i, makeStatus(Role::Replica, heardMs), at(ms), at(ms));
+        health = applyStatus(health, i, makeStatus(Role::Replica, contactMs), at(ms), at(ms));
     return health;
 }
 
 struct Fixture {
     GroupRecord record = makeRecord();
-    GroupHealth health = makeFailing(600, false, 600);
+    GroupHealth health = makeFailingHealth(600, false, 600);
     std::vector<bool> isLeaving = std::vector<bool>(3, false);
     size_t rank = 0;
 
@@ -75,25 +76,25 @@
 
 BOOST_AUTO_TEST_SUITE(failover_decisions)
 
-BOOST_AUTO_TEST_CASE(down_only_when_replicas_do_not_hear_it_either)
+BOOST_AUTO_TEST_CASE(primary_is_down_only_if_replicas_have_no_contact_either)
 {
     Fixture it;
-    it.health = makeFailing(80, true, 200);
+    it.health = makeFailingHealth(80, true, 200);
     BOOST_TEST(getPrimaryDownReason(it.getView(), at(80)).empty());
-    it.health = makeFailing(280, true, 280);
+    it.health = makeFailingHealth(280, true, 280);
     BOOST_TEST(!getPrimaryDownReason(it.getView(), at(280)).empty());
-    it.health = makeFailing(280, false, 280);
+    it.health = makeFailingHealth(280, false, 280);
     BOOST_TEST(getPrimaryDownReason(it.getView(), at(280)).empty());
-    it.health = makeFailing(600, false, 600);
+    it.health = makeFailingHealth(600, false, 600);
     BOOST_TEST(!getPrimaryDownReason(it.getView(), at(600)).empty());
-    it.health = makeFailing(600, false, 40);
+    it.health = makeFailingHealth(600, false, 40);
     BOOST_TEST(getPrimaryDownReason(it.getView(), at(600)).empty());
-    // Old words of replicas do not count.
-    it.health = makeFailing(600, false, 600);
+    // Old statuses of replicas do not count.
+    it.health = makeFailingHealth(600, false, 600);
     BOOST_TEST(getPrimaryDownReason(it.getView(), at(2000)).empty());
 }
 
-BOOST_AUTO_TEST_CASE(whole_way_to_a_promotion)
+BOOST_AUTO_TEST_CASE(failed_primary_leads_through_claim_and_fencing_to_a_promotion)
 {
     Fixture it;
     auto step = it.step({}, Tick {}, 600);
@@ -114,7 +115,7 @@
     BOOST_TEST(step.state.recentPromotions.size() == 1u);
 }
 
-BOOST_AUTO_TEST_CASE(answers_of_another_attempt_are_not_counted)
+BOOST_AUTO_TEST_CASE(answers_to_another_attempt_are_ignored)
 {
     Fixture it;
     auto state = it.step({}, Tick {}, 600).state;
@@ -125,7 +126,7 @@
     BOOST_TEST(it.step(state, PromoteAnswered { 2, true }, 625).actions.empty());
 }
 
-BOOST_AUTO_TEST_CASE(a_majority_that_cannot_be_fenced_ends_the_attempt_and_the_next_goes_higher)
+BOOST_AUTO_TEST_CASE(failed_fencing_ends_the_attempt_and_the_next_uses_a_higher_term)
 {
     Fixture it;
     auto state = it.step({}, Tick {}, 600).state;
@@ -133,13 +134,13 @@
     state = it.step(state, FenceAnswered { 2, 0, {} }, 620).state;
     auto step = it.step(state, FenceAnswered { 2, 1, FenceAnswer { false, 5, {} } }, 621);
     BOOST_TEST((step.state.phase == FailoverPhase::Idle));
-    it.health = makeFailing(1000, false, 1000);
+    it.health = makeFailingHealth(1000, false, 1000);
     step = it.step(step.state, Tick {}, 1000);
     BOOST_REQUIRE(countActions<WriteClaim>(step) == 1u);
     BOOST_TEST(step.state.term == 6u);
 }
 
-BOOST_AUTO_TEST_CASE(later_ranks_wait_for_their_turn)
+BOOST_AUTO_TEST_CASE(later_ranks_start_after_their_delay)
 {
     Fixture it;
     it.rank = 2;
@@ -147,12 +148,12 @@
     BOOST_TEST(step.actions.empty());
     step = it.step(step.state, Tick {}, 900);
     BOOST_TEST(step.actions.empty());
-    it.health = makeFailing(1110, false, 1110);
+    it.health = makeFailingHealth(1110, false, 1110);
     step = it.step(step.state, Tick {}, 1110);
     BOOST_TEST(countActions<WriteClaim>(step) == 1u);
 }
 
-BOOST_AUTO_TEST_CASE(after_a_pause_nothing_is_begun_on_old_knowledge)
+BOOST_AUTO_TEST_CASE(no_attempt_starts_on_stale_health_after_a_process_pause)
 {
     Fixture it;
     FailoverState state;
@@ -160,7 +161,7 @@
     BOOST_TEST(it.step(state, Tick {}, 600).actions.empty());
 }
 
-BOOST_AUTO_TEST_CASE(bounds_hold_back_and_say_so_once)
+BOOST_AUTO_TEST_CASE(promotion_limits_hold_back_and_are_reported_once)
 {
     Fixture it;
     it.record.promotion.mode = PromotionMode::Off;
@@ -182,7 +183,7 @@
 
 namespace {
 
-// A member as the target's contract has it: one grant per term, promote only with its own grant.
+// A member according to the target's contract: it grants a term once, and accepts promotion only by the host that it granted.
 struct ModelMember {
     uint64_t term { 1 };
     uint64_t fenced { 0 };
@@ -192,7 +193,7 @@
     std::vector<uint64_t> log { 1 }; // term of each entry
 };
 
-// Several hosts run the decision against the same members; messages are delayed, lost and reordered by the seed.
+// Several hosts run the state machine against the same members. Messages are delayed, lost, repeated and reordered by seed.
 class Model {
 public:
     explicit Model(unsigned seed)
@@ -222,11 +223,11 @@
             write();
     }
 
-    // At most one primary was ever made in a term, and no confirmed write is missing from a later primary.
+    // Each term had at most one primary, and no confirmed write is missing from a later primary.
     void check() const
     {
         BOOST_REQUIRE(m_isTermUnique);
-        BOOST_REQUIRE(m_isNothingLost);
+        BOOST_REQUIRE(m_isNoWriteLost);
     }
 
     size_t getPromotions() const { return m_promotions; }
@@ -252,7 +253,7 @@
         status.fencedTerm = it.fenced;
         status.role = it.isPrimary ? Role::Primary : Role::Replica;
         status.log = getLog(it);
-        status.primaryContactAge = milliseconds(isPrimaryUp(it.term) ? 10 : 900);
+        status.primaryContactAge = milliseconds(hasLivePrimary(it.term) ? 10 : 900);
         m_health[host] = applyStatus(m_health[host], member, status, at(m_ms), at(m_ms));
         for (auto& follow : getPendingFollows(m_record, m_health[host])) {
             if (m_random() % 8 == 0)
@@ -260,7 +261,7 @@
         }
     }
 
-    bool isPrimaryUp(uint64_t term) const
+    bool hasLivePrimary(uint64_t term) const
     {
         for (auto& it : m_members) {
             if (it.isPrimary && it.term == term && !it.isDown)
@@ -290,7 +291,7 @@
         }
     }
 
-    // Any message in flight may come next, twice, or never.
+    // Delivers a random message in flight, which may also be lost or repeated.
     void deliver()
     {
         if (m_messages.empty())
@@ -343,7 +344,7 @@
             m_isTermUnique = m_isTermUnique && (term != promote.term || member == promote.member);
         m_primaries.emplace_back(promote.term, promote.member);
         for (auto& confirmed : m_confirmed)
-            m_isNothingLost = m_isNothingLost && it.log.size() >= confirmed.position && it.log[confirmed.position - 1] == confirmed.term;
+            m_isNoWriteLost = m_isNoWriteLost && it.log.size() >= confirmed.position && it.log[confirmed.position - 1] == confirmed.term;
         it.term = promote.term;
         it.isPrimary = true;
         it.log.push_back(promote.term);
@@ -361,7 +362,7 @@
         it.isPrimary = false;
     }
 
-    // A primary that is not fenced writes; the entry is confirmed if a majority takes it in the same term.
+    // Each primary that is not fenced appends an entry, which is confirmed if a majority accepts it in the same term.
     void write()
     {
         for (auto& primary : m_members) {
@@ -391,12 +392,12 @@
     int m_ms { 0 };
     size_t m_promotions { 0 };
     bool m_isTermUnique { true };
-    bool m_isNothingLost { true };
+    bool m_isNoWriteLost { true };
 };
 
 }
 
-BOOST_AUTO_TEST_CASE(random_sequences_make_one_primary_a_term_and_lose_no_confirmed_write)
+BOOST_AUTO_TEST_CASE(random_sequences_have_one_primary_per_term_and_lose_no_confirmed_write)
 {
     size_t recentPromotions = 0;
     for (unsigned seed = 1; seed <= 40; ++seed) {
--- a/tests/unit/health_test.cpp
+++ b/tests/unit/health_test.cpp
@@ -1,4 +1,4 @@
-// What ordinary answers tell of a member, and when a status must be asked all the same.
+// Health from piggybacked statuses, and when a status probe is still needed.
 #include "decisions/failover.h"
 #include "decisions/health.h"
 #include "fixtures.h"
@@ -11,17 +11,17 @@
 
 namespace {
 
-MemberStatus makeStatus(Role role, uint64_t position, milliseconds heardAgo)
+MemberStatus makeStatus(Role role, uint64_t position, milliseconds contactAge)
 {
     MemberStatus status;
     status.term = 1;
     status.role = role;
     status.log = { 1, position, { { 1, 1 } } };
-    status.primaryContactAge = heardAgo;
+    status.primaryContactAge = contactAge;
     return status;
 }
 
-// Primary a and replicas b and c, all at 100 and asked at `ms`.
+// Makes a group of primary a and replicas b and c, all at position 100 and probed at `ms`.
 GroupHealth makeGroup(int ms)
 {
     auto health = makeHealth(makeRecord(), at(0));
@@ -35,18 +35,18 @@
 
 BOOST_AUTO_TEST_SUITE(health)
 
-BOOST_AUTO_TEST_CASE(ordinary_answers_keep_ages_young_without_a_status)
+BOOST_AUTO_TEST_CASE(piggybacked_statuses_keep_staleness_bounds_low)
 {
     auto health = makeGroup(0);
     health = applyPiggybackedStatus(health, 0, { 1, 0, { 1, 150 } }, at(200), at(201));
-    BOOST_TEST(getStalenessBound(health, 1, 150, at(210))->count() == 210); // nobody else stood in the term since
+    BOOST_TEST(getStalenessBound(health, 1, 150, at(210))->count() == 210); // no majority was active in the term since
     health = applyPiggybackedStatus(health, 1, { 1, 0, { 1, 150 } }, at(205), at(206));
     BOOST_TEST(getStalenessBound(health, 1, 150, at(210))->count() == 10);
     BOOST_TEST(getStalenessBound(health, 1, 149, at(210))->count() == 210);
     BOOST_TEST(health.members[1].status.log.position == 150u);
 }
 
-BOOST_AUTO_TEST_CASE(answer_that_shows_a_change_changes_nothing_until_a_status_explains_it)
+BOOST_AUTO_TEST_CASE(piggybacked_status_with_changed_terms_is_ignored)
 {
     auto health = makeGroup(0);
     for (auto& it : { PiggybackedStatus { 2, 2, { 1, 200 } }, PiggybackedStatus { 1, 2, { 1, 200 } }, PiggybackedStatus { 1, 0, { 2, 200 } } }) {
@@ -55,11 +55,11 @@
     }
     auto failing = applyProbeFailure(health, 1, false, at(100));
     BOOST_TEST((applyPiggybackedStatus(failing, 1, { 1, 0, { 1, 200 } }, at(200), at(201)) == failing));
-    BOOST_TEST((applyPiggybackedStatus(health, 1, { 1, 0, { 1, 200 } }, at(-1), at(201)) == health)); // asked before the newest
+    BOOST_TEST((applyPiggybackedStatus(health, 1, { 1, 0, { 1, 200 } }, at(-1), at(201)) == health)); // sent before the last answered request
 }
 
-// An answer to a statement does not say when the replica last heard its primary: that stays as old as the last status.
-BOOST_AUTO_TEST_CASE(ordinary_answer_is_no_word_on_the_primary)
+// Replies to statements do not report the contact with the primary, so they must not refresh its age.
+BOOST_AUTO_TEST_CASE(piggybacked_status_does_not_refresh_contact_with_the_primary)
 {
     auto health = makeGroup(0);
     for (int ms = 100; ms <= 900; ms += 100)
@@ -68,13 +68,13 @@
         health = applyPiggybackedStatus(health, i, { 1, 0, { 1, 100 } }, at(890), at(891));
     auto record = makeRecord();
     FailoverContext view { record, health, std::vector<bool>(3), 0, {} };
-    BOOST_TEST(getPrimaryDownReason(view, at(900)).empty()); // neither yes nor no is known
+    BOOST_TEST(getPrimaryDownReason(view, at(900)).empty()); // contact is not known
     for (size_t i = 1; i < 3; ++i)
         health = applyStatus(health, i, makeStatus(Role::Replica, 100, milliseconds(880)), at(895), at(896));
     BOOST_TEST(!getPrimaryDownReason(view, at(900)).empty());
 }
 
-BOOST_AUTO_TEST_CASE(status_is_asked_where_no_ordinary_answer_came)
+BOOST_AUTO_TEST_CASE(status_probe_is_due_when_other_replies_stop)
 {
     ProbeTimings timings;
     auto health = makeGroup(0);
@@ -83,12 +83,12 @@
     BOOST_TEST((getNextProbeTime(health, 1, at(0), timings) == at(180)));
     BOOST_TEST((getNextProbeTime(health, 2, at(0), timings) == at(100)));
     health = applyPiggybackedStatus(health, 0, { 1, 0, { 1, 120 } }, at(80), at(81));
-    BOOST_TEST((getNextProbeTime(health, 0, at(0), timings) == at(130))); // the primary's silence is noticed sooner
+    BOOST_TEST((getNextProbeTime(health, 0, at(0), timings) == at(130))); // half an interval for the primary
     health = applyPiggybackedStatus(health, 1, { 1, 0, { 1, 130 } }, at(950), at(951));
-    BOOST_TEST((getNextProbeTime(health, 1, at(0), timings) == at(1000))); // a status now and then, whatever comes
+    BOOST_TEST((getNextProbeTime(health, 1, at(0), timings) == at(1000))); // at least one status probe per full interval
 }
 
-BOOST_AUTO_TEST_CASE(idle_group_is_watched_by_its_first_home_and_a_sick_one_by_all)
+BOOST_AUTO_TEST_CASE(first_home_alone_probes_an_idle_group_at_full_rate_while_it_is_healthy)
 {
     ProbeTimings timings;
     timings.isIdle = true;
@@ -97,13 +97,13 @@
     timings.isFirstHome = true;
     BOOST_TEST((getNextProbeTime(health, 0, at(0), timings) == at(100)));
     BOOST_TEST((getNextProbeTime(health, 1, at(0), timings) == at(1000)));
-    auto sick = applyProbeFailure(health, 0, true, at(100));
-    BOOST_TEST(!isGroupHealthy(sick));
-    BOOST_TEST((getNextProbeTime(sick, 0, at(100), timings) == at(140)));
-    BOOST_TEST((getNextProbeTime(sick, 1, at(0), timings) == at(100)));
+    auto failing = applyProbeFailure(health, 0, true, at(100));
+    BOOST_TEST(!isGroupHealthy(failing));
+    BOOST_TEST((getNextProbeTime(failing, 0, at(100), timings) == at(140)));
+    BOOST_TEST((getNextProbeTime(failing, 1, at(0), timings) == at(100)));
 }
 
-BOOST_AUTO_TEST_CASE(marks_of_frequent_answers_do_not_push_out_those_that_a_lagging_replica_needs)
+BOOST_AUTO_TEST_CASE(frequent_replies_do_not_evict_checkpoints_that_lagging_replicas_need)
 {
     auto health = makeGroup(0);
     for (int ms = 1; ms <= 5000; ++ms) {
@@ -111,7 +111,7 @@
         health = applyPiggybackedStatus(health, 0, { 1, 0, { 1, position } }, at(ms), at(ms));
         health = applyPiggybackedStatus(health, 1, { 1, 0, { 1, position } }, at(ms), at(ms));
     }
-    // A replica that lags by 4 s still has a bound, within the spacing of the marks.
+    // A replica that lags by 4 s still has a bound, precise to the checkpoint interval.
     auto age = getStalenessBound(health, 1, 1100, at(5000));
     BOOST_REQUIRE(age.has_value());
     BOOST_TEST(age->count() >= 4000);
--- a/tests/unit/hosts_test.cpp
+++ b/tests/unit/hosts_test.cpp
@@ -22,7 +22,7 @@
     return { name, incarnation, state, "x", "p", "c", "o" };
 }
 
-Membership makeThree()
+Membership makeThreeHosts()
 {
     auto membership = makeMembership(makeHostInfo("h1", 10, HostState::Alive), at(0));
     applyHostUpdates(membership, { makeHostInfo("h2", 10, HostState::Alive), makeHostInfo("h3", 10, HostState::Alive) }, at(0));
@@ -33,19 +33,19 @@
 
 BOOST_AUTO_TEST_SUITE(membership)
 
-BOOST_AUTO_TEST_CASE(suspicion_needs_a_second_witness)
+BOOST_AUTO_TEST_CASE(suspicion_needs_confirmation_by_another_host)
 {
-    auto it = makeThree();
+    auto it = makeThreeHosts();
     BOOST_TEST(!suspectHost(it, "h2", 0, 2, at(0)));
     BOOST_TEST(suspectHost(it, "h2", 1, 2, at(0)));
     BOOST_TEST((findHost(it, "h2")->state == HostState::Suspect));
-    // With nobody else to ask, our own word has to do.
+    // With no other host to ask, a failed contact of its own suffices.
     BOOST_TEST(suspectHost(it, "h3", 0, 0, at(0)));
 }
 
-BOOST_AUTO_TEST_CASE(a_suspect_refutes_with_a_higher_incarnation_or_dies)
+BOOST_AUTO_TEST_CASE(suspect_refutes_with_a_higher_incarnation_or_is_declared_dead)
 {
-    auto it = makeThree();
+    auto it = makeThreeHosts();
     suspectHost(it, "h2", 1, 1, at(0));
     applyHostUpdates(it, { makeHostInfo("h2", 10, HostState::Alive) }, at(10));
     BOOST_TEST((findHost(it, "h2")->state == HostState::Suspect));
@@ -58,22 +58,22 @@
     BOOST_TEST(getLiveHosts(it).size() == 2u);
 }
 
-BOOST_AUTO_TEST_CASE(a_host_that_wakes_refutes_its_own_death_and_undoes_nothing_else)
+BOOST_AUTO_TEST_CASE(host_refutes_updates_that_declare_it_dead_and_ignores_older_states)
 {
-    auto it = makeThree();
+    auto it = makeThreeHosts();
     applyHostUpdates(it, { makeHostInfo("h1", 10, HostState::Dead) }, at(0));
     BOOST_TEST((findHost(it, "h1")->state == HostState::Alive));
     BOOST_TEST(findHost(it, "h1")->incarnation == 11u);
-    // Its old view of others is older than what they know.
-    auto other = makeThree();
+    // An older state of another host does not supersede a later one.
+    auto other = makeThreeHosts();
     applyHostUpdates(other, { makeHostInfo("h2", 10, HostState::Leaving) }, at(5));
     applyHostUpdates(other, { makeHostInfo("h2", 10, HostState::Alive) }, at(6));
     BOOST_TEST((findHost(other, "h2")->state == HostState::Leaving));
 }
 
-BOOST_AUTO_TEST_CASE(the_platforms_late_list_does_not_bring_a_stopped_host_back)
+BOOST_AUTO_TEST_CASE(lagging_platform_list_does_not_revive_a_leaving_host)
 {
-    auto it = makeThree();
+    auto it = makeThreeHosts();
     const std::vector<PlatformHost> list { { "h2", "x", "p", "c", "o" }, { "h3", "x", "p", "c", "o" } };
     applyHostUpdates(it, { makeHostInfo("h2", 10, HostState::Leaving) }, at(0));
     for (int ms = 0; ms < 300000; ms += 5000) {
@@ -81,24 +81,24 @@
         expireHosts(it, {}, at(ms));
         BOOST_REQUIRE(getLiveHosts(it).size() == 2u);
     }
-    // Once the list has caught up it is forgotten.
+    // The host is forgotten once the list no longer names it.
     applyPlatformList(it, { list[1] }, at(300000));
     expireHosts(it, {}, at(300000));
     BOOST_TEST(findHost(it, "h2") == nullptr);
 }
 
-BOOST_AUTO_TEST_CASE(digest_is_of_what_is_known_and_not_of_the_way_there)
+BOOST_AUTO_TEST_CASE(digest_depends_on_host_states_and_not_on_their_order_of_arrival)
 {
-    auto it = makeThree();
+    auto it = makeThreeHosts();
     applyHostUpdates(it, { makeHostInfo("h4", 3, HostState::Alive) }, at(0));
     suspectHost(it, "h4", 1, 1, at(0));
     expireHosts(it, {}, at(3000));
-    BOOST_TEST(getDigest(it) == getDigest(makeThree())); // a dead host does not count
+    BOOST_TEST(getDigest(it) == getDigest(makeThreeHosts())); // a dead host does not count
     expireHosts(it, {}, at(70000));
     BOOST_TEST(findHost(it, "h4") == nullptr);
-    BOOST_TEST(getDigest(it) == getDigest(makeThree()));
+    BOOST_TEST(getDigest(it) == getDigest(makeThreeHosts()));
     applyHostUpdates(it, { makeHostInfo("h3", 11, HostState::Leaving) }, at(70000));
-    auto other = makeThree();
+    auto other = makeThreeHosts();
     applyHostUpdates(other, { makeHostInfo("h3", 11, HostState::Leaving) }, at(0));
     BOOST_TEST(getDigest(it) == getDigest(other));
     expireHosts(it, {}, at(200000));
@@ -106,25 +106,25 @@
     BOOST_TEST(getDigest(it) != getDigest(other));
 }
 
-BOOST_AUTO_TEST_CASE(news_in_one_exchange_is_bounded_and_told_a_bounded_number_of_times)
+BOOST_AUTO_TEST_CASE(updates_per_exchange_and_transmissions_are_bounded)
 {
     auto it = makeMembership(makeHostInfo("h0", 1, HostState::Alive), at(0));
     std::vector<HostInfo> updates;
     for (int i = 1; i < 500; ++i)
         updates.push_back(makeHostInfo("h" + std::to_string(i), 1, HostState::Alive));
     applyHostUpdates(it, updates, at(0));
-    size_t told = 0;
+    size_t sent = 0;
     MembershipTimings timings;
     for (int i = 0; i < 5000; ++i) {
         auto batch = takeUpdatesToSend(it, timings);
         BOOST_REQUIRE(batch.size() <= timings.maxUpdatesPerExchange);
-        told += batch.size();
+        sent += batch.size();
     }
-    BOOST_TEST(told <= 500u * 3 * 10);
-    BOOST_TEST(told >= 500u);
+    BOOST_TEST(sent <= 500u * 3 * 10);
+    BOOST_TEST(sent >= 500u);
 }
 
-BOOST_AUTO_TEST_CASE(views_spread_and_agree_after_loss_cut_and_healing)
+BOOST_AUTO_TEST_CASE(views_converge_after_a_network_partition_heals)
 {
     for (unsigned seed = 1; seed <= 10; ++seed) {
         std::mt19937 random(seed);
@@ -137,10 +137,10 @@
             views.push_back(makeMembership(all[i], at(0)));
             applyHostUpdates(views.back(), all, at(0));
         }
-        auto isOnOneSide = [](size_t i, size_t j) { return (i < 10) == (j < 10); };
-        bool isCut = false;
+        auto isOnSameSide = [](size_t i, size_t j) { return (i < 10) == (j < 10); };
+        bool isPartitioned = false;
         for (int round = 0; round < 200; ++round) {
-            isCut = round >= 20 && round < 60;
+            isPartitioned = round >= 20 && round < 60;
             auto now = at(round * 500);
             for (size_t i = 0; i < kHosts; ++i) {
                 expireHosts(views[i], {}, now);
@@ -151,7 +151,7 @@
                 }
                 for (auto& name : partners) {
                     auto j = static_cast<size_t>(std::stoi(name.substr(1)));
-                    if (isCut && !isOnOneSide(i, j)) {
+                    if (isPartitioned && !isOnSameSide(i, j)) {
                         suspectHost(views[i], name, 1, 1, now);
                         continue;
                     }
@@ -216,7 +216,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(a_host_that_goes_moves_only_its_own_groups)
+BOOST_AUTO_TEST_CASE(removed_host_moves_only_its_own_groups)
 {
     auto hosts = makeHosts(9);
     auto without = hosts;
@@ -230,7 +230,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(only_living_hosts_that_the_record_names_are_homes)
+BOOST_AUTO_TEST_CASE(only_live_hosts_named_by_the_record_are_homes)
 {
     auto record = makeRecord("g", 16);
     record.hosts = { "h7", "h2", "gone", "h5" };
@@ -256,7 +256,7 @@
 
 BOOST_AUTO_TEST_SUITE(limits)
 
-BOOST_AUTO_TEST_CASE(adaptive_limit_stays_within_its_slots_and_finds_back)
+BOOST_AUTO_TEST_CASE(adaptive_limit_stays_within_its_slots_and_recovers)
 {
     AdaptiveLimit it;
     it.most = 5;
@@ -272,7 +272,7 @@
     BOOST_TEST(it.getLimit() == 5u);
 }
 
-BOOST_AUTO_TEST_CASE(adaptive_limit_does_not_take_jitter_of_short_statements_for_a_queue)
+BOOST_AUTO_TEST_CASE(adaptive_limit_ignores_jitter_of_short_statements)
 {
     AdaptiveLimit it;
     it.most = 200;
@@ -282,7 +282,7 @@
     BOOST_TEST(it.getLimit() == 200u);
 }
 
-BOOST_AUTO_TEST_CASE(admission_follows_the_queue_as_it_is)
+BOOST_AUTO_TEST_CASE(admission_depends_on_the_expected_queue_wait)
 {
     QueueState queue { 100, 4.0, 2 };
     BOOST_TEST(getExpectedWait(queue).count() == 200);
@@ -294,16 +294,16 @@
     BOOST_TEST((getRetryAfter({ 1000, 4.0, 2 }, 0.5) > getRetryAfter(queue, 0.5)));
 }
 
-BOOST_AUTO_TEST_CASE(callers_refused_together_come_back_apart)
+BOOST_AUTO_TEST_CASE(retries_of_callers_refused_together_are_spread)
 {
     BOOST_TEST(spreadRetryAfter(milliseconds(2000), 0).count() == 1000);
     BOOST_TEST(spreadRetryAfter(milliseconds(2000), 0.5).count() == 2000);
     BOOST_TEST(spreadRetryAfter(milliseconds(2000), 0.999).count() == 2998);
     BOOST_TEST(spreadRetryAfter(milliseconds(0), 0.7).count() == 0);
-    BOOST_TEST(spreadRetryAfter(milliseconds(1), 0).count() == 1); // never "at once"
+    BOOST_TEST(spreadRetryAfter(milliseconds(1), 0).count() == 1); // never zero
 }
 
-BOOST_AUTO_TEST_CASE(retries_are_a_share_of_successes)
+BOOST_AUTO_TEST_CASE(retry_budget_is_a_share_of_successes)
 {
     RetryBudget budget;
     int taken = 0;
--- a/tests/unit/leaving_test.cpp
+++ b/tests/unit/leaving_test.cpp
@@ -1,4 +1,4 @@
-// How long members that leave are used.
+// How long new operations may be sent to leaving members.
 #include "decisions/leaving.h"
 #include <boost/test/unit_test.hpp>
 
@@ -13,13 +13,13 @@
 
 BOOST_AUTO_TEST_SUITE(leaving_members)
 
-BOOST_AUTO_TEST_CASE(a_member_that_does_not_leave_is_used_whatever_the_time)
+BOOST_AUTO_TEST_CASE(member_that_is_not_leaving_accepts_new_operations_at_any_time)
 {
     BOOST_TEST(acceptsNewOperations(std::nullopt, kDrainTime, kStart));
     BOOST_TEST(acceptsNewOperations(std::nullopt, milliseconds(0), kStart));
 }
 
-BOOST_AUTO_TEST_CASE(a_leaving_member_is_used_until_its_time_less_the_reserve_is_over)
+BOOST_AUTO_TEST_CASE(leaving_member_accepts_new_operations_until_the_drain_time_less_the_margin)
 {
     BOOST_TEST(acceptsNewOperations(kStart, kDrainTime, kStart));
     BOOST_TEST(acceptsNewOperations(kStart, kDrainTime, kStart + milliseconds(5499)));
@@ -27,14 +27,14 @@
     BOOST_TEST(!acceptsNewOperations(kStart, kDrainTime, kStart + milliseconds(3600000)));
 }
 
-BOOST_AUTO_TEST_CASE(a_short_drain_time_leaves_some_of_it)
+BOOST_AUTO_TEST_CASE(margin_takes_at_most_half_of_a_short_drain_time)
 {
     BOOST_TEST(acceptsNewOperations(kStart, milliseconds(1000), kStart + milliseconds(499)));
     BOOST_TEST(!acceptsNewOperations(kStart, milliseconds(1000), kStart + milliseconds(500)));
     BOOST_TEST(!acceptsNewOperations(kStart, milliseconds(0), kStart));
 }
 
-BOOST_AUTO_TEST_CASE(of_a_member_that_was_found_leaving_half_of_the_time_is_taken_to_be_over)
+BOOST_AUTO_TEST_CASE(half_of_the_drain_time_counts_as_over_for_a_member_first_seen_leaving)
 {
     auto since = estimateLeavingSince(kDrainTime, kStart);
     BOOST_TEST(acceptsNewOperations(since, kDrainTime, kStart + milliseconds(1999)));
--- a/tests/unit/progress_test.cpp
+++ b/tests/unit/progress_test.cpp
@@ -1,4 +1,4 @@
-// Where a replica's log is expected to stand.
+// Estimates of a replica's log position.
 #include "decisions/progress.h"
 #include <boost/test/unit_test.hpp>
 
@@ -9,25 +9,25 @@
 
 BOOST_AUTO_TEST_SUITE(progress)
 
-BOOST_AUTO_TEST_CASE(a_log_that_moves_is_expected_to_go_on)
+BOOST_AUTO_TEST_CASE(position_is_extrapolated_by_the_rate)
 {
     auto seen = applyPosition({}, { 1, 100 }, at(0));
-    BOOST_TEST((estimatePosition(seen, at(500)) == Mark { 1, 100 })); // no speed yet
-    seen = applyPosition(seen, { 1, 110 }, at(100)); // too close for a speed
+    BOOST_TEST((estimatePosition(seen, at(500)) == Mark { 1, 100 })); // no rate yet
+    seen = applyPosition(seen, { 1, 110 }, at(100)); // too close for a rate
     BOOST_TEST((estimatePosition(seen, at(500)) == Mark { 1, 110 }));
-    seen = applyPosition(seen, { 1, 150 }, at(500)); // 100 a second
+    seen = applyPosition(seen, { 1, 150 }, at(500)); // 100 per second
     BOOST_TEST((estimatePosition(seen, at(700)) == Mark { 1, 170 }));
-    BOOST_TEST((estimatePosition(seen, at(60000)) == Mark { 1, 250 })); // no further than a second
-    BOOST_TEST((estimatePosition(seen, at(0)) == Mark { 1, 150 })); // never less than what was seen
+    BOOST_TEST((estimatePosition(seen, at(60000)) == Mark { 1, 250 })); // for one second at most
+    BOOST_TEST((estimatePosition(seen, at(0)) == Mark { 1, 150 })); // never below the observed position
 }
 
-BOOST_AUTO_TEST_CASE(what_is_older_changes_nothing)
+BOOST_AUTO_TEST_CASE(older_observation_is_ignored)
 {
     auto seen = applyPosition({}, { 1, 100 }, at(100));
     BOOST_TEST((applyPosition(seen, { 1, 90 }, at(50)) == seen));
 }
 
-BOOST_AUTO_TEST_CASE(a_log_that_goes_back_or_begins_a_term_is_followed_without_a_speed)
+BOOST_AUTO_TEST_CASE(lower_position_or_new_term_resets_the_rate)
 {
     auto seen = applyPosition(applyPosition({}, { 1, 100 }, at(0)), { 1, 200 }, at(500));
     BOOST_TEST(seen.positionsPerSecond == 200);
@@ -37,16 +37,15 @@
     BOOST_TEST((estimatePosition(term, at(1600)) == Mark { 2, 201 }));
 }
 
-BOOST_AUTO_TEST_CASE(a_log_that_stands_still_loses_its_speed)
+BOOST_AUTO_TEST_CASE(unchanged_position_resets_the_rate_to_zero)
 {
     auto seen = applyPosition(applyPosition({}, { 1, 100 }, at(0)), { 1, 200 }, at(500));
     seen = applyPosition(seen, { 1, 200 }, at(800));
     BOOST_TEST((estimatePosition(seen, at(1800)) == Mark { 1, 200 }));
 }
 
-// Found by path/replicas_that_are_far_behind_*, once in four runs: refusals were noted as positions heard just now, so what a carrier had heard a
-// little earlier never counted, and a replica of which nothing was known was asked by each read.
-BOOST_AUTO_TEST_CASE(a_refusal_hides_no_position_that_was_heard_before_it)
+// Guards against refusals that hide earlier observations: every read would then be sent to a replica that lags behind.
+BOOST_AUTO_TEST_CASE(refusal_does_not_hide_a_position_observed_before_it)
 {
     auto refused = applyRefusal({}, at(1000));
     auto told = applyPosition(refused, { 1, 40 }, at(900));
--- a/tests/unit/trace_test.cpp
+++ b/tests/unit/trace_test.cpp
@@ -1,4 +1,4 @@
-// Recorded traces against stated outcomes: what each fault must lead to, whoever changes the decisions later.
+// Replays recorded traces and checks the outcome of each fault.
 #include "decisions/trace.h"
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
@@ -29,7 +29,7 @@
     return health.primary ? replay.state.record.members[*health.primary].name : std::string();
 }
 
-// One promotion in term 2 by a fenced majority, begun once, for the stated cause.
+// Checks for a single promotion, in term 2 after fencing, for the given cause.
 void checkPromotion(const ReplayResult& replay, const std::string& cause)
 {
     BOOST_TEST(replay.firstDifference == "");
@@ -54,15 +54,15 @@
     BOOST_TEST(replay.state.failover.recentPromotions.size() == 1u);
 }
 
-BOOST_AUTO_TEST_CASE(frozen_primary_is_replaced_once_and_follows_when_it_wakes)
+BOOST_AUTO_TEST_CASE(frozen_primary_is_replaced_once_and_follows_after_it_resumes)
 {
     auto replay = replayTrace(readTrace("frozen"));
     checkPromotion(replay, "primary orders-a does not answer");
     BOOST_TEST(countActions(replay, "note primary-seen: orders-a in term 1") == 1u);
 }
 
-// The leaving primary alone is fenced first, and the two others only when one of them has caught up.
-BOOST_AUTO_TEST_CASE(leaving_primary_is_handed_over_and_counts_against_no_bound)
+// The leaving primary is fenced first, the others only after one of them has caught up.
+BOOST_AUTO_TEST_CASE(leaving_primary_is_handed_over_and_does_not_count_against_promotion_limits)
 {
     auto replay = replayTrace(readTrace("leaving"));
     checkPromotion(replay, "primary orders-a is leaving");
@@ -71,15 +71,15 @@
     BOOST_TEST(replay.state.failover.recentPromotions.empty());
 }
 
-BOOST_AUTO_TEST_CASE(slow_and_lagging_members_lead_to_nothing)
+BOOST_AUTO_TEST_CASE(slow_and_lagging_members_cause_no_actions)
 {
     auto replay = replayTrace(readTrace("slow"));
     BOOST_TEST(replay.firstDifference == "");
     BOOST_TEST(replay.actions == std::vector<std::string> { "note primary-seen: orders-a in term 1" }, boost::test_tools::per_element());
 }
 
-// A trace is held to what was recorded: with one event less, or another answer, the replay says where it differs.
-BOOST_AUTO_TEST_CASE(changed_trace_is_found_out)
+// With changed answers, the replay reports the first entry whose actions differ.
+BOOST_AUTO_TEST_CASE(replay_reports_where_a_changed_trace_differs)
 {
     auto trace = readTrace("killed");
     auto fence = std::ranges::find_if(trace, [](const TraceEntry& it) {
@@ -95,7 +95,7 @@
     BOOST_TEST(replayTrace(without).firstDifference.starts_with("entry "));
 }
 
-BOOST_AUTO_TEST_CASE(entries_come_back_as_they_went)
+BOOST_AUTO_TEST_CASE(formatted_entries_parse_to_the_same_entries)
 {
     for (auto* name : { "killed", "frozen", "leaving", "slow" }) {
         auto trace = readTrace(name);
@@ -108,7 +108,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(bad_line_is_named)
+BOOST_AUTO_TEST_CASE(parse_error_gives_the_line)
 {
     BOOST_TEST(parseTrace("{\"atUs\":1,\"event\":\"tick\"}\n{\"atUs\":2,\"event\":\"wish\"}\n").error() == "line 2: unknown event: wish");
     BOOST_TEST(parseTrace("{\"atUs\":1,\"event\":\"tick\"}\n\nnonsense\n").error().starts_with("line 3: "));
