--- a/examples/decide.cpp
+++ b/examples/decide.cpp
@@ -5,7 +5,7 @@
 
 using namespace alderward::decisions;
 
-static MemberStatus makeStatus(const std::string& name, Role role, uint64_t position, int heardMs)
+static MemberStatus makeStatus(const std::string& name, Role role, uint64_t position, int contactAgeMs)
 {
     MemberStatus status;
     status.member = name;
@@ -13,15 +13,15 @@
     status.role = role;
     status.log = { 1, position, { { 1, 1 } } };
     status.primary = "a";
-    status.primaryContactAge = milliseconds(heardMs);
+    status.primaryContactAge = milliseconds(contactAgeMs);
     return status;
 }
 
 static void print(const FailoverStep& step)
 {
     for (auto& it : step.actions) {
-        if (auto* note = std::get_if<AddTimelineEntry>(&it))
-            fmt::print("  {}: {}\n", note->kind, note->cause);
+        if (auto* entry = std::get_if<AddTimelineEntry>(&it))
+            fmt::print("  {}: {}\n", entry->kind, entry->cause);
         else if (auto* fence = std::get_if<SendFence>(&it))
             fmt::print("  fence member {} for term {}\n", fence->member, fence->term);
         else if (auto* promote = std::get_if<SendPromote>(&it))
@@ -49,18 +49,18 @@
     health = applyStatus(health, 1, makeStatus("b", Role::Replica, 99, 350), now, now);
     health = applyStatus(health, 2, makeStatus("c", Role::Replica, 100, 350), now, now);
 
-    FailoverContext view { record, health, { false, false, false }, 0, {} };
+    FailoverContext context { record, health, { false, false, false }, 0, {} };
     fmt::print("the timer ticks\n");
-    auto step = stepFailover(view, {}, Tick {}, now);
+    auto step = stepFailover(context, {}, Tick {}, now);
     print(step);
     fmt::print("the store holds the claim\n");
-    step = stepFailover(view, step.state, ClaimAnswered { 2, ClaimOutcome::Taken, 2 }, now);
+    step = stepFailover(context, step.state, ClaimAnswered { 2, ClaimOutcome::Taken, 2 }, now);
     print(step);
     fmt::print("b and c grant the term, a does not answer\n");
-    step = stepFailover(view, step.state, FenceAnswered { 2, 0, {} }, now);
-    step = stepFailover(view, step.state, FenceAnswered { 2, 1, FenceAnswer { true, 2, { 1, 99, { { 1, 1 } } } } }, now);
-    step = stepFailover(view, step.state, FenceAnswered { 2, 2, FenceAnswer { true, 2, { 1, 100, { { 1, 1 } } } } }, now);
+    step = stepFailover(context, step.state, FenceAnswered { 2, 0, {} }, now);
+    step = stepFailover(context, step.state, FenceAnswered { 2, 1, FenceAnswer { true, 2, { 1, 99, { { 1, 1 } } } } }, now);
+    step = stepFailover(context, step.state, FenceAnswered { 2, 2, FenceAnswer { true, 2, { 1, 100, { { 1, 1 } } } } }, now);
     print(step);
     fmt::print("c is promoted\n");
-    print(stepFailover(view, step.state, PromoteAnswered { 2, true }, now));
+    print(stepFailover(context, step.state, PromoteAnswered { 2, true }, now));
 }
--- a/src/alderward.h
+++ b/src/alderward.h
@@ -27,7 +27,7 @@
 //   [SECTION] Records      operators' configuration
 //   [SECTION] Health       what a home knows of a group's members; ages
 //   [SECTION] Routing      where a statement goes; whether a write is confirmed
-//   [SECTION] Failover     detection, fencing, promotion, hand-over
+//   [SECTION] Failover     detection, fencing, promotion, handover
 //   [SECTION] Group        record, health and failover in one value; recorded traces and their replay
 //   [SECTION] Placement    homes and shares
 //   [SECTION] Limits       admission, adaptive limit, retry budget
--- a/src/controllers/group.cpp
+++ b/src/controllers/group.cpp
@@ -230,7 +230,7 @@
 void GroupController::takeEvent(const decisions::GroupEvent& event)
 {
     auto termBefore = m_state.health.term;
-    bool wasCalm = decisions::isGroupHealthy(m_state.health);
+    bool wasHealthy = decisions::isGroupHealthy(m_state.health);
     auto now = decisions::truncateToMicroseconds(Clock::now());
     auto step = decisions::stepGroup(std::move(m_state), event, now);
     m_state = std::move(step.state);
@@ -243,7 +243,7 @@
         perform(it);
     if (std::holds_alternative<decisions::FailoverEvent>(event))
         return;
-    if (wasCalm && !decisions::isGroupHealthy(m_state.health))
+    if (wasHealthy && !decisions::isGroupHealthy(m_state.health))
         probeNow();
     repairFollowers();
     wakeHolders();
--- a/src/decisions/failover.cpp
+++ b/src/decisions/failover.cpp
@@ -257,9 +257,9 @@
         reason = "primary " + context.record.members[*context.health.primary].name + " is leaving";
     if (reason.empty())
         return setHoldBackReason(step, {});
-    auto bound = isPlanned && context.record.promotion.mode == PromotionMode::Automatic ? std::string() : getPromotionBlocker(context, state, now);
-    if (!bound.empty())
-        return setHoldBackReason(step, bound + "; " + reason);
+    auto blocker = isPlanned && context.record.promotion.mode == PromotionMode::Automatic ? std::string() : getPromotionBlocker(context, state, now);
+    if (!blocker.empty())
+        return setHoldBackReason(step, blocker + "; " + reason);
     setHoldBackReason(step, {});
     if (now < state.earliestStart)
         return;
--- a/src/decisions/failover.h
+++ b/src/decisions/failover.h
@@ -1,7 +1,8 @@
 // State machine for failover and planned handover of a group's primary:
 //     idle -> waiting -> claiming -> draining -> fencing -> promoting -> idle
-// A host may promote a member in a term only after a majority of the members accepted its fence request for that term
-// (docs/design/0002-failover.md). This code does no I/O: stepFailover() returns actions, and their results arrive as events.
+// A host promotes a member in a term only after a majority of the members granted its fence request for that term; members
+// that do not support fencing rely on a claim in the platform's store instead (docs/design/0002-failover.md).
+// This code does no I/O: stepFailover() returns actions, and their results arrive as events.
 #pragma once
 #include "decisions/health.h"
 #include <deque>
--- a/src/decisions/group_state.cpp
+++ b/src/decisions/group_state.cpp
@@ -67,14 +67,14 @@
 {
     GroupStep step { std::move(state), {}, false };
     auto& health = step.state.health;
-    if (auto* role = std::get_if<GroupConfigurationChanged>(&event))
-        applyConfiguration(step.state, *role, now);
+    if (auto* configuration = std::get_if<GroupConfigurationChanged>(&event))
+        applyConfiguration(step.state, *configuration, now);
     else if (std::holds_alternative<ServingStarted>(event))
         health.withoutPrimarySince = now;
     else if (auto* status = std::get_if<StatusAnswered>(&event))
         applyHealth(step, applyStatus(health, status->member, status->status, status->askedAt, now), now);
     else if (auto* piggybacked = std::get_if<PiggybackedStatusReceived>(&event))
-        applyHealth(step, applyPiggybackedStatus(health, piggybacked->member, piggybacked->piggybacked, piggybacked->askedAt, now), now);
+        applyHealth(step, applyPiggybackedStatus(health, piggybacked->member, piggybacked->status, piggybacked->askedAt, now), now);
     else if (auto* failure = std::get_if<ProbeFailed>(&event))
         applyHealth(step, applyProbeFailure(health, failure->member, failure->wasRefused, failure->askedAt), now);
     else
--- a/src/decisions/group_state.h
+++ b/src/decisions/group_state.h
@@ -43,7 +43,7 @@
 
 struct PiggybackedStatusReceived {
     size_t member { 0 };
-    PiggybackedStatus piggybacked {};
+    PiggybackedStatus status {};
     TimePoint askedAt {};
     friend bool operator==(const PiggybackedStatusReceived&, const PiggybackedStatusReceived&) = default;
 };
--- a/src/decisions/trace.cpp
+++ b/src/decisions/trace.cpp
@@ -97,10 +97,10 @@
         line["event"] = "glimpse";
         line["member"] = it.member;
         line["askedUs"] = getOffset(it.askedAt, origin);
-        line["term"] = it.piggybacked.term;
-        line["fencedTerm"] = it.piggybacked.fencedTerm;
-        line["logTerm"] = it.piggybacked.log.term;
-        line["position"] = it.piggybacked.log.position;
+        line["term"] = it.status.term;
+        line["fencedTerm"] = it.status.fencedTerm;
+        line["logTerm"] = it.status.log.term;
+        line["position"] = it.status.log.position;
     }
     void operator()(const ProbeFailed& it) const
     {
@@ -166,7 +166,7 @@
     return log;
 }
 
-static GroupConfigurationChanged readRole(const json::object& line)
+static GroupConfigurationChanged readGroupConfiguration(const json::object& line)
 {
     auto record = parseGroupRecord(readText(line.at("group")), json::serialize(line.at("record")));
     if (!record)
@@ -210,7 +210,7 @@
 {
     auto name = readText(line.at("event"));
     if (name == "role")
-        return readRole(line);
+        return readGroupConfiguration(line);
     if (name == "began")
         return ServingStarted {};
     if (name == "status")
--- a/tests/unit/failover_test.cpp
+++ b/tests/unit/failover_test.cpp
@@ -54,8 +54,8 @@
     std::vector<bool> isLeaving = std::vector<bool>(3, false);
     size_t rank = 0;
 
-    FailoverContext getView() const { return { record, health, isLeaving, rank, {} }; }
-    FailoverStep step(const FailoverState& state, const FailoverEvent& event, int ms) const { return stepFailover(getView(), state, event, at(ms)); }
+    FailoverContext getContext() const { return { record, health, isLeaving, rank, {} }; }
+    FailoverStep step(const FailoverState& state, const FailoverEvent& event, int ms) const { return stepFailover(getContext(), state, event, at(ms)); }
 };
 
 template <typename T>
@@ -80,18 +80,18 @@
 {
     Fixture it;
     it.health = makeFailingHealth(80, true, 200);
-    BOOST_TEST(getPrimaryDownReason(it.getView(), at(80)).empty());
+    BOOST_TEST(getPrimaryDownReason(it.getContext(), at(80)).empty());
     it.health = makeFailingHealth(280, true, 280);
-    BOOST_TEST(!getPrimaryDownReason(it.getView(), at(280)).empty());
+    BOOST_TEST(!getPrimaryDownReason(it.getContext(), at(280)).empty());
     it.health = makeFailingHealth(280, false, 280);
-    BOOST_TEST(getPrimaryDownReason(it.getView(), at(280)).empty());
+    BOOST_TEST(getPrimaryDownReason(it.getContext(), at(280)).empty());
     it.health = makeFailingHealth(600, false, 600);
-    BOOST_TEST(!getPrimaryDownReason(it.getView(), at(600)).empty());
+    BOOST_TEST(!getPrimaryDownReason(it.getContext(), at(600)).empty());
     it.health = makeFailingHealth(600, false, 40);
-    BOOST_TEST(getPrimaryDownReason(it.getView(), at(600)).empty());
+    BOOST_TEST(getPrimaryDownReason(it.getContext(), at(600)).empty());
     // Old statuses of replicas do not count.
     it.health = makeFailingHealth(600, false, 600);
-    BOOST_TEST(getPrimaryDownReason(it.getView(), at(2000)).empty());
+    BOOST_TEST(getPrimaryDownReason(it.getContext(), at(2000)).empty());
 }
 
 BOOST_AUTO_TEST_CASE(failed_primary_leads_through_claim_and_fencing_to_a_promotion)
@@ -282,8 +282,8 @@
 
     void decide(size_t host, const FailoverEvent& event)
     {
-        FailoverContext view { m_record, m_health[host], std::vector<bool>(kMembers, false), host, {} };
-        auto result = stepFailover(view, m_states[host], event, at(m_ms));
+        FailoverContext context { m_record, m_health[host], std::vector<bool>(kMembers, false), host, {} };
+        auto result = stepFailover(context, m_states[host], event, at(m_ms));
         m_states[host] = std::move(result.state);
         for (auto& it : result.actions) {
             if (!std::holds_alternative<AddTimelineEntry>(it) && !std::holds_alternative<AnnouncePrimary>(it))
--- a/tests/unit/health_test.cpp
+++ b/tests/unit/health_test.cpp
@@ -67,11 +67,11 @@
     for (size_t i = 1; i < 3; ++i)
         health = applyPiggybackedStatus(health, i, { 1, 0, { 1, 100 } }, at(890), at(891));
     auto record = makeRecord();
-    FailoverContext view { record, health, std::vector<bool>(3), 0, {} };
-    BOOST_TEST(getPrimaryDownReason(view, at(900)).empty()); // contact is not known
+    FailoverContext context { record, health, std::vector<bool>(3), 0, {} };
+    BOOST_TEST(getPrimaryDownReason(context, at(900)).empty()); // contact is not known
     for (size_t i = 1; i < 3; ++i)
         health = applyStatus(health, i, makeStatus(Role::Replica, 100, milliseconds(880)), at(895), at(896));
-    BOOST_TEST(!getPrimaryDownReason(view, at(900)).empty());
+    BOOST_TEST(!getPrimaryDownReason(context, at(900)).empty());
 }
 
 BOOST_AUTO_TEST_CASE(status_probe_is_due_when_other_replies_stop)
--- a/tests/unit/hosts_test.cpp
+++ b/tests/unit/hosts_test.cpp
@@ -39,7 +39,7 @@
     BOOST_TEST(!suspectHost(it, "h2", 0, 2, at(0)));
     BOOST_TEST(suspectHost(it, "h2", 1, 2, at(0)));
     BOOST_TEST((findHost(it, "h2")->state == HostState::Suspect));
-    // With no other host to ask, a failed contact of its own suffices.
+    // With no other host to ask, the failure seen by this host suffices.
     BOOST_TEST(suspectHost(it, "h3", 0, 0, at(0)));
 }
 
