--- a/src/decisions/health.h
+++ b/src/decisions/health.h
@@ -52,7 +52,7 @@
     TimePoint askedAt {}; // send time of the request whose reply came last, of any kind
     TimePoint probedAt {}; // send time of the last answered status probe; primaryContactAge counts from then
     unsigned failures { 0 }; // consecutive failed probes
-    unsigned refusals { 0 }; // consecutive refused connections, of these
+    unsigned refusals { 0 }; // refused connections among the last failures, consecutive
     TimePoint failingSince {}; // send time of the first of the failed probes
     friend bool operator==(const MemberHealth&, const MemberHealth&) = default;
 
@@ -61,7 +61,7 @@
 
 struct GroupHealth {
     std::vector<MemberHealth> members {}; // in the order of the record
-    uint64_t term { 0 }; // of the primary that statements are routed to; 0: none known
+    uint64_t term { 0 }; // of the last known primary; 0: none known
     std::optional<size_t> primary {}; // index of the primary
     TimePoint withoutPrimarySince {}; // when the primary was last lost; only valid while there is none
     std::vector<FreshnessCheckpoint> freshnessCheckpoints {}; // ascending by askedAt; only of `term`
