--- a/src/gateway/status_exchange.cpp
+++ b/src/gateway/status_exchange.cpp
@@ -58,7 +58,7 @@
     if (it == view.members.end() || it->second.progress.position.term == 0)
         return;
     writeMark(*wire.mutable_position(), it->second.progress.position);
-    wire.set_position_age_us(getAgeUs(it->second.progress.at, now));
+    wire.set_position_age_us(getAgeUs(it->second.progress.observedAt, now));
 }
 
 void takePositions(ClusterView& view, const peer::Pong& wire, TimePoint sentAt)
