--- a/src/alderward.h
+++ b/src/alderward.h
@@ -19,7 +19,7 @@
 //   - Passing wall-clock time as `now`. It must be monotonic, and the same clock for all calls.
 //   - Keeping a GroupHealth and changing it in place. Take the returned value; the old one stays as it was.
 //   - Dropping an action. Each one either comes back as an event or times out in the state machine; a lost SendFence is
-//     safe but costs FailoverTimings::fenceLimit.
+//     safe but costs FailoverTimings::fenceTimeout.
 //
 // INDEX
 //   [SECTION] Errors       closed list of kinds, table from kind to answer
@@ -27,7 +27,7 @@
 //   [SECTION] Records      operators' configuration
 //   [SECTION] Health       what a home knows of a group's members; ages
 //   [SECTION] Routing      where a statement goes; whether a write is confirmed
-//   [SECTION] Failover     detection, fencing, promotion, hand-over
+//   [SECTION] Failover     detection, fencing, promotion, handover
 //   [SECTION] Group        record, health and failover in one value; recorded traces and their replay
 //   [SECTION] Placement    homes and shares
 //   [SECTION] Limits       admission, adaptive limit, retry budget
@@ -51,7 +51,7 @@
 #include "decisions/records.h"
 
 //-----------------------------------------------------------------------------
-// [SECTION] Health: MemberStatus, GroupHealth, takeStatus(), takeFailure(), takeGlimpse(), getProbeDue(), getAgeBound()
+// [SECTION] Health: MemberStatus, GroupHealth, applyStatus(), applyProbeFailure(), applyPiggybackedStatus(), getNextProbeTime(), getStalenessBound()
 //-----------------------------------------------------------------------------
 #include "decisions/health.h"
 
@@ -61,7 +61,7 @@
 #include "decisions/routing.h"
 
 //-----------------------------------------------------------------------------
-// [SECTION] Failover: FailoverState, stepFailover(), getDownReason(), getFollowers()
+// [SECTION] Failover: FailoverState, stepFailover(), getPrimaryDownReason(), getPendingFollows()
 //-----------------------------------------------------------------------------
 #include "decisions/failover.h"
 
@@ -83,6 +83,6 @@
 #include "decisions/limits.h"
 
 //-----------------------------------------------------------------------------
-// [SECTION] Membership: Membership, takeNews(), suspectHost(), ageMembership(), choosePartners()
+// [SECTION] Membership: Membership, applyHostUpdates(), suspectHost(), expireHosts(), choosePartners()
 //-----------------------------------------------------------------------------
 #include "decisions/membership.h"
--- a/src/controllers/group.cpp
+++ b/src/controllers/group.cpp
@@ -50,7 +50,7 @@
     }
     m_role = std::move(role);
     auto rank = std::ranges::find(m_role.homes, m_node.settings.name) - m_role.homes.begin();
-    takeEvent(decisions::RoleChanged { *m_role.record, m_role.isLeaving, static_cast<size_t>(rank) });
+    takeEvent(decisions::GroupConfigurationChanged { *m_role.record, m_role.isLeaving, static_cast<size_t>(rank) });
     auto share = decisions::getShare(*m_role.record, m_role.homes.size());
     for (size_t i = 0; i < m_members.size(); ++i) {
         m_members[i].pool->setLimits({ share, static_cast<size_t>(m_node.settings.queueLimit) });
@@ -94,7 +94,7 @@
 {
     m_isWorking = true;
     auto epoch = ++m_epoch;
-    takeEvent(decisions::WorkBegan {});
+    takeEvent(decisions::ServingStarted {});
     for (size_t i = 0; i < m_members.size(); ++i) {
         asio::co_spawn(m_strand, probeForever(i, epoch), asio::detached);
         asio::co_spawn(m_strand, confirmForever(i, epoch), asio::detached);
@@ -154,7 +154,7 @@
 {
     auto timer = m_members[index].probeTimer;
     while (epoch == m_epoch) {
-        auto due = decisions::getProbeDue(m_state.health, index, sentAt, getProbeTimings());
+        auto due = decisions::getNextProbeTime(m_state.health, index, sentAt, getProbeTimings());
         if (Clock::now() >= due)
             co_return;
         timer->expires_at(due);
@@ -168,32 +168,32 @@
 {
     decisions::ProbeTimings timings;
     timings.interval = milliseconds(m_node.settings.probeIntervalMs);
-    timings.fullInterval = std::max(timings.fullInterval, timings.interval);
+    timings.fullStatusInterval = std::max(timings.fullStatusInterval, timings.interval);
     timings.idleInterval = std::max(timings.idleInterval, timings.interval);
-    timings.isFirst = !m_role.homes.empty() && m_role.homes.front() == m_node.settings.name;
+    timings.isFirstHome = !m_role.homes.empty() && m_role.homes.front() == m_node.settings.name;
     timings.isIdle = m_orders == 0 && Clock::now() - m_usedAt >= kIdleAfter;
     return timings;
 }
 
 // Every answer tells something of its member: a status need be asked only where there was none.
-void GroupController::noteAnswer(size_t index, const decisions::MemberGlimpse& glimpse, TimePoint askedAt)
+void GroupController::noteAnswer(size_t index, const decisions::PiggybackedStatus& piggybacked, TimePoint askedAt)
 {
-    if (index >= m_members.size() || glimpse.term == 0)
+    if (index >= m_members.size() || piggybacked.term == 0)
         return;
     auto& it = m_state.health.members[index];
-    if (it.isReachable() && askedAt >= it.askedAt && !decisions::isInAgreement(it, glimpse)) {
+    if (it.isReachable() && askedAt >= it.askedAt && !decisions::matchesLastStatus(it, piggybacked)) {
         m_members[index].probeTimer->cancel();
         return;
     }
-    if (askedAt - it.askedAt < decisions::kGlimpseSpacing)
+    if (askedAt - it.askedAt < decisions::kPiggybackedStatusInterval)
         return;
-    takeEvent(decisions::GlimpseAnswered { index, glimpse, decisions::roundDown(askedAt) });
+    takeEvent(decisions::PiggybackedStatusReceived { index, piggybacked, decisions::truncateToMicroseconds(askedAt) });
 }
 
 asio::awaitable<decisions::GroupEvent> GroupController::probeOnce(std::unique_ptr<links::HttpConnection>& link, size_t index)
 {
     base::count(base::Counter::Probes);
-    auto askedAt = decisions::roundDown(Clock::now());
+    auto askedAt = decisions::truncateToMicroseconds(Clock::now());
     auto deadline = askedAt + milliseconds(m_node.settings.probeTimeoutMs);
     if (!link || !link->isOpen()) {
         link = links::makeHttpConnection(m_strand, m_members[index].record.address);
@@ -230,12 +230,12 @@
 void GroupController::takeEvent(const decisions::GroupEvent& event)
 {
     auto termBefore = m_state.health.term;
-    bool wasCalm = decisions::isCalm(m_state.health);
-    auto now = decisions::roundDown(Clock::now());
+    bool wasHealthy = decisions::isGroupHealthy(m_state.health);
+    auto now = decisions::truncateToMicroseconds(Clock::now());
     auto step = decisions::stepGroup(std::move(m_state), event, now);
     m_state = std::move(step.state);
     m_trace.record(now, event, step.actions, m_state.record);
-    if (step.isOfNote) {
+    if (step.hasNotableChange) {
         releaseWaiting(termBefore);
         publishStatus();
     }
@@ -243,7 +243,7 @@
         perform(it);
     if (std::holds_alternative<decisions::FailoverEvent>(event))
         return;
-    if (wasCalm && !decisions::isCalm(m_state.health))
+    if (wasHealthy && !decisions::isGroupHealthy(m_state.health))
         probeNow();
     repairFollowers();
     wakeHolders();
@@ -292,7 +292,7 @@
         return false;
     return std::ranges::any_of(m_state.health.members, [&](const decisions::MemberHealth& it) {
         return it.isReachable() && it.probedAt >= primary.failingSince && it.status.term == m_state.health.term
-            && it.status.role == decisions::Role::Replica && it.status.heardPrimaryAgo < decisions::FailoverTimings {}.unheardFor;
+            && it.status.role == decisions::Role::Replica && it.status.primaryContactAge < decisions::FailoverTimings {}.primaryContactTimeout;
     });
 }
 
--- a/src/controllers/group.h
+++ b/src/controllers/group.h
@@ -135,7 +135,7 @@
     boost::asio::awaitable<void> waitForProbe(size_t index, base::TimePoint sentAt, uint64_t epoch);
     decisions::ProbeTimings getProbeTimings() const;
     void probeNow();
-    void noteAnswer(size_t index, const decisions::MemberGlimpse& glimpse, base::TimePoint askedAt);
+    void noteAnswer(size_t index, const decisions::PiggybackedStatus& piggybacked, base::TimePoint askedAt);
     void takeEvent(const decisions::GroupEvent& event);
     void releaseWaiting(uint64_t termBefore);
     void publishStatus();
@@ -153,7 +153,7 @@
     boost::asio::awaitable<void> writeClaim(uint64_t term);
     boost::asio::awaitable<decisions::ClaimAnswered> tryClaim(uint64_t term, base::TimePoint deadline);
     boost::asio::awaitable<void> writeClaimLate(uint64_t term);
-    void announce(const decisions::Announce& action);
+    void announce(const decisions::AnnouncePrimary& action);
     void repairFollowers();
 
     // ---- confirmation ----
--- a/src/controllers/group_statements.cpp
+++ b/src/controllers/group_statements.cpp
@@ -156,7 +156,7 @@
     outcome.mark = std::max(order.mark, answer->mark);
     outcome.member = member;
     outcome.role = isPrimary ? decisions::Role::Primary : decisions::Role::Replica;
-    outcome.age = decisions::getAgeBound(m_state.health, answer->mark.term, answer->mark.position, Clock::now());
+    outcome.age = decisions::getStalenessBound(m_state.health, answer->mark.term, answer->mark.position, Clock::now());
     base::count(isPrimary ? Counter::ReadsByPrimary : Counter::ReadsByReplica);
     co_return co_await checkAge(order, std::move(outcome), index, sentAt);
 }
@@ -184,7 +184,7 @@
 {
     decisions::HoldView view { m_state.health };
     view.majority = m_role.record->getMajority();
-    view.isHeldBack = !m_state.failover.heldBack.empty();
+    view.isHeldBack = !m_state.failover.holdBackReason.empty();
     view.isPathFault = isPathFault();
     view.held = m_held;
     view.heldMost = static_cast<size_t>(m_node.settings.heldWrites);
@@ -202,7 +202,7 @@
     if (isDue(order.deadline))
         co_return decisions::Error { route.reason, describeWait(route.reason), kComeBack };
     if (!mayHold()) {
-        auto why = m_state.failover.heldBack.empty() ? std::string(describeWait(route.reason)) : "no promotion: " + m_state.failover.heldBack;
+        auto why = m_state.failover.holdBackReason.empty() ? std::string(describeWait(route.reason)) : "no promotion: " + m_state.failover.holdBackReason;
         co_return decisions::Error { route.reason, why, kComeBack * 4 };
     }
     ++m_held;
--- a/src/daemon/operators.cpp
+++ b/src/daemon/operators.cpp
@@ -45,7 +45,7 @@
     it["term"] = health.status.term;
     it["fencedTerm"] = health.status.fencedTerm;
     it["position"] = health.status.log.position;
-    auto age = decisions::getAgeBound(group, health.status.log.term, health.status.log.position, Clock::now());
+    auto age = decisions::getStalenessBound(group, health.status.log.term, health.status.log.position, Clock::now());
     it["ageMs"] = age ? json::value(age->count()) : json::value(nullptr);
     return it;
 }
@@ -69,7 +69,7 @@
     auto primary = status->health.primary;
     it["primary"] = primary ? json::value(entry.record->members[*primary].name) : json::value(nullptr);
     it["failover"] = getPhaseName(status->failover.phase);
-    it["heldBack"] = status->failover.heldBack;
+    it["heldBack"] = status->failover.holdBackReason;
     it["waiting"] = status->waiting;
     it["transactions"] = status->transactions;
     json::array members;
@@ -106,7 +106,7 @@
     status["refusedRecords"] = std::move(refused);
     json::object hosts;
     for (auto& [name, known] : membership->hosts)
-        hosts[name] = { { "state", decisions::getHostStateName(known.news.state) }, { "incarnation", known.news.incarnation }, { "dataCentre", known.news.dataCentre }, { "operatorAddress", known.news.operatorAddress } };
+        hosts[name] = { { "state", decisions::getHostStateName(known.info.state) }, { "incarnation", known.info.incarnation }, { "dataCentre", known.info.dataCentre }, { "operatorAddress", known.info.operatorAddress } };
     status["hosts"] = std::move(hosts);
     return status;
 }
--- a/src/decisions/progress.h
+++ b/src/decisions/progress.h
@@ -1,30 +1,30 @@
-// How far a replica's log has come, from positions that were seen now and then: whether a read is worth sending there before it was asked.
+// Estimates the log position of a replica from occasional observations, to decide whether a read is worth sending to it.
 //
 // COMMON MISTAKES
-//   - Taking an estimate for a proof. A read always carries what it needs, and the member itself has the last word.
+//   - Treating an estimate as proof. A read carries the position that it requires, and the member checks it.
 #pragma once
 #include "decisions/freshness.h"
 
 namespace alderward::decisions {
 
-struct Progress {
-    Mark position {}; // newest that was seen; term 0: none
-    TimePoint at {}; // when
-    Mark countedFrom {}; // where the present count of its speed began
-    TimePoint countedAt {};
-    double perSecond { 0 }; // positions; as of the last count
-    TimePoint behindAt {}; // when the member last said that it lacks what a read needs
-    friend bool operator==(const Progress&, const Progress&) = default;
+struct LogProgress {
+    Mark position {}; // last observed; term 0: none
+    TimePoint observedAt {}; // of `position`
+    Mark rateBase {}; // position from which the rate is measured
+    TimePoint rateBaseAt {};
+    double positionsPerSecond { 0 }; // 0: unknown, or the log is idle
+    TimePoint lastRefusalAt {}; // when the member last lacked the position that a read required
+    friend bool operator==(const LogProgress&, const LogProgress&) = default;
 };
 
-inline constexpr milliseconds kCountFor { 250 }; // a speed rests on positions at least this far apart
+inline constexpr milliseconds kMinRateInterval { 250 }; // minimum time between the two observations that give a rate
 
-// The member's log stood at `position` at `at`. What is older than what is known changes nothing. A log that went back, as after a change of
-// primary, is followed.
-Progress takePosition(const Progress& progress, const Mark& position, TimePoint at);
-// The member lacked what a read needed at `at`. Says nothing of where the log stands, and hides nothing that is heard of that.
-Progress takeRefusal(const Progress& progress, TimePoint at);
-// Where the log stands by now if it goes on at its speed.
-Mark estimatePosition(const Progress& progress, TimePoint now);
+// Applies an observed position. Older observations are ignored. A position that goes back, as after a change of primary, is
+// accepted and resets the rate.
+LogProgress applyPosition(const LogProgress& progress, const Mark& position, TimePoint observedAt);
+// Records that the member lacked the position that a read required. The observed position stays.
+LogProgress applyRefusal(const LogProgress& progress, TimePoint observedAt);
+// Extrapolates the position at `now` by the rate.
+Mark estimatePosition(const LogProgress& progress, TimePoint now);
 
 }
--- a/src/gateway/cluster_view.cpp
+++ b/src/gateway/cluster_view.cpp
@@ -11,9 +11,9 @@
     return group.lead.member != member.listed.id && floor && position.term != 0 && position < *floor;
 }
 
-bool takesNewOperations(const MemberBelief& member, milliseconds drainTime, TimePoint now)
+bool acceptsNewOperations(const MemberBelief& member, milliseconds drainTime, TimePoint now)
 {
-    return decisions::takesNewOperations(member.leavingSince, drainTime, now) && decisions::takesNewOperations(member.unlistedAt, drainTime, now);
+    return decisions::acceptsNewOperations(member.leavingSince, drainTime, now) && decisions::acceptsNewOperations(member.unlistedAt, drainTime, now);
 }
 
 void denyLead(GroupBelief& group, const std::string& member, TimePoint now)
@@ -161,7 +161,7 @@
     member.troubleAt = {};
     member.answeredAt = {};
     member.progress = {};
-    member.progress.at = now; // positions that others saw before say nothing
+    member.progress.observedAt = now; // positions that others saw before say nothing
     member.hasStartedAgain = true;
 }
 
--- a/src/gateway/status_exchange.cpp
+++ b/src/gateway/status_exchange.cpp
@@ -58,7 +58,7 @@
     if (it == view.members.end() || it->second.progress.position.term == 0)
         return;
     writeMark(*wire.mutable_position(), it->second.progress.position);
-    wire.set_position_age_us(getAgeUs(it->second.progress.at, now));
+    wire.set_position_age_us(getAgeUs(it->second.progress.observedAt, now));
 }
 
 void takePositions(ClusterView& view, const peer::Pong& wire, TimePoint sentAt)
@@ -68,7 +68,7 @@
         if (member == view.members.end() || !it.has_position())
             continue;
         auto& progress = member->second.progress;
-        progress = decisions::takePosition(progress, readMark(it.position()), sentAt - microseconds(it.position_age_us()));
+        progress = decisions::applyPosition(progress, readMark(it.position()), sentAt - microseconds(it.position_age_us()));
     }
 }
 
--- a/tests/unit/trace_test.cpp
+++ b/tests/unit/trace_test.cpp
@@ -1,4 +1,4 @@
-// Recorded traces against stated outcomes: what each fault must lead to, whoever changes the decisions later.
+// Replays recorded traces and checks the outcome of each fault.
 #include "decisions/trace.h"
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
@@ -18,21 +18,21 @@
     return *trace;
 }
 
-size_t countActions(const Replay& replay, const std::string& beginning)
+size_t countActions(const ReplayResult& replay, const std::string& beginning)
 {
     return static_cast<size_t>(std::ranges::count_if(replay.actions, [&](const std::string& it) { return it.starts_with(beginning); }));
 }
 
-std::string getPrimary(const Replay& replay)
+std::string getPrimary(const ReplayResult& replay)
 {
     auto& health = replay.state.health;
     return health.primary ? replay.state.record.members[*health.primary].name : std::string();
 }
 
-// One promotion in term 2 by a fenced majority, begun once, for the stated cause.
-void checkPromotion(const Replay& replay, const std::string& cause)
+// Checks for a single promotion, in term 2 after fencing, for the given cause.
+void checkPromotion(const ReplayResult& replay, const std::string& cause)
 {
-    BOOST_TEST(replay.difference == "");
+    BOOST_TEST(replay.firstDifference == "");
     BOOST_TEST(countActions(replay, "promote ") == 1u);
     BOOST_TEST(countActions(replay, "note promotion-began: term 2: " + cause) == 1u);
     BOOST_TEST(countActions(replay, "fence ") == 3u);
@@ -51,35 +51,35 @@
 {
     auto replay = replayTrace(readTrace("killed"));
     checkPromotion(replay, "primary orders-a refuses connections");
-    BOOST_TEST(replay.state.failover.promotions.size() == 1u);
+    BOOST_TEST(replay.state.failover.recentPromotions.size() == 1u);
 }
 
-BOOST_AUTO_TEST_CASE(frozen_primary_is_replaced_once_and_follows_when_it_wakes)
+BOOST_AUTO_TEST_CASE(frozen_primary_is_replaced_once_and_follows_after_it_resumes)
 {
     auto replay = replayTrace(readTrace("frozen"));
     checkPromotion(replay, "primary orders-a does not answer");
     BOOST_TEST(countActions(replay, "note primary-seen: orders-a in term 1") == 1u);
 }
 
-// The leaving primary alone is fenced first, and the two others only when one of them has caught up.
-BOOST_AUTO_TEST_CASE(leaving_primary_is_handed_over_and_counts_against_no_bound)
+// The leaving primary is fenced first, the others only after one of them has caught up.
+BOOST_AUTO_TEST_CASE(leaving_primary_is_handed_over_and_does_not_count_against_promotion_limits)
 {
     auto replay = replayTrace(readTrace("leaving"));
     checkPromotion(replay, "primary orders-a is leaving");
     auto first = std::ranges::find_if(replay.actions, [](const std::string& it) { return it.starts_with("fence "); });
     BOOST_TEST(*first == "fence orders-a in term 2");
-    BOOST_TEST(replay.state.failover.promotions.empty());
+    BOOST_TEST(replay.state.failover.recentPromotions.empty());
 }
 
-BOOST_AUTO_TEST_CASE(slow_and_lagging_members_lead_to_nothing)
+BOOST_AUTO_TEST_CASE(slow_and_lagging_members_cause_no_actions)
 {
     auto replay = replayTrace(readTrace("slow"));
-    BOOST_TEST(replay.difference == "");
+    BOOST_TEST(replay.firstDifference == "");
     BOOST_TEST(replay.actions == std::vector<std::string> { "note primary-seen: orders-a in term 1" }, boost::test_tools::per_element());
 }
 
-// A trace is held to what was recorded: with one event less, or another answer, the replay says where it differs.
-BOOST_AUTO_TEST_CASE(changed_trace_is_found_out)
+// With changed answers, the replay reports the first entry whose actions differ.
+BOOST_AUTO_TEST_CASE(replay_reports_where_a_changed_trace_differs)
 {
     auto trace = readTrace("killed");
     auto fence = std::ranges::find_if(trace, [](const TraceEntry& it) {
@@ -92,10 +92,10 @@
         if (auto* event = std::get_if<FailoverEvent>(&it.event); event && std::holds_alternative<FenceAnswered>(*event))
             std::get<FenceAnswered>(*event).answer.reset();
     }
-    BOOST_TEST(replayTrace(without).difference.starts_with("entry "));
+    BOOST_TEST(replayTrace(without).firstDifference.starts_with("entry "));
 }
 
-BOOST_AUTO_TEST_CASE(entries_come_back_as_they_went)
+BOOST_AUTO_TEST_CASE(formatted_entries_parse_to_the_same_entries)
 {
     for (auto* name : { "killed", "frozen", "leaving", "slow" }) {
         auto trace = readTrace(name);
@@ -108,9 +108,9 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(bad_line_is_named)
+BOOST_AUTO_TEST_CASE(parse_error_gives_the_line)
 {
-    BOOST_TEST(parseTrace("{\"atUs\":1,\"event\":\"tick\"}\n{\"atUs\":2,\"event\":\"wish\"}\n").error() == "line 2: no event is called wish");
+    BOOST_TEST(parseTrace("{\"atUs\":1,\"event\":\"tick\"}\n{\"atUs\":2,\"event\":\"wish\"}\n").error() == "line 2: unknown event: wish");
     BOOST_TEST(parseTrace("{\"atUs\":1,\"event\":\"tick\"}\n\nnonsense\n").error().starts_with("line 3: "));
 }
 
