--- a/src/decisions/choice.cpp
+++ b/src/decisions/choice.cpp
@@ -5,30 +5,30 @@
 namespace alderward::decisions {
 
 // Statements' worth of queue that a read must save to be sent to the leader.
-static constexpr double kLeaderPenalty = 1.0;
+static constexpr double kPrimaryPenalty = 1.0;
 
-Lead takeProof(const Lead& lead, const std::string& member, uint64_t term)
+KnownPrimary applyPrimaryProof(const KnownPrimary& lead, const std::string& member, uint64_t term)
 {
-    return term < lead.term ? lead : Lead { member, term, true };
+    return term < lead.term ? lead : KnownPrimary { member, term, true };
 }
 
-Lead takeDenial(const Lead& lead, const std::string& member)
+KnownPrimary applyPrimaryDenial(const KnownPrimary& lead, const std::string& member)
 {
-    return lead.member == member ? Lead { "", lead.term, false } : lead;
+    return lead.member == member ? KnownPrimary { "", lead.term, false } : lead;
 }
 
-Lead takeReport(const Lead& lead, const std::string& member, uint64_t term)
+KnownPrimary applyPrimaryReport(const KnownPrimary& lead, const std::string& member, uint64_t term)
 {
     bool fillsGap = lead.member.empty() && term >= lead.term;
-    return term > lead.term || fillsGap ? Lead { member, term, false } : lead;
+    return term > lead.term || fillsGap ? KnownPrimary { member, term, false } : lead;
 }
 
-Lead takeListing(const Lead& lead, const std::string& member)
+KnownPrimary applyPrimaryListing(const KnownPrimary& lead, const std::string& member)
 {
-    return lead.member.empty() ? Lead { member, lead.term, false } : lead;
+    return lead.member.empty() ? KnownPrimary { member, lead.term, false } : lead;
 }
 
-bool isOvertaken(const Lead& before, const Lead& now)
+bool isSuperseded(const KnownPrimary& before, const KnownPrimary& now)
 {
     bool isOther = !now.member.empty() && now.member != before.member;
     return isOther || now.term > before.term;
@@ -47,10 +47,10 @@
     for (size_t i = 0; i < candidates.size(); ++i) {
         auto& it = candidates[i];
         bool isLeftAlone = it.positionAge < (it.isFarBehind ? kFarBehindFor : kBehindFor);
-        bool isBehind = !it.isLeader && it.position < need && isLeftAlone && (it.position.term != 0 || it.wasBehind);
+        bool isBehind = !it.isPrimary && it.position < need && isLeftAlone && (it.position.term != 0 || it.wasBehind);
         if (!it.isUsable || it.wasTried || isBehind)
             continue;
-        auto cost = getExpectedMs(it) + (it.isLeader ? kLeaderPenalty * it.workMs : 0);
+        auto cost = getExpectedMs(it) + (it.isPrimary ? kPrimaryPenalty * it.workMs : 0);
         if (!best || cost < bestCost) {
             best = i;
             bestCost = cost;
--- a/src/decisions/choice.h
+++ b/src/decisions/choice.h
@@ -15,25 +15,25 @@
 //-----------------------------------------------------------------------------
 
 // Which member leads a group, as far as this host knows.
-struct Lead {
+struct KnownPrimary {
     std::string member {}; // empty: nobody is known to
     uint64_t term { 0 }; // the newest that was heard of
-    bool isProven { false }; // shown by the member itself, not only listed or told
-    friend bool operator==(const Lead&, const Lead&) = default;
+    bool isConfirmed { false }; // shown by the member itself, not only listed or told
+    friend bool operator==(const KnownPrimary&, const KnownPrimary&) = default;
 };
 
 // The member itself showed that it leads in `term`.
-Lead takeProof(const Lead& lead, const std::string& member, uint64_t term);
+KnownPrimary applyPrimaryProof(const KnownPrimary& lead, const std::string& member, uint64_t term);
 // The member itself said that it does not lead.
-Lead takeDenial(const Lead& lead, const std::string& member);
+KnownPrimary applyPrimaryDenial(const KnownPrimary& lead, const std::string& member);
 // Another host told us.
-Lead takeReport(const Lead& lead, const std::string& member, uint64_t term);
+KnownPrimary applyPrimaryReport(const KnownPrimary& lead, const std::string& member, uint64_t term);
 // The list of members names it; that may be out of date, so it fills a gap only.
-Lead takeListing(const Lead& lead, const std::string& member);
+KnownPrimary applyPrimaryListing(const KnownPrimary& lead, const std::string& member);
 
 // Whether evidence that was gathered while `before` was believed is void: another member, or a newer term, has become known since. An order
 // that rests on it could make a member the primary that lacks what was acknowledged meanwhile.
-bool isOvertaken(const Lead& before, const Lead& now);
+bool isSuperseded(const KnownPrimary& before, const KnownPrimary& now);
 
 //-----------------------------------------------------------------------------
 // [SECTION] Choice
@@ -41,7 +41,7 @@
 
 struct Candidate {
     bool isUsable { true }; // listed, not leaving, reachable as far as is known
-    bool isLeader { false };
+    bool isPrimary { false };
     bool wasTried { false }; // by this statement
     Mark position {}; // that it is estimated to hold now
     milliseconds positionAge { 0 }; // since it was last heard of, or that it is behind
--- a/src/gateway/cluster_view.cpp
+++ b/src/gateway/cluster_view.cpp
@@ -18,14 +18,14 @@
 
 void denyLead(GroupBelief& group, const std::string& member, TimePoint now)
 {
-    bool isPending = group.lead.member == member && !group.lead.isProven && now < group.pendingUntil;
+    bool isPending = group.lead.member == member && !group.lead.isConfirmed && now < group.pendingUntil;
     if (!isPending)
-        group.lead = decisions::takeDenial(group.lead, member);
+        group.lead = decisions::applyPrimaryDenial(group.lead, member);
 }
 
 void takeOrderedLead(GroupBelief& group, const std::string& member, uint64_t term, TimePoint now)
 {
-    auto lead = decisions::takeReport(group.lead, member, term);
+    auto lead = decisions::applyPrimaryReport(group.lead, member, term);
     if (lead == group.lead)
         return;
     group.lead = lead;
@@ -56,7 +56,7 @@
         group.disprovedTerm = known.term;
         known = { "", term, false };
     }
-    group.lead = shownTo == ShownTo::ThisHost ? decisions::takeProof(known, member, term) : decisions::takeReport(known, member, term);
+    group.lead = shownTo == ShownTo::ThisHost ? decisions::applyPrimaryProof(known, member, term) : decisions::applyPrimaryReport(known, member, term);
     group.shownTerm = std::max(group.shownTerm, term);
 }
 
@@ -155,7 +155,7 @@
 static void forgetLife(ClusterView& view, MemberBelief& member, TimePoint now)
 {
     auto& group = view.groups[member.listed.group];
-    group.lead = decisions::takeDenial(group.lead, member.listed.id);
+    group.lead = decisions::applyPrimaryDenial(group.lead, member.listed.id);
     group.wasCompared = false; // with the process of before
     member.leavingSince.reset();
     member.troubleAt = {};
@@ -191,7 +191,7 @@
     if (std::ranges::find(group.members, listed.id) == group.members.end())
         group.members.push_back(listed.id);
     if (listed.saysPrimary && !startedAgain) // it has yet to show that it holds what it acknowledged
-        group.lead = decisions::takeListing(group.lead, listed.id);
+        group.lead = decisions::applyPrimaryListing(group.lead, listed.id);
     return startedAgain ? MemberChange::StartedAgain : MemberChange::Taken;
 }
 
@@ -218,7 +218,7 @@
         view.forgottenRevision = std::max(view.forgottenRevision, view.members[id].revision);
         auto& group = view.groups[view.members[id].listed.group];
         std::erase(group.members, id);
-        group.lead = decisions::takeDenial(group.lead, id);
+        group.lead = decisions::applyPrimaryDenial(group.lead, id);
         view.members.erase(id);
         view.rankings.erase(id);
     }
--- a/src/gateway/cluster_view.h
+++ b/src/gateway/cluster_view.h
@@ -25,13 +25,13 @@
 };
 
 struct GroupBelief {
-    decisions::Lead lead {};
+    decisions::KnownPrimary lead {};
     uint64_t shownTerm { 0 }; // the newest that a member showed. A lead of a newer term is assumed: it follows from an order
     decisions::FloorHistory floors {};
     TimePoint pendingUntil {}; // a change of primary was ordered; until then the new one may not know yet that it leads
     uint64_t disprovedTerm { 0 }; // an assumed one that gave way: those that still assume it are not believed
     TimePoint provenAt {}; // when the primary last showed this host itself that it leads
-    decisions::Lead refusedProof {}; // the last one that was not believed, as logged
+    decisions::KnownPrimary refusedProof {}; // the last one that was not believed, as logged
     std::vector<std::string> members {}; // ids
     bool isComparing { false }; // its replicas are being asked what they hold
     bool wasCompared { false }; // enough of them have answered
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -46,7 +46,7 @@
     , m_quotas({ m_view, m_peers, m_settings.name, m_self.incarnation, getQuotaRule(), m_isDraining, [this](size_t shard, const std::set<std::string>& accounts, std::function<void(bool)> done) { writeNearAccounts(shard, accounts, std::move(done)); } })
     , m_router({ context, m_view, m_peers, m_settings.name, m_settings.dataCentre, [this](const TargetAddress& it) { return getPool(it); }, [this](const TargetAddress& it) { return isTroubled(it); }, [this](const std::string& group) { raiseAlarm(group, "no primary is known"); }, [this] { return !decisions::mayJudge(m_peers.countInReach()); }, getDrainTime(), m_quotas })
     , m_directory(context, *m_platform, m_self, { milliseconds(m_settings.callLimitMs), milliseconds(m_settings.watchWaitMs), milliseconds(m_settings.longWatchWaitMs), milliseconds(m_settings.leaseMs) }, makeDirectoryEvents())
-    , m_promoter({ context, m_view, m_peers, *m_platform, { m_self.name, m_self.incarnation }, [this](const TargetAddress& it, std::function<void(const StatusReport&)> done) { inquire(it, std::move(done)); }, [this](const std::string&, const std::string& member, milliseconds time) { holdWrites(member, time); }, [this] { return m_directory.isReachable(); }, [this](const std::string& group, const decisions::Lead& before, std::string_view source) { noteLead(group, before, source); }, m_isDraining })
+    , m_promoter({ context, m_view, m_peers, *m_platform, { m_self.name, m_self.incarnation }, [this](const TargetAddress& it, std::function<void(const StatusReport&)> done) { inquire(it, std::move(done)); }, [this](const std::string&, const std::string& member, milliseconds time) { holdWrites(member, time); }, [this] { return m_directory.isReachable(); }, [this](const std::string& group, const decisions::KnownPrimary& before, std::string_view source) { noteLead(group, before, source); }, m_isDraining })
     , m_acceptor(context)
     , m_timers(timers)
 {
@@ -194,7 +194,7 @@
     observer.getKnown = [this](const TargetAddress& target) { return getKnownMark(m_view.groups[target.group]); };
     observer.onLostLog = [this](const TargetAddress& target, const Mark& position) {
         base::logEvent(LogClass::State, "primary-lost-log", { { "group", std::string_view(target.group) }, { "member", std::string_view(target.member) }, { "term", static_cast<int64_t>(position.term) }, { "position", static_cast<int64_t>(position.position) } });
-        takeLead(target.group, decisions::takeDenial(m_view.groups[target.group].lead, target.member), "denied");
+        takeLead(target.group, decisions::applyPrimaryDenial(m_view.groups[target.group].lead, target.member), "denied");
     };
     observer.leads = [this](const TargetAddress& target) { return m_view.groups[target.group].lead.member == target.member; };
     observer.onLeads = [this](const TargetAddress& target, const Mark& position, TimePoint sentAt) {
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -45,12 +45,12 @@
     DirectoryEvents makeDirectoryEvents();
     void inquire(const TargetAddress& target, std::function<void(const StatusReport&)> done);
     void holdWrites(const std::string& member, milliseconds time);
-    void takeLead(const std::string& group, const decisions::Lead& lead, std::string_view source);
+    void takeLead(const std::string& group, const decisions::KnownPrimary& lead, std::string_view source);
     void takeShown(const std::string& group, const std::string& member, uint64_t term, TimePoint askedAt, ShownTo shownTo);
     void takeOrdered(const std::string& group, const std::string& member, uint64_t term);
     void takeAssumed(const std::string& group, const std::string& member, uint64_t term);
     // Logs a change and tells the parts that go by it.
-    void noteLead(const std::string& group, const decisions::Lead& before, std::string_view source);
+    void noteLead(const std::string& group, const decisions::KnownPrimary& before, std::string_view source);
     void noteRefusedProof(const std::string& group, const std::string& member, uint64_t term);
     void takeFloor(const std::string& group, const decisions::Floor& floor);
     void raiseAlarm(const std::string& group, const std::string& reason);
--- a/src/gateway/gateway_leads.cpp
+++ b/src/gateway/gateway_leads.cpp
@@ -100,7 +100,7 @@
     });
 }
 
-void Gateway::takeLead(const std::string& group, const decisions::Lead& lead, std::string_view source)
+void Gateway::takeLead(const std::string& group, const decisions::KnownPrimary& lead, std::string_view source)
 {
     auto& current = m_view.groups[group].lead;
     auto before = current;
@@ -134,7 +134,7 @@
     noteLead(group, before, "told");
 }
 
-void Gateway::noteLead(const std::string& group, const decisions::Lead& before, std::string_view source)
+void Gateway::noteLead(const std::string& group, const decisions::KnownPrimary& before, std::string_view source)
 {
     auto& belief = m_view.groups[group];
     auto& lead = belief.lead;
@@ -153,7 +153,7 @@
 void Gateway::noteRefusedProof(const std::string& group, const std::string& member, uint64_t term)
 {
     auto& belief = m_view.groups[group];
-    decisions::Lead refused { member, term, true };
+    decisions::KnownPrimary refused { member, term, true };
     if (term >= belief.lead.term || refused == belief.refusedProof)
         return;
     belief.refusedProof = refused;
--- a/src/gateway/gateway_members.cpp
+++ b/src/gateway/gateway_members.cpp
@@ -95,7 +95,7 @@
     if (now.saysPrimary && group.lead.member != now.id)
         takeLead(now.group, { now.id, group.lead.term, false }, "listed");
     else if (!now.saysPrimary)
-        takeLead(now.group, decisions::takeDenial(group.lead, now.id), "listed");
+        takeLead(now.group, decisions::applyPrimaryDenial(group.lead, now.id), "listed");
 }
 
 }
--- a/src/gateway/promoter.cpp
+++ b/src/gateway/promoter.cpp
@@ -396,7 +396,7 @@
 std::string_view Promoter::findObjection(const std::string& group, const Occasion& occasion) const
 {
     auto& belief = m_context.view.groups[group];
-    if (decisions::isOvertaken(occasion.lead, belief.lead))
+    if (decisions::isSuperseded(occasion.lead, belief.lead))
         return "another primary became known meanwhile";
     if (occasion.isPlanned) {
         bool isSame = belief.lead.member == occasion.lead.member; // or nobody is known to lead since, and the change is due all the more
--- a/src/gateway/promoter.h
+++ b/src/gateway/promoter.h
@@ -17,7 +17,7 @@
     std::function<void(const TargetAddress&, std::function<void(const StatusReport&)>)> inquire; // from this host
     std::function<void(const std::string& group, const std::string& member, milliseconds)> holdWrites; // at this host
     std::function<bool()> hasStore; // this host hears of changes there
-    std::function<void(const std::string& group, const decisions::Lead& before, std::string_view source)> noteLead; // the belief was changed here
+    std::function<void(const std::string& group, const decisions::KnownPrimary& before, std::string_view source)> noteLead; // the belief was changed here
     const bool& isDraining;
 };
 
@@ -69,7 +69,7 @@
     struct Due;
     // What a change of primary rests on.
     struct Occasion {
-        decisions::Lead lead {}; // as it was believed when the change became due
+        decisions::KnownPrimary lead {}; // as it was believed when the change became due
         bool isPlanned { false };
         TimePoint since {}; // what was found out is not older
     };
--- a/src/gateway/statement_router.cpp
+++ b/src/gateway/statement_router.cpp
@@ -63,7 +63,7 @@
     auto now = Clock::now();
     decisions::Candidate candidate;
     candidate.isUsable = !member.listed.isLeaving && !member.unlistedAt && !mustShow(member);
-    candidate.isLeader = member.listed.id == leader;
+    candidate.isPrimary = member.listed.id == leader;
     candidate.wasTried = std::ranges::find(routed.tried, member.listed.id) != routed.tried.end();
     candidate.position = decisions::estimatePosition(member.progress, now);
     candidate.positionAge = std::chrono::duration_cast<milliseconds>(now - std::max(member.progress.at, member.progress.behindAt));
--- a/tests/unit/gateway_decisions_test.cpp
+++ b/tests/unit/gateway_decisions_test.cpp
@@ -96,39 +96,39 @@
 
 BOOST_AUTO_TEST_CASE(lead_goes_by_term_and_by_what_the_member_itself_shows)
 {
-    Lead lead = takeListing({}, "a");
-    BOOST_TEST((lead == Lead { "a", 0, false }));
-    lead = takeProof(lead, "a", 3);
-    BOOST_TEST((takeProof(lead, "b", 2) == lead));
-    BOOST_TEST((takeReport(lead, "b", 3) == lead));
-    BOOST_TEST((takeReport(lead, "b", 4) == Lead { "b", 4, false }));
-    BOOST_TEST((takeListing(lead, "b") == lead));
-    BOOST_TEST((takeDenial(lead, "b") == lead));
-    lead = takeDenial(lead, "a");
-    BOOST_TEST((lead == Lead { "", 3, false }));
-    BOOST_TEST((takeReport(lead, "b", 2) == lead));
-    BOOST_TEST((takeReport(lead, "b", 3) == Lead { "b", 3, false }));
+    KnownPrimary lead = applyPrimaryListing({}, "a");
+    BOOST_TEST((lead == KnownPrimary { "a", 0, false }));
+    lead = applyPrimaryProof(lead, "a", 3);
+    BOOST_TEST((applyPrimaryProof(lead, "b", 2) == lead));
+    BOOST_TEST((applyPrimaryReport(lead, "b", 3) == lead));
+    BOOST_TEST((applyPrimaryReport(lead, "b", 4) == KnownPrimary { "b", 4, false }));
+    BOOST_TEST((applyPrimaryListing(lead, "b") == lead));
+    BOOST_TEST((applyPrimaryDenial(lead, "b") == lead));
+    lead = applyPrimaryDenial(lead, "a");
+    BOOST_TEST((lead == KnownPrimary { "", 3, false }));
+    BOOST_TEST((applyPrimaryReport(lead, "b", 2) == lead));
+    BOOST_TEST((applyPrimaryReport(lead, "b", 3) == KnownPrimary { "b", 3, false }));
 }
 
 // Found at the bench (sahyog-uw, scale-2, seed 11): a split healed while a deputy, which knew no primary, gathered evidence. It was told of the one that
 // the other side had made in term 2, and ordered the old one all the same: commits of term 1 came back and those of term 2 were lost.
 BOOST_AUTO_TEST_CASE(evidence_is_void_once_another_primary_or_a_newer_term_is_known)
 {
-    Lead none { "", 1, false };
-    Lead old { "a", 1, true };
-    BOOST_TEST(isOvertaken(none, { "b", 2, false }));
-    BOOST_TEST(isOvertaken(none, { "b", 1, false }));
-    BOOST_TEST(isOvertaken(old, { "a", 2, true }));
-    BOOST_TEST(isOvertaken(old, { "", 2, false }));
-    BOOST_TEST(!isOvertaken(old, old));
-    BOOST_TEST(!isOvertaken(old, { "", 1, false })); // it said itself that it does not lead
-    BOOST_TEST(!isOvertaken(none, none));
+    KnownPrimary none { "", 1, false };
+    KnownPrimary old { "a", 1, true };
+    BOOST_TEST(isSuperseded(none, { "b", 2, false }));
+    BOOST_TEST(isSuperseded(none, { "b", 1, false }));
+    BOOST_TEST(isSuperseded(old, { "a", 2, true }));
+    BOOST_TEST(isSuperseded(old, { "", 2, false }));
+    BOOST_TEST(!isSuperseded(old, old));
+    BOOST_TEST(!isSuperseded(old, { "", 1, false })); // it said itself that it does not lead
+    BOOST_TEST(!isSuperseded(none, none));
 }
 
 BOOST_AUTO_TEST_CASE(reads_avoid_the_leader_the_busy_the_far_and_those_that_were_seen_behind)
 {
     std::vector<Candidate> candidates(3);
-    candidates[0].isLeader = true;
+    candidates[0].isPrimary = true;
     BOOST_TEST((*chooseReader(candidates, {}) == 1u));
     candidates[1].distanceMs = 16;
     BOOST_TEST((*chooseReader(candidates, {}) == 2u));
--- a/tests/unit/lead_terms_test.cpp
+++ b/tests/unit/lead_terms_test.cpp
@@ -5,7 +5,7 @@
 
 using namespace alderward;
 using namespace alderward::gateway;
-using decisions::Lead;
+using decisions::KnownPrimary;
 
 namespace {
 
@@ -28,12 +28,12 @@
     takeOrderedLead(group, "b", 2, kStart);
     // The old primary, asked before it was replaced or while it is being replaced.
     takeShownLead(group, "a", 1, kStart - milliseconds(1), ShownTo::ThisHost);
-    BOOST_TEST((group.lead == Lead { "b", 2, false }));
+    BOOST_TEST((group.lead == KnownPrimary { "b", 2, false }));
     takeShownLead(group, "a", 1, group.pendingUntil - milliseconds(1), ShownTo::ThisHost);
-    BOOST_TEST((group.lead == Lead { "b", 2, false }));
+    BOOST_TEST((group.lead == KnownPrimary { "b", 2, false }));
     // It answers after that: the order changed nothing.
     takeShownLead(group, "a", 1, group.pendingUntil, ShownTo::ThisHost);
-    BOOST_TEST((group.lead == Lead { "a", 1, true }));
+    BOOST_TEST((group.lead == KnownPrimary { "a", 1, true }));
 }
 
 BOOST_AUTO_TEST_CASE(a_term_that_was_shown_gives_way_to_no_older_one)
@@ -41,13 +41,13 @@
     auto group = makeShown("a", 1);
     takeOrderedLead(group, "b", 2, kStart);
     takeShownLead(group, "b", 2, kStart + milliseconds(300), ShownTo::ThisHost);
-    BOOST_TEST((group.lead == Lead { "b", 2, true }));
+    BOOST_TEST((group.lead == KnownPrimary { "b", 2, true }));
     for (auto shownTo : { ShownTo::ThisHost, ShownTo::AnotherHost })
         takeShownLead(group, "a", 1, kStart + milliseconds(60000), shownTo);
-    BOOST_TEST((group.lead == Lead { "b", 2, true }));
+    BOOST_TEST((group.lead == KnownPrimary { "b", 2, true }));
     takeShownTerm(group, 3); // members know it
     takeShownLead(group, "b", 2, kStart + milliseconds(60000), ShownTo::ThisHost);
-    BOOST_TEST((group.lead == Lead { "", 3, false }));
+    BOOST_TEST((group.lead == KnownPrimary { "", 3, false }));
 }
 
 // Ordered as its own successor, and denied after that.
@@ -56,9 +56,9 @@
     for (auto shownTo : { ShownTo::ThisHost, ShownTo::AnotherHost }) {
         auto group = makeShown("a", 2);
         takeOrderedLead(group, "a", 3, kStart);
-        group.lead = decisions::takeDenial(group.lead, "a");
+        group.lead = decisions::applyPrimaryDenial(group.lead, "a");
         takeShownLead(group, "a", 2, group.pendingUntil + milliseconds(1), shownTo);
-        BOOST_TEST((group.lead == Lead { "a", 2, shownTo == ShownTo::ThisHost }));
+        BOOST_TEST((group.lead == KnownPrimary { "a", 2, shownTo == ShownTo::ThisHost }));
     }
 }
 
@@ -68,7 +68,7 @@
     auto group = makeShown("b", 2);
     takeOrderedLead(group, "c", 3, kStart);
     takeShownLead(group, "a", 1, kStart + milliseconds(60000), ShownTo::ThisHost);
-    BOOST_TEST((group.lead == Lead { "c", 3, false }));
+    BOOST_TEST((group.lead == KnownPrimary { "c", 3, false }));
 }
 
 // Two hosts that give an assumed term up at different moments told it to each other again.
@@ -76,13 +76,13 @@
 {
     auto group = makeShown("a", 2);
     takeAssumedLead(group, "a", 3, kStart);
-    BOOST_TEST((group.lead == Lead { "a", 3, false }));
+    BOOST_TEST((group.lead == KnownPrimary { "a", 3, false }));
     auto now = group.pendingUntil + milliseconds(1);
     takeShownLead(group, "a", 2, now, ShownTo::ThisHost);
     takeAssumedLead(group, "a", 3, now);
-    BOOST_TEST((group.lead == Lead { "a", 2, true }));
+    BOOST_TEST((group.lead == KnownPrimary { "a", 2, true }));
     takeOrderedLead(group, "b", 3, now); // the next change of primary
-    BOOST_TEST((group.lead == Lead { "b", 3, false }));
+    BOOST_TEST((group.lead == KnownPrimary { "b", 3, false }));
 }
 
 BOOST_AUTO_TEST_CASE(an_order_is_told_on_while_it_is_pending)
--- a/tests/unit/relaying_test.cpp
+++ b/tests/unit/relaying_test.cpp
@@ -219,7 +219,7 @@
             BOOST_REQUIRE((provenAt <= TimePoint(askedAt + offset)));
             BOOST_REQUIRE(pong.leads_size() == 1);
             ClusterView next;
-            next.groups["g"].lead = decisions::takeReport({}, pong.leads(0).member(), pong.leads(0).term());
+            next.groups["g"].lead = decisions::applyPrimaryReport({}, pong.leads(0).member(), pong.leads(0).term());
             next.groups["g"].floors = decisions::takeFloor({}, { { pong.floors(0).mark().term(), pong.floors(0).mark().position() }, provenAt });
             view = next;
         }
