--- a/src/decisions/choice.cpp
+++ b/src/decisions/choice.cpp
@@ -34,23 +34,23 @@
     return isOther || now.term > before.term;
 }
 
-double getExpectedMs(const Candidate& candidate)
+double estimateLatencyMs(const Candidate& candidate)
 {
     auto ahead = candidate.queued < candidate.slots ? 0.0 : static_cast<double>(candidate.queued - candidate.slots + 1);
-    return candidate.distanceMs + candidate.workMs * (1 + ahead / candidate.slots);
+    return candidate.roundTripMs + candidate.statementMs * (1 + ahead / candidate.slots);
 }
 
-std::optional<size_t> chooseReader(const std::vector<Candidate>& candidates, const Mark& need)
+std::optional<size_t> chooseReadMember(const std::vector<Candidate>& candidates, const Mark& need)
 {
     std::optional<size_t> best;
     double bestCost = 0;
     for (size_t i = 0; i < candidates.size(); ++i) {
         auto& it = candidates[i];
-        bool isLeftAlone = it.positionAge < (it.isFarBehind ? kFarBehindFor : kBehindFor);
+        bool isLeftAlone = it.positionAge < (it.isFarBehind ? kFarBehindCooldown : kBehindCooldown);
         bool isBehind = !it.isPrimary && it.position < need && isLeftAlone && (it.position.term != 0 || it.wasBehind);
         if (!it.isUsable || it.wasTried || isBehind)
             continue;
-        auto cost = getExpectedMs(it) + (it.isPrimary ? kPrimaryPenalty * it.workMs : 0);
+        auto cost = estimateLatencyMs(it) + (it.isPrimary ? kPrimaryPenalty * it.statementMs : 0);
         if (!best || cost < bestCost) {
             best = i;
             bestCost = cost;
@@ -59,7 +59,7 @@
     return best;
 }
 
-std::vector<std::string> rankCarriers(const std::string& member, const std::string& dataCentre, const std::vector<CarrierHost>& hosts)
+std::vector<std::string> rankForwarders(const std::string& member, const std::string& dataCentre, const std::vector<ForwarderHost>& hosts)
 {
     std::vector<std::string> near;
     std::vector<std::string> far;
--- a/src/decisions/choice.h
+++ b/src/decisions/choice.h
@@ -47,34 +47,34 @@
     milliseconds positionAge { 0 }; // since it was last heard of, or that it is behind
     bool wasBehind { false }; // it said so once; counts where its position is not known
     bool isFarBehind { false }; // by more than replicas usually are
-    double distanceMs { 0 }; // there and back, with the host that carries it
+    double roundTripMs { 0 }; // there and back, with the host that carries it
     unsigned queued { 0 }; // statements waiting or running there
     unsigned slots { 1 };
-    double workMs { 10 }; // of one statement
+    double statementMs { 10 }; // of one statement
 };
 
-inline constexpr milliseconds kBehindFor { 100 }; // a replica that was heard of as behind is left alone this long
+inline constexpr milliseconds kBehindCooldown { 100 }; // a replica that was heard of as behind is left alone this long
 // One that is far behind: its carrier asks it each 100 ms and tells all others with each ping, so no read has to. Longer than pings may fail to come.
-inline constexpr milliseconds kFarBehindFor { 1500 };
-inline constexpr milliseconds kFarBehind { 1500 }; // lacks commits of this age; replicas in calm lack some tens to hundreds of ms, and a floor is a second old at most
+inline constexpr milliseconds kFarBehindCooldown { 1500 };
+inline constexpr milliseconds kFarBehindThreshold { 1500 }; // lacks commits of this age; replicas in calm lack some tens to hundreds of ms, and a floor is a second old at most
 
 // The expected time of an answer, in ms.
-double getExpectedMs(const Candidate& candidate);
+double estimateLatencyMs(const Candidate& candidate);
 
 // The best member for a read that must see `need`. The leader counts as busier than it is: writes have no other place to go.
-std::optional<size_t> chooseReader(const std::vector<Candidate>& candidates, const Mark& need);
+std::optional<size_t> chooseReadMember(const std::vector<Candidate>& candidates, const Mark& need);
 
 //-----------------------------------------------------------------------------
 // [SECTION] Carriers
 //-----------------------------------------------------------------------------
 
-struct CarrierHost {
+struct ForwarderHost {
     std::string name {};
     std::string dataCentre {};
 };
 
 // The hosts in the order in which they are asked to carry statements to a member: those of the member's data centre first, by
 // rendezvous rank, so that all hosts agree without asking each other as long as they see the same hosts.
-std::vector<std::string> rankCarriers(const std::string& member, const std::string& dataCentre, const std::vector<CarrierHost>& hosts);
+std::vector<std::string> rankForwarders(const std::string& member, const std::string& dataCentre, const std::vector<ForwarderHost>& hosts);
 
 }
--- a/src/gateway/cluster_view.cpp
+++ b/src/gateway/cluster_view.cpp
@@ -6,7 +6,7 @@
 
 bool isFarBehind(const GroupBelief& group, const MemberBelief& member, TimePoint now)
 {
-    auto floor = decisions::getFloor(group.floors, decisions::kFarBehind, now);
+    auto floor = decisions::getFloor(group.floors, decisions::kFarBehindThreshold, now);
     auto position = decisions::estimatePosition(member.progress, now);
     return group.lead.member != member.listed.id && floor && position.term != 0 && position < *floor;
 }
@@ -101,10 +101,10 @@
 {
     auto [it, isNew] = view.rankings.try_emplace(key, Ranking { dataCentre });
     if (isNew) {
-        std::vector<decisions::CarrierHost> hosts;
+        std::vector<decisions::ForwarderHost> hosts;
         for (auto& [name, host] : view.hosts)
             hosts.push_back({ name, host.dataCentre });
-        it->second.hosts = decisions::rankCarriers(key, dataCentre, hosts);
+        it->second.hosts = decisions::rankForwarders(key, dataCentre, hosts);
     }
     return it->second.hosts;
 }
--- a/src/gateway/statement_router.cpp
+++ b/src/gateway/statement_router.cpp
@@ -74,13 +74,13 @@
     if (carrier == m_context.name) {
         auto load = m_context.getPool(member.getTarget())->getLoad();
         candidate.queued = load.waiting + load.running;
-        candidate.workMs = load.workMs;
-        candidate.distanceMs = member.listed.dataCentre == m_context.dataCentre ? 0 : kOwnDistanceGuessMs;
+        candidate.statementMs = load.workMs;
+        candidate.roundTripMs = member.listed.dataCentre == m_context.dataCentre ? 0 : kOwnDistanceGuessMs;
     } else {
-        candidate.distanceMs = m_context.peers.getDistanceMs(carrier);
+        candidate.roundTripMs = m_context.peers.getDistanceMs(carrier);
         if (auto load = m_context.peers.getLoad(carrier, member.listed.id)) {
             candidate.queued = load->waiting() + load->running();
-            candidate.workMs = load->work_ms();
+            candidate.statementMs = load->work_ms();
         }
     }
     return candidate;
@@ -105,7 +105,7 @@
     std::vector<decisions::Candidate> candidates;
     for (auto& id : group->second.members)
         candidates.push_back(makeCandidate(routed, m_context.view.members.at(id), leader));
-    auto best = decisions::chooseReader(candidates, routed.need);
+    auto best = decisions::chooseReadMember(candidates, routed.need);
     if (!best)
         return std::nullopt;
     return m_context.view.members.at(group->second.members[*best]).getTarget();
--- a/tests/unit/gateway_decisions_test.cpp
+++ b/tests/unit/gateway_decisions_test.cpp
@@ -129,45 +129,45 @@
 {
     std::vector<Candidate> candidates(3);
     candidates[0].isPrimary = true;
-    BOOST_TEST((*chooseReader(candidates, {}) == 1u));
-    candidates[1].distanceMs = 16;
-    BOOST_TEST((*chooseReader(candidates, {}) == 2u));
+    BOOST_TEST((*chooseReadMember(candidates, {}) == 1u));
+    candidates[1].roundTripMs = 16;
+    BOOST_TEST((*chooseReadMember(candidates, {}) == 2u));
     candidates[2].queued = 4;
-    BOOST_TEST((*chooseReader(candidates, {}) == 0u));
+    BOOST_TEST((*chooseReadMember(candidates, {}) == 0u));
     candidates[0].wasTried = true;
-    BOOST_TEST((*chooseReader(candidates, {}) == 1u));
+    BOOST_TEST((*chooseReadMember(candidates, {}) == 1u));
     candidates[1].position = { 1, 10 };
     candidates[1].positionAge = milliseconds(20);
-    BOOST_TEST((*chooseReader(candidates, { 1, 11 }) == 2u));
-    BOOST_TEST((*chooseReader(candidates, { 1, 10 }) == 1u));
+    BOOST_TEST((*chooseReadMember(candidates, { 1, 11 }) == 2u));
+    BOOST_TEST((*chooseReadMember(candidates, { 1, 10 }) == 1u));
     candidates[1].positionAge = milliseconds(200); // it may have caught up
-    BOOST_TEST((*chooseReader(candidates, { 1, 11 }) == 1u));
+    BOOST_TEST((*chooseReadMember(candidates, { 1, 11 }) == 1u));
     candidates[1].isFarBehind = true; // its carrier tells all when it has
-    BOOST_TEST((*chooseReader(candidates, { 1, 11 }) == 2u));
+    BOOST_TEST((*chooseReadMember(candidates, { 1, 11 }) == 2u));
     candidates[1] = {};
     candidates[1].positionAge = milliseconds(20); // all that is known is that it was behind
     candidates[1].wasBehind = true;
-    BOOST_TEST((*chooseReader(candidates, { 1, 11 }) == 2u));
+    BOOST_TEST((*chooseReadMember(candidates, { 1, 11 }) == 2u));
     candidates[1].wasBehind = false;
-    BOOST_TEST((*chooseReader(candidates, { 1, 11 }) == 1u));
+    BOOST_TEST((*chooseReadMember(candidates, { 1, 11 }) == 1u));
     for (auto& it : candidates)
         it.isUsable = false;
-    BOOST_TEST(!chooseReader(candidates, {}));
+    BOOST_TEST(!chooseReadMember(candidates, {}));
 }
 
 BOOST_AUTO_TEST_CASE(carriers_stand_in_the_members_data_centre_and_all_hosts_agree_on_them)
 {
-    std::vector<CarrierHost> hosts { { "a1", "a" }, { "a2", "a" }, { "b1", "b" } };
-    auto ranked = rankCarriers("m", "a", hosts);
+    std::vector<ForwarderHost> hosts { { "a1", "a" }, { "a2", "a" }, { "b1", "b" } };
+    auto ranked = rankForwarders("m", "a", hosts);
     BOOST_REQUIRE(ranked.size() == 3u);
     BOOST_TEST(ranked[0].starts_with("a"));
     BOOST_TEST(ranked[2] == "b1");
     std::ranges::reverse(hosts);
-    BOOST_TEST((rankCarriers("m", "a", hosts) == ranked));
+    BOOST_TEST((rankForwarders("m", "a", hosts) == ranked));
     // One that goes moves nothing but what it carried.
-    std::erase_if(hosts, [&](const CarrierHost& it) { return it.name == ranked[0]; });
-    BOOST_TEST(rankCarriers("m", "a", hosts)[0] == ranked[1]);
-    BOOST_TEST(rankCarriers("m", "c", hosts).size() == 2u);
+    std::erase_if(hosts, [&](const ForwarderHost& it) { return it.name == ranked[0]; });
+    BOOST_TEST(rankForwarders("m", "a", hosts)[0] == ranked[1]);
+    BOOST_TEST(rankForwarders("m", "c", hosts).size() == 2u);
 }
 
 // The ranking is kept between statements; what it is made from may change under it.
