--- a/src/decisions/succession.cpp
+++ b/src/decisions/succession.cpp
@@ -7,18 +7,18 @@
 
 namespace json = boost::json;
 
-Succession makeSuccession(const Succession& previous, const std::vector<RankedHost>& ranked)
+CoordinatorRecord makeCoordinatorRecord(const CoordinatorRecord& previous, const std::vector<RankedCandidate>& ranked)
 {
-    Succession next;
-    next.firstToken = previous.orderers.empty() ? 1 : previous.firstToken + kTokensEach * kOrderers;
+    CoordinatorRecord next;
+    next.firstToken = previous.coordinators.empty() ? 1 : previous.firstToken + kTokensPerCoordinator * kCoordinatorCount;
     std::set<std::string> used;
     auto take = [&](bool onlyNewDataCentres) {
         for (auto& it : ranked) {
-            bool isIn = std::ranges::find(next.orderers, it.orderer) != next.orderers.end();
-            if (isIn || next.orderers.size() >= kOrderers || (onlyNewDataCentres && used.contains(it.dataCentre)))
+            bool isIn = std::ranges::find(next.coordinators, it.coordinator) != next.coordinators.end();
+            if (isIn || next.coordinators.size() >= kCoordinatorCount || (onlyNewDataCentres && used.contains(it.dataCentre)))
                 continue;
             used.insert(it.dataCentre);
-            next.orderers.push_back(it.orderer);
+            next.coordinators.push_back(it.coordinator);
         }
     };
     take(true);
@@ -26,88 +26,88 @@
     return next;
 }
 
-bool isSuccessionDue(const Succession& succession, const std::vector<LiveOrderer>& live)
+bool isCoordinatorRecordDue(const CoordinatorRecord& succession, const std::vector<LiveCandidate>& live)
 {
-    auto isLive = [&](const Orderer& it) { return std::ranges::find(live, it, &LiveOrderer::orderer) != live.end(); };
-    auto isAble = [&](const Orderer& it) { return std::ranges::find(live, LiveOrderer { it, true }) != live.end(); };
-    if (succession.orderers.empty() || !isLive(succession.orderers.front()))
+    auto isLive = [&](const Coordinator& it) { return std::ranges::find(live, it, &LiveCandidate::coordinator) != live.end(); };
+    auto isAble = [&](const Coordinator& it) { return std::ranges::find(live, LiveCandidate { it, true }) != live.end(); };
+    if (succession.coordinators.empty() || !isLive(succession.coordinators.front()))
         return true;
-    auto standing = std::ranges::count_if(succession.orderers, isLive);
-    if (static_cast<size_t>(standing) < std::min(kOrderers, live.size()))
+    auto standing = std::ranges::count_if(succession.coordinators, isLive);
+    if (static_cast<size_t>(standing) < std::min(kCoordinatorCount, live.size()))
         return true;
-    return std::ranges::any_of(live, &LiveOrderer::canAct) && std::ranges::none_of(succession.orderers, isAble);
+    return std::ranges::any_of(live, &LiveCandidate::canAct) && std::ranges::none_of(succession.coordinators, isAble);
 }
 
-bool canDo(const Ability& ability, Task task)
+bool canPerform(const HostCapabilities& ability, PromotionTask task)
 {
-    return ability.hasOrders && (ability.hasStore || task == Task::Examine);
+    return ability.canOrder && (ability.hasStore || task == PromotionTask::CheckPrimary);
 }
 
-std::vector<size_t> rankActing(const std::vector<OrdererState>& orderers)
+std::vector<size_t> rankUsableCoordinators(const std::vector<CoordinatorState>& coordinators)
 {
     std::vector<size_t> ranked;
     for (bool canAct : { true, false }) {
-        for (size_t i = 0; i < orderers.size(); ++i) {
-            if (orderers[i].isUsable && orderers[i].canAct == canAct)
+        for (size_t i = 0; i < coordinators.size(); ++i) {
+            if (coordinators[i].isUsable && coordinators[i].canAct == canAct)
                 ranked.push_back(i);
         }
     }
     return ranked;
 }
 
-milliseconds getTaskLimit(Task task)
+milliseconds getTakeoverDelay(PromotionTask task)
 {
-    return task == Task::HandOver ? milliseconds(4000) : milliseconds(5000);
+    return task == PromotionTask::HandOver ? milliseconds(4000) : milliseconds(5000);
 }
 
-std::optional<size_t> findRank(const Succession& succession, const Orderer& self)
+std::optional<size_t> findRank(const CoordinatorRecord& succession, const Coordinator& self)
 {
-    auto it = std::ranges::find(succession.orderers, self);
-    if (it == succession.orderers.end())
+    auto it = std::ranges::find(succession.coordinators, self);
+    if (it == succession.coordinators.end())
         return std::nullopt;
-    return static_cast<size_t>(it - succession.orderers.begin());
+    return static_cast<size_t>(it - succession.coordinators.begin());
 }
 
-std::optional<uint64_t> getToken(const Succession& succession, size_t rank, uint64_t count)
+std::optional<uint64_t> getFencingToken(const CoordinatorRecord& succession, size_t rank, uint64_t count)
 {
-    if (count >= kTokensEach)
+    if (count >= kTokensPerCoordinator)
         return std::nullopt;
-    return succession.firstToken + rank * kTokensEach + count;
+    return succession.firstToken + rank * kTokensPerCoordinator + count;
 }
 
-std::string formatSuccession(const Succession& succession)
+std::string formatCoordinatorRecord(const CoordinatorRecord& succession)
 {
-    json::array orderers;
-    for (auto& it : succession.orderers)
-        orderers.push_back({ { "host", it.host }, { "incarnation", it.incarnation } });
-    return json::serialize(json::object { { "orderers", orderers }, { "firstToken", succession.firstToken } });
+    json::array coordinators;
+    for (auto& it : succession.coordinators)
+        coordinators.push_back({ { "host", it.host }, { "incarnation", it.incarnation } });
+    return json::serialize(json::object { { "orderers", coordinators }, { "firstToken", succession.firstToken } });
 }
 
-std::optional<Succession> parseSuccession(const std::string& text)
+std::optional<CoordinatorRecord> parseCoordinatorRecord(const std::string& text)
 {
     boost::system::error_code ec;
     auto value = json::parse(text, ec);
     if (ec || !value.is_object())
         return std::nullopt;
     auto& object = value.as_object();
-    auto* orderers = object.if_contains("orderers");
+    auto* coordinators = object.if_contains("orderers");
     auto* first = object.if_contains("firstToken");
-    if (!orderers || !orderers->is_array() || !first || !first->is_number())
+    if (!coordinators || !coordinators->is_array() || !first || !first->is_number())
         return std::nullopt;
-    Succession succession;
+    CoordinatorRecord succession;
     succession.firstToken = first->to_number<uint64_t>(ec);
-    for (auto& it : orderers->as_array()) {
+    for (auto& it : coordinators->as_array()) {
         auto* object = it.if_object();
         if (!object || !object->contains("host") || !object->at("host").is_string() || !object->contains("incarnation"))
             return std::nullopt;
-        succession.orderers.push_back({ std::string(object->at("host").as_string()), object->at("incarnation").to_number<uint64_t>(ec) });
+        succession.coordinators.push_back({ std::string(object->at("host").as_string()), object->at("incarnation").to_number<uint64_t>(ec) });
     }
     if (ec)
         return std::nullopt;
     return succession;
 }
 
-bool mayJudge(const HostsInReach& hosts)
+bool canJudgePrimary(const HostReachability& hosts)
 {
     return hosts.answering + 1 > hosts.lost; // itself included; in a tie the primary is on the other side as likely as not, and it may live
 }
@@ -137,7 +137,7 @@
     for (auto& it : replicas) {
         if (!hasStatus(it) && synchronousReplicas > 0)
             return std::nullopt;
-        if (!hasStatus(it) || !it.mayLead)
+        if (!hasStatus(it) || !it.isPromotable)
             continue;
         if (!best || it.received > best->received)
             best = &it;
--- a/src/decisions/succession.h
+++ b/src/decisions/succession.h
@@ -21,96 +21,96 @@
 //-----------------------------------------------------------------------------
 
 // A process that may order; a restarted one is another.
-struct Orderer {
+struct Coordinator {
     std::string host {};
     uint64_t incarnation { 0 };
-    friend bool operator==(const Orderer&, const Orderer&) = default;
+    friend bool operator==(const Coordinator&, const Coordinator&) = default;
 };
 
-struct Succession {
-    std::vector<Orderer> orderers {}; // the holder first, then its deputies in order
+struct CoordinatorRecord {
+    std::vector<Coordinator> coordinators {}; // the holder first, then its deputies in order
     uint64_t firstToken { 0 }; // orderer i owns kTokensEach tokens from firstToken + i * kTokensEach on
-    friend bool operator==(const Succession&, const Succession&) = default;
+    friend bool operator==(const CoordinatorRecord&, const CoordinatorRecord&) = default;
 };
 
-inline constexpr uint64_t kTokensEach = 1000; // decisions of one orderer before the record must be renewed
-inline constexpr size_t kOrderers = 3; // a holder and two deputies: two hosts may die while the store is away
+inline constexpr uint64_t kTokensPerCoordinator = 1000; // decisions of one orderer before the record must be renewed
+inline constexpr size_t kCoordinatorCount = 3; // a holder and two deputies: two hosts may die while the store is away
 
 // The next record: orderers in rank order over the live hosts, in different data centres where there are several.
-struct RankedHost {
-    Orderer orderer {};
+struct RankedCandidate {
+    Coordinator coordinator {};
     std::string dataCentre {};
 };
-Succession makeSuccession(const Succession& previous, const std::vector<RankedHost>& ranked);
+CoordinatorRecord makeCoordinatorRecord(const CoordinatorRecord& previous, const std::vector<RankedCandidate>& ranked);
 // Whether the record names too few live orderers, a holder that is gone, or nobody who can act while others can.
-struct LiveOrderer {
-    Orderer orderer {};
+struct LiveCandidate {
+    Coordinator coordinator {};
     bool canAct { true };
-    friend bool operator==(const LiveOrderer&, const LiveOrderer&) = default;
+    friend bool operator==(const LiveCandidate&, const LiveCandidate&) = default;
 };
-bool isSuccessionDue(const Succession& succession, const std::vector<LiveOrderer>& live);
+bool isCoordinatorRecordDue(const CoordinatorRecord& succession, const std::vector<LiveCandidate>& live);
 // This process's place; empty: none.
-std::optional<size_t> findRank(const Succession& succession, const Orderer& self);
+std::optional<size_t> findRank(const CoordinatorRecord& succession, const Coordinator& self);
 // The token of this process's `count`th decision (from 0). Empty: its tokens are used up.
-std::optional<uint64_t> getToken(const Succession& succession, size_t rank, uint64_t count);
+std::optional<uint64_t> getFencingToken(const CoordinatorRecord& succession, size_t rank, uint64_t count);
 
-std::string formatSuccession(const Succession& succession);
-std::optional<Succession> parseSuccession(const std::string& text);
+std::string formatCoordinatorRecord(const CoordinatorRecord& succession);
+std::optional<CoordinatorRecord> parseCoordinatorRecord(const std::string& text);
 
 //-----------------------------------------------------------------------------
 // [SECTION] Charge
 //-----------------------------------------------------------------------------
 
 // What an orderer has to do.
-enum class Task {
+enum class PromotionTask {
     HandOver, // the primary leaves or is not listed any more
-    Examine, // somebody has trouble with the primary
-    Find, // no primary is known
+    CheckPrimary, // somebody has trouble with the primary
+    FindPrimary, // no primary is known
 };
 
 // What a host can do, as it says of itself. That it answers says nothing of either.
-struct Ability {
+struct HostCapabilities {
     bool hasStore { true }; // it hears of changes there
-    bool hasOrders { true }; // its orders to the platform are taken
-    friend bool operator==(const Ability&, const Ability&) = default;
+    bool canOrder { true }; // its orders to the platform are taken
+    friend bool operator==(const HostCapabilities&, const HostCapabilities&) = default;
 };
 
 // Whether a host of this ability can do the task. A dead primary is found by asking members; the other tasks come from the store's list.
-bool canDo(const Ability& ability, Task task);
+bool canPerform(const HostCapabilities& ability, PromotionTask task);
 
 // One orderer as another sees it.
-struct OrdererState {
+struct CoordinatorState {
     bool isUsable { false }; // answers, in the life that the record names, and does not stop
     bool canAct { true };
-    friend bool operator==(const OrdererState&, const OrdererState&) = default;
+    friend bool operator==(const CoordinatorState&, const CoordinatorState&) = default;
 };
 
 // The order in which usable orderers act, as indices: those that can act first, then by rank.
-std::vector<size_t> rankActing(const std::vector<OrdererState>& orderers);
+std::vector<size_t> rankUsableCoordinators(const std::vector<CoordinatorState>& coordinators);
 
 // How long a task may stand for each orderer that comes before. Whatever that one lacks, be it something that nobody thought of, shows in a task
 // that is not done. A handover takes 2 s at most, and a leaving primary is used for 5.5 s in a drain time of 7 s. Sooner would do harm: an order that
 // is carried out late is refused once a deputy has used a higher token (where all come 2 to 12 s late, 0.08 to 0.11 of worth with 2 s in place of 4). To judge
 // a primary by several hosts at once makes a wrong verdict likelier, so there a deputy waits for longer still.
-milliseconds getTaskLimit(Task task);
+milliseconds getTakeoverDelay(PromotionTask task);
 
 //-----------------------------------------------------------------------------
 // [SECTION] Evidence
 //-----------------------------------------------------------------------------
 
 // The other hosts as one host sees them.
-struct HostsInReach {
+struct HostReachability {
     size_t answering { 0 };
     size_t lost { 0 }; // answered within kLostCountsFor and do not any more; not those that stopped as planned
-    friend bool operator==(const HostsInReach&, const HostsInReach&) = default;
+    friend bool operator==(const HostReachability&, const HostReachability&) = default;
 };
 
 // A host that died counts as lost for this long: a change of primary is over within 12 s also if most hosts died together with the primary.
-inline constexpr milliseconds kLostCountsFor { 10000 };
+inline constexpr milliseconds kLostHostRetention { 10000 };
 
 // Whether a host may take a primary that it does not reach for dead. One that has lost most of the others is probably cut off itself,
 // and the primary serves those others: replacing it would leave most callers without one.
-bool mayJudge(const HostsInReach& hosts);
+bool canJudgePrimary(const HostReachability& hosts);
 
 // What one host found when it asked a member for its status.
 struct MemberFinding {
@@ -119,7 +119,7 @@
     bool saysPrimary { false };
     uint64_t term { 0 };
     Mark received {}; // newest entry of its log
-    bool mayLead { true }; // listed and not leaving
+    bool isPromotable { true }; // listed and not leaving
 };
 
 // A term above `known` that members have seen: somebody was made the primary whom this host has not heard of, and who may live out of its reach.
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -44,7 +44,7 @@
     , m_self { m_settings.name, m_settings.peerAddress, m_settings.dataCentre, static_cast<uint64_t>(base::getRandom() * 1e15) + 1 }
     , m_peers(context, m_settings.name, makePeerService())
     , m_quotas({ m_view, m_peers, m_settings.name, m_self.incarnation, getQuotaRule(), m_isDraining, [this](size_t shard, const std::set<std::string>& accounts, std::function<void(bool)> done) { writeNearAccounts(shard, accounts, std::move(done)); } })
-    , m_router({ context, m_view, m_peers, m_settings.name, m_settings.dataCentre, [this](const TargetAddress& it) { return getPool(it); }, [this](const TargetAddress& it) { return isTroubled(it); }, [this](const std::string& group) { raiseAlarm(group, "no primary is known"); }, [this] { return !decisions::mayJudge(m_peers.countInReach()); }, getDrainTime(), m_quotas })
+    , m_router({ context, m_view, m_peers, m_settings.name, m_settings.dataCentre, [this](const TargetAddress& it) { return getPool(it); }, [this](const TargetAddress& it) { return isTroubled(it); }, [this](const std::string& group) { raiseAlarm(group, "no primary is known"); }, [this] { return !decisions::canJudgePrimary(m_peers.countInReach()); }, getDrainTime(), m_quotas })
     , m_directory(context, *m_platform, m_self, { milliseconds(m_settings.callLimitMs), milliseconds(m_settings.watchWaitMs), milliseconds(m_settings.longWatchWaitMs), milliseconds(m_settings.leaseMs) }, makeDirectoryEvents())
     , m_promoter({ context, m_view, m_peers, *m_platform, { m_self.name, m_self.incarnation }, [this](const TargetAddress& it, std::function<void(const StatusReport&)> done) { inquire(it, std::move(done)); }, [this](const std::string&, const std::string& member, milliseconds time) { holdWrites(member, time); }, [this] { return m_directory.isReachable(); }, [this](const std::string& group, const decisions::KnownPrimary& before, std::string_view source) { noteLead(group, before, source); }, m_isDraining })
     , m_acceptor(context)
@@ -274,7 +274,7 @@
     message.set_is_leaving(m_isDraining);
     auto ability = m_promoter.getAbility();
     message.set_lacks_store(!ability.hasStore);
-    message.set_lacks_orders(!ability.hasOrders);
+    message.set_lacks_orders(!ability.canOrder);
 }
 
 void Gateway::takeStatus(const peer::Pong& message, TimePoint sentAt)
--- a/src/gateway/peers.cpp
+++ b/src/gateway/peers.cpp
@@ -33,7 +33,7 @@
     Partner partner {};
     bool isUp { true };
     bool isLeaving { false };
-    decisions::Ability ability {};
+    decisions::HostCapabilities ability {};
     TimePoint usedAt {}; // when something other than a ping was last sent
     bool wasHeard { false };
     TimePoint heardAt {}; // on the present connection
@@ -191,10 +191,10 @@
     return it != m_links.end() && it->second->isLeaving;
 }
 
-decisions::Ability Peers::getAbility(const std::string& host) const
+decisions::HostCapabilities Peers::getAbility(const std::string& host) const
 {
     auto it = m_links.find(host);
-    return it == m_links.end() ? decisions::Ability {} : it->second->ability;
+    return it == m_links.end() ? decisions::HostCapabilities {} : it->second->ability;
 }
 
 double Peers::getDistanceMs(const std::string& host) const
@@ -239,15 +239,15 @@
     return names;
 }
 
-decisions::HostsInReach Peers::countInReach() const
+decisions::HostReachability Peers::countInReach() const
 {
-    decisions::HostsInReach hosts;
+    decisions::HostReachability hosts;
     auto now = Clock::now();
     for (auto& [name, link] : m_links) {
         if (!link->isPartner()) // it may have fallen silent long ago
             continue;
         bool isAnswering = link->isUp && link->wasHeard;
-        bool wasAnswering = link->pongAt != TimePoint {} && now - link->pongAt < decisions::kLostCountsFor;
+        bool wasAnswering = link->pongAt != TimePoint {} && now - link->pongAt < decisions::kLostHostRetention;
         if (isAnswering)
             ++hosts.answering;
         else if (wasAnswering && !link->isLeaving)
--- a/src/gateway/peers.h
+++ b/src/gateway/peers.h
@@ -39,7 +39,7 @@
     // Up and not leaving: new work may be given to it.
     bool isUsable(const std::string& host) const { return isUp(host) && !isLeaving(host); }
     // What the host last said that it can do; everything, if it never said.
-    decisions::Ability getAbility(const std::string& host) const;
+    decisions::HostCapabilities getAbility(const std::string& host) const;
     // There and back, smoothed; a guess before the first answer.
     double getDistanceMs(const std::string& host) const;
     // What the host last said of its connections to a member.
@@ -47,7 +47,7 @@
     // Whether the host said lately that it has not heard of the member: one without the store does not know new ones.
     bool lacksMember(const std::string& host, const std::string& member) const;
     std::vector<std::string> getUpHosts() const;
-    decisions::HostsInReach countInReach() const;
+    decisions::HostReachability countInReach() const;
     // Goes up whenever another host may have become usable or unusable.
     uint64_t getVersion() const { return m_version; }
     // What partners told this host, for one that it relays to.
--- a/src/gateway/promoter.cpp
+++ b/src/gateway/promoter.cpp
@@ -34,15 +34,15 @@
     return host == m_context.self.host || m_context.peers.isUsable(host);
 }
 
-decisions::Ability Promoter::getAbility() const
+decisions::HostCapabilities Promoter::getAbility() const
 {
-    bool hasOrders = m_ordersLostAt == TimePoint {} || Clock::now() - m_ordersLostAt > kOrdersLostFor;
-    return { m_context.hasStore(), hasOrders };
+    bool canOrder = m_ordersLostAt == TimePoint {} || Clock::now() - m_ordersLostAt > kOrdersLostFor;
+    return { m_context.hasStore(), canOrder };
 }
 
-bool Promoter::canDo(const std::string& host, decisions::Task task) const
+bool Promoter::canDo(const std::string& host, decisions::PromotionTask task) const
 {
-    return decisions::canDo(host == m_context.self.host ? getAbility() : m_context.peers.getAbility(host), task);
+    return decisions::canPerform(host == m_context.self.host ? getAbility() : m_context.peers.getAbility(host), task);
 }
 
 // Whether this host is the first in the group's order of those that can write the record, or of all if none can. Every host asks this for every
@@ -54,7 +54,7 @@
     for (auto& name : getRankedHosts(m_context.view, group)) {
         if (!isLive(name))
             continue;
-        if (canDo(name, decisions::Task::HandOver))
+        if (canDo(name, decisions::PromotionTask::HandOver))
             return name == m_context.self.host;
         firstLive = firstLive ? firstLive : &name;
     }
@@ -62,21 +62,21 @@
 }
 
 // As many live hosts as it takes to judge the record: those that it names, this one, and the first in the group's order.
-std::vector<decisions::LiveOrderer> Promoter::getLiveOrderers(const std::string& group, const State& state) const
+std::vector<decisions::LiveCandidate> Promoter::getLiveOrderers(const std::string& group, const State& state) const
 {
-    std::vector<decisions::LiveOrderer> live;
-    auto take = [&](const decisions::Orderer& it) {
-        if (std::ranges::find(live, it, &decisions::LiveOrderer::orderer) == live.end())
-            live.push_back({ it, canDo(it.host, decisions::Task::HandOver) });
+    std::vector<decisions::LiveCandidate> live;
+    auto take = [&](const decisions::Coordinator& it) {
+        if (std::ranges::find(live, it, &decisions::LiveCandidate::coordinator) == live.end())
+            live.push_back({ it, canDo(it.host, decisions::PromotionTask::HandOver) });
     };
     take(m_context.self);
-    for (auto& it : state.succession.orderers) {
+    for (auto& it : state.succession.coordinators) {
         auto host = m_context.view.hosts.find(it.host);
         if (host != m_context.view.hosts.end() && host->second.incarnation == it.incarnation && isLive(it.host))
             take(it);
     }
     for (auto& name : getRankedHosts(m_context.view, group)) {
-        if (live.size() >= decisions::kOrderers)
+        if (live.size() >= decisions::kCoordinatorCount)
             break;
         if (isLive(name))
             take({ name, m_context.view.hosts.at(name).incarnation });
@@ -84,9 +84,9 @@
     return live;
 }
 
-std::vector<decisions::RankedHost> Promoter::rankLive(const std::string& group) const
+std::vector<decisions::RankedCandidate> Promoter::rankLive(const std::string& group) const
 {
-    std::vector<decisions::RankedHost> ranked;
+    std::vector<decisions::RankedCandidate> ranked;
     for (auto& name : getRankedHosts(m_context.view, group)) {
         if (!isLive(name))
             continue;
@@ -102,7 +102,7 @@
     if (item.revision < state.revision)
         return;
     state.revision = item.isDeleted ? 0 : item.revision;
-    auto succession = decisions::parseSuccession(item.value);
+    auto succession = decisions::parseCoordinatorRecord(item.value);
     // Whoever starts now finds none and would begin with token 1: those who know the last one write the next.
     state.mustRenew = item.isDeleted || !succession;
     if (state.mustRenew) {
@@ -116,7 +116,7 @@
     state.spentBelow = 0;
     state.decisions = 0;
     auto rank = decisions::findRank(*succession, m_context.self);
-    std::string_view holder = succession->orderers.empty() ? std::string_view() : std::string_view(succession->orderers.front().host);
+    std::string_view holder = succession->coordinators.empty() ? std::string_view() : std::string_view(succession->coordinators.front().host);
     base::logEvent(LogClass::State, "succession", { { "group", std::string_view(group) }, { "holder", holder }, { "first_token", static_cast<int64_t>(succession->firstToken) }, { "rank_here", rank ? static_cast<int64_t>(*rank) : int64_t { -1 } }, { "revision", static_cast<int64_t>(item.revision) } });
 }
 
@@ -135,7 +135,7 @@
     auto it = m_states.find(group);
     if (it == m_states.end())
         return names;
-    for (auto& orderer : it->second.succession.orderers)
+    for (auto& orderer : it->second.succession.coordinators)
         names.push_back(orderer.host);
     return names;
 }
@@ -147,7 +147,7 @@
         if (!decisions::findRank(state.succession, m_context.self))
             continue;
         place.groups.insert(group);
-        for (auto& it : state.succession.orderers)
+        for (auto& it : state.succession.coordinators)
             place.orderers.insert(it.host);
     }
     return place;
@@ -173,16 +173,16 @@
 void Promoter::noteOrder(const std::string& group, const std::string& host)
 {
     auto& state = m_states[group];
-    auto& orderers = state.succession.orderers;
-    auto it = std::ranges::find(orderers, host, &decisions::Orderer::host);
+    auto& orderers = state.succession.coordinators;
+    auto it = std::ranges::find(orderers, host, &decisions::Coordinator::host);
     if (it != orderers.end())
         state.spentBelow = std::max(state.spentBelow, static_cast<size_t>(it - orderers.begin()));
 }
 
-std::vector<decisions::OrdererState> Promoter::getOrdererStates(const State& state, decisions::Task task) const
+std::vector<decisions::CoordinatorState> Promoter::getOrdererStates(const State& state, decisions::PromotionTask task) const
 {
-    std::vector<decisions::OrdererState> states;
-    for (auto& it : state.succession.orderers) {
+    std::vector<decisions::CoordinatorState> states;
+    for (auto& it : state.succession.coordinators) {
         bool isSelf = it == m_context.self;
         auto host = m_context.view.hosts.find(it.host);
         bool isSame = host != m_context.view.hosts.end() && host->second.incarnation == it.incarnation;
@@ -193,12 +193,12 @@
     return states;
 }
 
-std::optional<size_t> Promoter::getPlace(const State& state, decisions::Task task) const
+std::optional<size_t> Promoter::getPlace(const State& state, decisions::PromotionTask task) const
 {
     auto rank = decisions::findRank(state.succession, m_context.self);
     if (!rank)
         return std::nullopt;
-    auto acting = decisions::rankActing(getOrdererStates(state, task));
+    auto acting = decisions::rankUsableCoordinators(getOrdererStates(state, task));
     auto it = std::ranges::find(acting, *rank);
     if (it == acting.end())
         return std::nullopt;
@@ -210,12 +210,12 @@
 {
     if (!decisions::findRank(state.succession, m_context.self))
         return;
-    auto acting = decisions::rankActing(getOrdererStates(state, decisions::Task::HandOver));
-    auto inCharge = acting.empty() ? std::string() : state.succession.orderers[acting.front()].host;
+    auto acting = decisions::rankUsableCoordinators(getOrdererStates(state, decisions::PromotionTask::HandOver));
+    auto inCharge = acting.empty() ? std::string() : state.succession.coordinators[acting.front()].host;
     if (inCharge == state.inCharge)
         return;
     state.inCharge = inCharge;
-    base::logEvent(LogClass::State, "in-charge", { { "group", std::string_view(group) }, { "holder", std::string_view(state.succession.orderers.front().host) }, { "in_charge", std::string_view(inCharge) } });
+    base::logEvent(LogClass::State, "in-charge", { { "group", std::string_view(group) }, { "holder", std::string_view(state.succession.coordinators.front().host) }, { "in_charge", std::string_view(inCharge) } });
 }
 
 bool Promoter::mustHandOver(const GroupBelief& belief) const
@@ -226,7 +226,7 @@
 
 // What is to be done for a group, and since when.
 struct Promoter::Due {
-    decisions::Task task;
+    decisions::PromotionTask task;
     TimePoint at;
     std::string cause;
 };
@@ -245,11 +245,11 @@
         state.handoverDueAt = now;
     // A primary that leaves is replaced whether it is alive or not: an alarm must not make this an examination that ends with "it lives".
     if (state.handoverDueAt != TimePoint {})
-        return Due { decisions::Task::HandOver, state.handoverDueAt, "the primary leaves" };
+        return Due { decisions::PromotionTask::HandOver, state.handoverDueAt, "the primary leaves" };
     if (state.alarmedAt != TimePoint {} && !isLeaderless)
-        return Due { decisions::Task::Examine, state.alarmedAt + rank * kDeputyPause, state.alarm };
+        return Due { decisions::PromotionTask::CheckPrimary, state.alarmedAt + rank * kDeputyPause, state.alarm };
     if (isLeaderless && now - state.startedAt > kListedAgainLimit)
-        return Due { decisions::Task::Find, state.leaderlessSince + kLeaderlessLimit, "no primary is known" };
+        return Due { decisions::PromotionTask::FindPrimary, state.leaderlessSince + kLeaderlessLimit, "no primary is known" };
     return std::nullopt;
 }
 
@@ -257,7 +257,7 @@
 bool Promoter::isMyTurn(const State& state, const Due& due, TimePoint now) const
 {
     auto place = getPlace(state, due.task);
-    return place && now >= due.at + *place * decisions::getTaskLimit(due.task); // no differences: a product with a size is unsigned
+    return place && now >= due.at + *place * decisions::getTakeoverDelay(due.task); // no differences: a product with a size is unsigned
 }
 
 // Most hosts order for no group: they only look now and then whether a record is due.
@@ -279,7 +279,7 @@
         if (!due || state.isWorking || now < state.notBefore || !isMyTurn(state, *due, now))
             continue;
         state.isWorking = true;
-        asio::co_spawn(m_context.context, replace(group, due->task == decisions::Task::HandOver, due->cause), asio::detached);
+        asio::co_spawn(m_context.context, replace(group, due->task == decisions::PromotionTask::HandOver, due->cause), asio::detached);
     }
 }
 
@@ -291,24 +291,24 @@
     if (!isFirst(group))
         return;
     bool isSpent = state.spentBelow > 0 || state.mustRenew;
-    if (!isSpent && !decisions::isSuccessionDue(state.succession, getLiveOrderers(group, state)))
+    if (!isSpent && !decisions::isCoordinatorRecordDue(state.succession, getLiveOrderers(group, state)))
         return;
     auto ranked = rankLive(group);
-    std::ranges::stable_partition(ranked, [this](const decisions::RankedHost& it) { return canDo(it.orderer.host, decisions::Task::HandOver); });
+    std::ranges::stable_partition(ranked, [this](const decisions::RankedCandidate& it) { return canDo(it.coordinator.host, decisions::PromotionTask::HandOver); });
     state.isWriting = true;
-    asio::co_spawn(m_context.context, writeSuccession(group, decisions::makeSuccession(state.succession, ranked), state.revision), asio::detached);
+    asio::co_spawn(m_context.context, writeSuccession(group, decisions::makeCoordinatorRecord(state.succession, ranked), state.revision), asio::detached);
 }
 
-asio::awaitable<void> Promoter::writeSuccession(std::string group, decisions::Succession succession, uint64_t revision)
+asio::awaitable<void> Promoter::writeSuccession(std::string group, decisions::CoordinatorRecord succession, uint64_t revision)
 {
     auto key = std::string(kSuccessionPrefix) + group;
     links::StoreChange change;
     change.expected.emplace_back(key, revision);
-    change.puts.push_back({ .key = key, .value = decisions::formatSuccession(succession) });
+    change.puts.push_back({ .key = key, .value = decisions::formatCoordinatorRecord(succession) });
     auto written = co_await m_context.platform.getStore().change(std::move(change), Clock::now() + kStoreLimit);
     auto& state = m_states[group];
     if (written)
-        takeSuccession(group, { .key = key, .value = decisions::formatSuccession(succession), .revision = *written });
+        takeSuccession(group, { .key = key, .value = decisions::formatCoordinatorRecord(succession), .revision = *written });
     else if (written.error().kind == links::StoreErrorKind::Conflict) {
         for (auto& it : written.error().items)
             takeSuccession(group, it);
@@ -323,7 +323,7 @@
 {
     for (auto& it : findings) {
         auto received = fmt::format("{}.{}", it.received.term, it.received.position);
-        base::logEvent(LogClass::State, "promotion-evidence", { { "group", std::string_view(group) }, { "member", std::string_view(it.member) }, { "reached", it.wasReached }, { "primary", it.saysPrimary }, { "term", static_cast<int64_t>(it.term) }, { "received", std::string_view(received) }, { "may_lead", it.mayLead } });
+        base::logEvent(LogClass::State, "promotion-evidence", { { "group", std::string_view(group) }, { "member", std::string_view(it.member) }, { "reached", it.wasReached }, { "primary", it.saysPrimary }, { "term", static_cast<int64_t>(it.term) }, { "received", std::string_view(received) }, { "may_lead", it.isPromotable } });
     }
 }
 
@@ -343,7 +343,7 @@
         isDue = co_await isDead(group, member->second.getTarget());
     // Only now: a cut shows in the links to other hosts no sooner than in the silence of those that were asked.
     auto inReach = m_context.peers.countInReach();
-    if (isDue && !isPlanned && !decisions::mayJudge(inReach)) {
+    if (isDue && !isPlanned && !decisions::canJudgePrimary(inReach)) {
         isDue = false;
         base::logEvent(LogClass::State, "promotion-held-back", { { "group", std::string_view(group) }, { "reason", std::string_view("most other hosts are out of reach") }, { "hosts_answering", static_cast<int64_t>(inReach.answering) }, { "hosts_lost", static_cast<int64_t>(inReach.lost) } });
     }
@@ -412,7 +412,7 @@
 {
     auto& state = m_states[group];
     auto rank = decisions::findRank(state.succession, m_context.self);
-    auto token = rank ? decisions::getToken(state.succession, *rank, state.decisions) : std::nullopt;
+    auto token = rank ? decisions::getFencingToken(state.succession, *rank, state.decisions) : std::nullopt;
     if (!token)
         co_return false;
     ++state.decisions;
--- a/src/gateway/promoter.h
+++ b/src/gateway/promoter.h
@@ -13,7 +13,7 @@
     ClusterView& view;
     Peers& peers;
     links::PlatformAdapter& platform;
-    decisions::Orderer self;
+    decisions::Coordinator self;
     std::function<void(const TargetAddress&, std::function<void(const StatusReport&)>)> inquire; // from this host
     std::function<void(const std::string& group, const std::string& member, milliseconds)> holdWrites; // at this host
     std::function<bool()> hasStore; // this host hears of changes there
@@ -42,13 +42,13 @@
     // A host ordered a change of primary. Tokens of those ranked before it are spent.
     void noteOrder(const std::string& group, const std::string& host);
     // What this host can do, for others that would leave a task to it.
-    decisions::Ability getAbility() const;
+    decisions::HostCapabilities getAbility() const;
     // Decides what is due. Call every few tens of ms.
     void sweep(TimePoint now);
 
 private:
     struct State {
-        decisions::Succession succession {};
+        decisions::CoordinatorRecord succession {};
         uint64_t revision { 0 }; // of the record in the store; 0: there is none
         bool isWriting { false };
         bool mustRenew { false }; // what stands in the store cannot be read
@@ -75,19 +75,19 @@
     };
 
     bool isLive(const std::string& host) const;
-    bool canDo(const std::string& host, decisions::Task task) const;
+    bool canDo(const std::string& host, decisions::PromotionTask task) const;
     bool isFirst(const std::string& group) const;
-    std::vector<decisions::LiveOrderer> getLiveOrderers(const std::string& group, const State& state) const;
-    std::vector<decisions::RankedHost> rankLive(const std::string& group) const;
-    std::vector<decisions::OrdererState> getOrdererStates(const State& state, decisions::Task task) const;
+    std::vector<decisions::LiveCandidate> getLiveOrderers(const std::string& group, const State& state) const;
+    std::vector<decisions::RankedCandidate> rankLive(const std::string& group) const;
+    std::vector<decisions::CoordinatorState> getOrdererStates(const State& state, decisions::PromotionTask task) const;
     // How many orderers act before this one; empty: this one does not.
-    std::optional<size_t> getPlace(const State& state, decisions::Task task) const;
+    std::optional<size_t> getPlace(const State& state, decisions::PromotionTask task) const;
     void noteCharge(const std::string& group, State& state);
     std::optional<Due> findDue(const GroupBelief& belief, State& state, TimePoint now) const;
     bool isMyTurn(const State& state, const Due& due, TimePoint now) const;
     bool mustHandOver(const GroupBelief& belief) const;
     void keepSuccession(const std::string& group, State& state, TimePoint now);
-    boost::asio::awaitable<void> writeSuccession(std::string group, decisions::Succession succession, uint64_t revision);
+    boost::asio::awaitable<void> writeSuccession(std::string group, decisions::CoordinatorRecord succession, uint64_t revision);
     boost::asio::awaitable<void> replace(std::string group, bool isPlanned, std::string cause);
     boost::asio::awaitable<bool> isDead(std::string group, TargetAddress leader);
     struct Replicas;
--- a/src/gateway/promoter_evidence.cpp
+++ b/src/gateway/promoter_evidence.cpp
@@ -131,7 +131,7 @@
 
 asio::awaitable<void> Promoter::askReplica(MemberBelief member, bool isCandidate, std::shared_ptr<Replicas> replicas)
 {
-    bool mayLead = isCandidate && !member.listed.isLeaving && !member.unlistedAt;
+    bool isPromotable = isCandidate && !member.listed.isLeaving && !member.unlistedAt;
     auto target = member.getTarget();
     auto known = getKnownMark(m_context.view.groups[target.group]);
     auto finding = co_await ask(m_context.self.host, target);
@@ -144,8 +144,8 @@
     bool hasLost = decisions::hasLostLog(known, finding.status.received);
     // The platform answers an order for its present primary with "done" and changes nothing: no new term begins, and of the old one it is not believed. Where all replicas held
     // less than it, such a primary was ordered again and again, and callers had none.
-    mayLead = mayLead && !(finding.status.isPrimary && hasLost);
-    replicas->findings.push_back({ member.listed.id, finding.wasReached, finding.status.isPrimary && !hasLost, finding.status.term, finding.status.received, mayLead });
+    isPromotable = isPromotable && !(finding.status.isPrimary && hasLost);
+    replicas->findings.push_back({ member.listed.id, finding.wasReached, finding.status.isPrimary && !hasLost, finding.status.term, finding.status.received, isPromotable });
     replicas->latch.countDown();
 }
 
@@ -180,7 +180,7 @@
         askReplicas(group, leader, false, replicas);
         co_await replicas->latch.wait();
         for (auto& it : replicas->findings) {
-            if (it.wasReached && it.mayLead && it.received >= now.status.received)
+            if (it.wasReached && it.isPromotable && it.received >= now.status.received)
                 co_return;
         }
         co_await base::sleepFor(kCatchUpPause);
--- a/tests/unit/entries_test.cpp
+++ b/tests/unit/entries_test.cpp
@@ -165,7 +165,7 @@
 {
     auto entry = json::serialize(makeEntry());
     auto configuration = json::serialize(makeConfiguration());
-    auto succession = decisions::formatSuccession({ { { "h1", 1 }, { "h2", 2 } }, 3001 });
+    auto succession = decisions::formatCoordinatorRecord({ { { "h1", 1 }, { "h2", 2 } }, 3001 });
     int refused = 0;
     for (auto seed : kSeeds) {
         std::mt19937 random(seed);
@@ -175,7 +175,7 @@
             refused += member ? 0 : 1;
             auto read = platform::readConfiguration(change(configuration, random));
             BOOST_REQUIRE((!read || read->version > 0));
-            decisions::parseSuccession(change(succession, random));
+            decisions::parseCoordinatorRecord(change(succession, random));
         }
     }
     BOOST_TEST(refused > kChanges); // most of three times as many
--- a/tests/unit/gateway_decisions_test.cpp
+++ b/tests/unit/gateway_decisions_test.cpp
@@ -221,86 +221,86 @@
 
 BOOST_AUTO_TEST_SUITE(succession)
 
-static std::vector<RankedHost> makeRanked()
+static std::vector<RankedCandidate> makeRanked()
 {
     return { { { "h1", 1 }, "a" }, { { "h2", 2 }, "a" }, { { "h3", 3 }, "b" }, { { "h4", 4 }, "c" } };
 }
 
 BOOST_AUTO_TEST_CASE(deputies_stand_in_other_data_centres_and_tokens_never_meet)
 {
-    auto first = makeSuccession({}, makeRanked());
-    BOOST_REQUIRE(first.orderers.size() == kOrderers);
-    BOOST_TEST(first.orderers[0].host == "h1");
-    BOOST_TEST(first.orderers[1].host == "h3");
-    BOOST_TEST(first.orderers[2].host == "h4");
-    auto second = makeSuccession(first, { { { "h2", 2 }, "a" } });
+    auto first = makeCoordinatorRecord({}, makeRanked());
+    BOOST_REQUIRE(first.coordinators.size() == kCoordinatorCount);
+    BOOST_TEST(first.coordinators[0].host == "h1");
+    BOOST_TEST(first.coordinators[1].host == "h3");
+    BOOST_TEST(first.coordinators[2].host == "h4");
+    auto second = makeCoordinatorRecord(first, { { { "h2", 2 }, "a" } });
     std::set<uint64_t> tokens;
     for (auto* it : { &first, &second }) {
-        for (size_t rank = 0; rank < kOrderers; ++rank) {
-            for (uint64_t count : { uint64_t { 0 }, kTokensEach - 1 })
-                BOOST_TEST(tokens.insert(*getToken(*it, rank, count)).second);
+        for (size_t rank = 0; rank < kCoordinatorCount; ++rank) {
+            for (uint64_t count : { uint64_t { 0 }, kTokensPerCoordinator - 1 })
+                BOOST_TEST(tokens.insert(*getFencingToken(*it, rank, count)).second);
         }
     }
-    BOOST_TEST(*getToken(second, 0, 0) > *getToken(first, kOrderers - 1, kTokensEach - 1));
-    BOOST_TEST(*getToken(first, 1, 0) > *getToken(first, 0, kTokensEach - 1));
-    BOOST_TEST(!getToken(first, 0, kTokensEach));
+    BOOST_TEST(*getFencingToken(second, 0, 0) > *getFencingToken(first, kCoordinatorCount - 1, kTokensPerCoordinator - 1));
+    BOOST_TEST(*getFencingToken(first, 1, 0) > *getFencingToken(first, 0, kTokensPerCoordinator - 1));
+    BOOST_TEST(!getFencingToken(first, 0, kTokensPerCoordinator));
 }
 
 BOOST_AUTO_TEST_CASE(a_restarted_process_is_not_the_one_in_the_record)
 {
-    auto record = makeSuccession({}, makeRanked());
+    auto record = makeCoordinatorRecord({}, makeRanked());
     BOOST_TEST(*findRank(record, { "h1", 1 }) == 0u);
     BOOST_TEST(!findRank(record, { "h1", 9 }));
-    BOOST_TEST(isSuccessionDue(record, { { { "h1", 9 } }, { { "h3", 3 } }, { { "h4", 4 } } }));
-    BOOST_TEST(!isSuccessionDue(record, { { { "h1", 1 } }, { { "h3", 3 } }, { { "h4", 4 } } }));
-    BOOST_TEST(isSuccessionDue(record, { { { "h1", 1 } }, { { "h3", 3 } }, { { "h2", 2 } } }));
-    BOOST_TEST(isSuccessionDue({}, { { { "h1", 1 } } }));
+    BOOST_TEST(isCoordinatorRecordDue(record, { { { "h1", 9 } }, { { "h3", 3 } }, { { "h4", 4 } } }));
+    BOOST_TEST(!isCoordinatorRecordDue(record, { { { "h1", 1 } }, { { "h3", 3 } }, { { "h4", 4 } } }));
+    BOOST_TEST(isCoordinatorRecordDue(record, { { { "h1", 1 } }, { { "h3", 3 } }, { { "h2", 2 } } }));
+    BOOST_TEST(isCoordinatorRecordDue({}, { { { "h1", 1 } } }));
 }
 
 BOOST_AUTO_TEST_CASE(a_record_that_names_nobody_who_can_act_is_renewed_and_not_while_nobody_can)
 {
-    auto record = makeSuccession({}, makeRanked());
-    std::vector<LiveOrderer> live { { { "h1", 1 }, false }, { { "h2", 2 }, true }, { { "h3", 3 }, false }, { { "h4", 4 }, false } };
-    BOOST_TEST(isSuccessionDue(record, live));
+    auto record = makeCoordinatorRecord({}, makeRanked());
+    std::vector<LiveCandidate> live { { { "h1", 1 }, false }, { { "h2", 2 }, true }, { { "h3", 3 }, false }, { { "h4", 4 }, false } };
+    BOOST_TEST(isCoordinatorRecordDue(record, live));
     live[3].canAct = true; // a deputy can: it acts in the holder's place, and the record stays
-    BOOST_TEST(!isSuccessionDue(record, live));
+    BOOST_TEST(!isCoordinatorRecordDue(record, live));
     live[1].canAct = false;
     live[3].canAct = false; // the store is away for all, and nobody could write
-    BOOST_TEST(!isSuccessionDue(record, live));
+    BOOST_TEST(!isCoordinatorRecordDue(record, live));
 }
 
 // A holder that answers and cannot act kept two deputies that could from acting: a leaving primary was not handed over for ten seconds.
 BOOST_AUTO_TEST_CASE(those_who_can_act_come_first_then_the_order_of_the_record)
 {
-    BOOST_TEST((rankActing({ { true, true }, { true, true }, { true, true } }) == std::vector<size_t> { 0, 1, 2 }));
-    BOOST_TEST((rankActing({ { true, false }, { true, true }, { true, true } }) == std::vector<size_t> { 1, 2, 0 }));
-    BOOST_TEST((rankActing({ { true, false }, { true, false }, { true, false } }) == std::vector<size_t> { 0, 1, 2 })); // one of them still tries
-    BOOST_TEST((rankActing({ { false, true }, { true, false }, { false, true } }) == std::vector<size_t> { 1 }));
-    BOOST_TEST(rankActing({}).empty());
+    BOOST_TEST((rankUsableCoordinators({ { true, true }, { true, true }, { true, true } }) == std::vector<size_t> { 0, 1, 2 }));
+    BOOST_TEST((rankUsableCoordinators({ { true, false }, { true, true }, { true, true } }) == std::vector<size_t> { 1, 2, 0 }));
+    BOOST_TEST((rankUsableCoordinators({ { true, false }, { true, false }, { true, false } }) == std::vector<size_t> { 0, 1, 2 })); // one of them still tries
+    BOOST_TEST((rankUsableCoordinators({ { false, true }, { true, false }, { false, true } }) == std::vector<size_t> { 1 }));
+    BOOST_TEST(rankUsableCoordinators({}).empty());
 }
 
 BOOST_AUTO_TEST_CASE(what_a_task_needs_decides_who_can_do_it)
 {
-    for (auto task : { Task::HandOver, Task::Examine, Task::Find }) {
-        BOOST_TEST(canDo({ true, true }, task));
-        BOOST_TEST(!canDo({ true, false }, task));
-        BOOST_TEST(canDo({ false, true }, task) == (task == Task::Examine)); // members themselves show that a primary is dead
+    for (auto task : { PromotionTask::HandOver, PromotionTask::CheckPrimary, PromotionTask::FindPrimary }) {
+        BOOST_TEST(canPerform({ true, true }, task));
+        BOOST_TEST(!canPerform({ true, false }, task));
+        BOOST_TEST(canPerform({ false, true }, task) == (task == PromotionTask::CheckPrimary)); // members themselves show that a primary is dead
     }
 }
 
 BOOST_AUTO_TEST_CASE(the_record_survives_its_text_and_bad_text_is_refused)
 {
-    auto record = makeSuccession({}, makeRanked());
-    BOOST_TEST((parseSuccession(formatSuccession(record)) == record));
+    auto record = makeCoordinatorRecord({}, makeRanked());
+    BOOST_TEST((parseCoordinatorRecord(formatCoordinatorRecord(record)) == record));
     for (auto* text : { "", "[]", "{}", R"({"orderers":1,"firstToken":1})", R"({"orderers":[1],"firstToken":1})", R"({"orderers":[{"host":1,"incarnation":1}],"firstToken":1})" })
-        BOOST_TEST(!parseSuccession(text), text);
+        BOOST_TEST(!parseCoordinatorRecord(text), text);
 }
 
 BOOST_AUTO_TEST_CASE(the_member_that_holds_most_succeeds_and_a_synchronous_commit_is_never_passed_over)
 {
     std::vector<MemberFinding> found { { "b", true, false, 1, { 1, 10 } }, { "c", true, false, 1, { 1, 12 } } };
     BOOST_TEST(*chooseSuccessor(found, 0, 3) == "c");
-    found[1].mayLead = false;
+    found[1].isPromotable = false;
     BOOST_TEST(*chooseSuccessor(found, 0, 3) == "b");
     BOOST_TEST(!chooseSuccessor(found, 1, 3)); // c may hold a commit that b does not
     found[0].received = { 1, 12 };
@@ -353,13 +353,13 @@
 // the other seven hosts, which still reached the old one, had none for six seconds.
 BOOST_AUTO_TEST_CASE(a_host_that_has_lost_most_others_takes_no_primary_for_dead)
 {
-    BOOST_TEST(!mayJudge({ .answering = 1, .lost = 7 }));
-    BOOST_TEST(!mayJudge({ .answering = 0, .lost = 2 }));
-    BOOST_TEST(mayJudge({ .answering = 0, .lost = 0 })); // the only host
-    BOOST_TEST(!mayJudge({ .answering = 0, .lost = 1 })); // one of two: the other may reach it
-    BOOST_TEST(!mayJudge({ .answering = 3, .lost = 4 })); // four of eight
-    BOOST_TEST(mayJudge({ .answering = 4, .lost = 4 }));
-    BOOST_TEST(mayJudge({ .answering = 6, .lost = 2 }));
+    BOOST_TEST(!canJudgePrimary({ .answering = 1, .lost = 7 }));
+    BOOST_TEST(!canJudgePrimary({ .answering = 0, .lost = 2 }));
+    BOOST_TEST(canJudgePrimary({ .answering = 0, .lost = 0 })); // the only host
+    BOOST_TEST(!canJudgePrimary({ .answering = 0, .lost = 1 })); // one of two: the other may reach it
+    BOOST_TEST(!canJudgePrimary({ .answering = 3, .lost = 4 })); // four of eight
+    BOOST_TEST(canJudgePrimary({ .answering = 4, .lost = 4 }));
+    BOOST_TEST(canJudgePrimary({ .answering = 6, .lost = 2 }));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
