--- a/src/decisions/freshness.h
+++ b/src/decisions/freshness.h
@@ -11,7 +11,7 @@
 
 struct Floor {
     Mark mark {};
-    TimePoint since {}; // covers all commits acknowledged before this; on this host's monotonic clock
+    TimePoint coveredUntil {}; // covers all commits acknowledged before this; on this host's monotonic clock
     friend bool operator==(const Floor&, const Floor&) = default;
 };
 
@@ -23,17 +23,17 @@
     bool isEmpty() const { return floors.empty(); }
 };
 
-inline constexpr milliseconds kFloorStep { 50 }; // floors closer than this are one; bounds the history's length
-inline constexpr milliseconds kFloorMemory { 5000 }; // above any age that operators allow a read
+inline constexpr milliseconds kMinFloorSpacing { 50 }; // floors closer than this are one; bounds the history's length
+inline constexpr milliseconds kFloorRetention { 5000 }; // above any age that operators allow a read
 
 // A host that has nothing to ask of another pings it no more often than its floors must be renewed for the read of the least stated age: where
 // regions are 20 ms apart, pings are most of the bytes between them.
-inline constexpr milliseconds kPingIntervalLeast { 250 };
-inline constexpr milliseconds kPingIntervalMost { 1000 }; // how late a silent host is noticed
+inline constexpr milliseconds kMinPingInterval { 250 };
+inline constexpr milliseconds kMaxPingInterval { 1000 }; // how late a silent host is noticed
 // `leastAge`: of all routes that let reads miss anything; 0: there is none.
-milliseconds getPingInterval(milliseconds leastAge);
+milliseconds getPingInterval(milliseconds minAge);
 
-FloorHistory takeFloor(FloorHistory history, const Floor& floor);
+FloorHistory addFloor(FloorHistory history, const Floor& floor);
 
 // The lowest mark that covers everything acknowledged before `sent` less `maximumAge`. Empty: no floor is young enough.
 // A floor of an older term than the newest may name commits that a change of primary took back; one is returned only as long as
--- a/src/decisions/relaying.cpp
+++ b/src/decisions/relaying.cpp
@@ -9,7 +9,7 @@
 {
     if (!isRelayed)
         return { quiet, quiet };
-    auto half = std::max(quiet / 2, kPingIntervalLeast);
+    auto half = std::max(quiet / 2, kMinPingInterval);
     return { half, half };
 }
 
--- a/src/decisions/relaying.h
+++ b/src/decisions/relaying.h
@@ -14,8 +14,8 @@
 inline constexpr size_t kRelayedHostsLeast = 7;
 
 struct ExchangeIntervals {
-    milliseconds carriers { kPingIntervalLeast }; // of a host that asks carriers
-    milliseconds relays { kPingIntervalLeast }; // of one that asks its relays
+    milliseconds carriers { kMinPingInterval }; // of a host that asks carriers
+    milliseconds relays { kMinPingInterval }; // of one that asks its relays
     friend bool operator==(const ExchangeIntervals&, const ExchangeIntervals&) = default;
 };
 
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -101,7 +101,7 @@
     for (auto& [name, group] : m_view.groups) {
         base::setTo(Family::Term, { { "group", name } }, static_cast<double>(group.lead.term));
         if (!group.floors.isEmpty())
-            base::setTo(Family::FloorAge, { { "group", name } }, std::chrono::duration<double>(now - group.floors.floors.back().since).count());
+            base::setTo(Family::FloorAge, { { "group", name } }, std::chrono::duration<double>(now - group.floors.floors.back().coveredUntil).count());
         auto primary = m_view.members.find(group.lead.member);
         if (primary != m_view.members.end() && primary->second.leavingSince)
             base::setTo(Family::LeavingPrimary, { { "group", name } }, std::chrono::duration<double>(now - *primary->second.leavingSince).count());
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -91,7 +91,7 @@
     bool m_hostsDue { false }; // hosts came or went since the parts that talk to them were told
     std::vector<std::string> m_relays {}; // of this host's data centre, as last chosen
     TimePoint m_askedToRelayAt {}; // when another host last asked what this one hears
-    milliseconds m_quietInterval { decisions::kPingIntervalLeast }; // between exchanges that nothing else calls for
+    milliseconds m_quietInterval { decisions::kMinPingInterval }; // between exchanges that nothing else calls for
     TimePoint m_forgottenAt {}; // when unlisted members were last looked for
     TimePoint m_sessionsAt {}; // when sessions were last looked at
     TimePoint m_placedAt {}; // when this host last looked which members it carries to
--- a/src/gateway/gateway_leads.cpp
+++ b/src/gateway/gateway_leads.cpp
@@ -163,7 +163,7 @@
 void Gateway::takeFloor(const std::string& group, const decisions::Floor& floor)
 {
     auto& floors = m_view.groups[group].floors;
-    floors = decisions::takeFloor(std::move(floors), floor);
+    floors = decisions::addFloor(std::move(floors), floor);
 }
 
 }
--- a/src/gateway/gateway_members.cpp
+++ b/src/gateway/gateway_members.cpp
@@ -89,7 +89,7 @@
 void Gateway::takeRoleChange(const links::ListedMember& before, const links::ListedMember& now)
 {
     auto& group = m_view.groups[now.group];
-    bool isFresh = !group.floors.isEmpty() && Clock::now() - group.floors.floors.back().since < kProofMissed;
+    bool isFresh = !group.floors.isEmpty() && Clock::now() - group.floors.floors.back().coveredUntil < kProofMissed;
     if (before.saysPrimary == now.saysPrimary || isFresh)
         return;
     if (now.saysPrimary && group.lead.member != now.id)
--- a/src/gateway/partners.cpp
+++ b/src/gateway/partners.cpp
@@ -105,7 +105,7 @@
         if (!isRelayed || partners.size() >= wanted)
             break;
         if (name != self.name)
-            addPartner(partners, name, { decisions::kPingIntervalMost });
+            addPartner(partners, name, { decisions::kMaxPingInterval });
     }
     return partners;
 }
--- a/src/gateway/promoter.cpp
+++ b/src/gateway/promoter.cpp
@@ -403,7 +403,7 @@
         return !isSame || mustHandOver(belief) ? "" : "the primary does not leave any more";
     }
     auto& floors = belief.floors.floors;
-    bool hasShown = !floors.empty() && floors.back().since > occasion.since && floors.back().mark.term == belief.lead.term;
+    bool hasShown = !floors.empty() && floors.back().coveredUntil > occasion.since && floors.back().mark.term == belief.lead.term;
     return hasShown && !belief.lead.member.empty() ? "the primary showed meanwhile that it leads" : "";
 }
 
--- a/src/gateway/status_exchange.cpp
+++ b/src/gateway/status_exchange.cpp
@@ -21,13 +21,13 @@
             continue;
         auto& newest = group.floors.floors.back();
         bool isProven = now - group.provenAt <= kProofToldFor;
-        bool isHeard = withHeard && now - newest.since <= kHeardToldFor;
+        bool isHeard = withHeard && now - newest.coveredUntil <= kHeardToldFor;
         if (!isProven && !isHeard)
             continue;
         auto& floor = *wire.add_floors();
         floor.set_group(name);
         writeMark(*floor.mutable_mark(), newest.mark);
-        floor.set_age_us(getAgeUs(newest.since, now));
+        floor.set_age_us(getAgeUs(newest.coveredUntil, now));
         // Hosts that the orderer has no connection to hear of an order from those that have one; after the order's time an assumed term is told no more.
         bool isOrdered = isProven && now < group.pendingUntil;
         if (group.lead.term != newest.mark.term && !isOrdered)
--- a/tests/unit/gateway_decisions_test.cpp
+++ b/tests/unit/gateway_decisions_test.cpp
@@ -46,7 +46,7 @@
 {
     FloorHistory history;
     for (int i = 0; i <= 20; ++i)
-        history = takeFloor(std::move(history), { { 1, static_cast<uint64_t>(100 + i) }, at(i * 100) });
+        history = addFloor(std::move(history), { { 1, static_cast<uint64_t>(100 + i) }, at(i * 100) });
     BOOST_TEST((getFloor(history, milliseconds(1000), at(2000)) == Mark { 1, 110 }));
     BOOST_TEST((getFloor(history, milliseconds(1050), at(2000)) == Mark { 1, 110 }));
     BOOST_TEST(!getFloor(history, milliseconds(1000), at(3001)));
@@ -56,15 +56,15 @@
 BOOST_AUTO_TEST_CASE(floors_that_come_late_or_close_together_lower_nothing)
 {
     FloorHistory history;
-    history = takeFloor(std::move(history), { { 1, 100 }, at(0) });
-    history = takeFloor(std::move(history), { { 1, 200 }, at(1000) });
-    history = takeFloor(std::move(history), { { 1, 150 }, at(1200) }); // less than an older one says
+    history = addFloor(std::move(history), { { 1, 100 }, at(0) });
+    history = addFloor(std::move(history), { { 1, 200 }, at(1000) });
+    history = addFloor(std::move(history), { { 1, 150 }, at(1200) }); // less than an older one says
     BOOST_TEST((getFloor(history, milliseconds(0), at(1000)) == Mark { 1, 200 }));
     BOOST_TEST(!getFloor(history, milliseconds(0), at(1100)));
-    history = takeFloor(std::move(history), { { 1, 160 }, at(500) }); // late, in between
+    history = addFloor(std::move(history), { { 1, 160 }, at(500) }); // late, in between
     BOOST_TEST((getFloor(history, milliseconds(600), at(1000)) == Mark { 1, 160 }));
     for (int i = 0; i < 2000; ++i)
-        history = takeFloor(std::move(history), { { 1, static_cast<uint64_t>(300 + i) }, at(2000 + i) });
+        history = addFloor(std::move(history), { { 1, static_cast<uint64_t>(300 + i) }, at(2000 + i) });
     BOOST_TEST(history.floors.size() < 60u);
     // The newest is always there, however close the one before.
     BOOST_TEST((history.floors.back() == Floor { { 1, 2299 }, at(3999) }));
@@ -73,11 +73,11 @@
 BOOST_AUTO_TEST_CASE(a_session_sees_its_own_commit_and_a_new_term_covers_the_old_one)
 {
     FloorHistory history;
-    history = takeFloor(std::move(history), { { 1, 100 }, at(0) });
+    history = addFloor(std::move(history), { { 1, 100 }, at(0) });
     BOOST_TEST((getReadMark(makeRoute(Consistency::ReadYourWrites, 2500), history, { 1, 130 }, at(10)) == Mark { 1, 130 }));
     BOOST_TEST((getReadMark(makeRoute(Consistency::BoundedStaleness, 2500), history, { 1, 130 }, at(10)) == Mark { 1, 100 }));
     BOOST_TEST(!getReadMark(makeRoute(Consistency::ReadYourWrites, 2500), history, { 1, 130 }, at(2501)));
-    history = takeFloor(std::move(history), { { 2, 90 }, at(3000) });
+    history = addFloor(std::move(history), { { 2, 90 }, at(3000) });
     BOOST_TEST((getReadMark(makeRoute(Consistency::ReadYourWrites, 2500), history, { 1, 130 }, at(3001)) == Mark { 2, 90 }));
 }
 
--- a/tests/unit/lead_terms_test.cpp
+++ b/tests/unit/lead_terms_test.cpp
@@ -90,7 +90,7 @@
     ClusterView view;
     auto& group = view.groups["g"];
     takeShownLead(group, "m", 2, kStart, ShownTo::ThisHost);
-    group.floors = decisions::takeFloor({}, { { 2, 50 }, kStart });
+    group.floors = decisions::addFloor({}, { { 2, 50 }, kStart });
     group.provenAt = kStart;
     takeOrderedLead(group, "n", 3, kStart);
     peer::Pong wire;
@@ -107,7 +107,7 @@
 {
     ClusterView view;
     for (auto* name : { "f", "g", "h" }) {
-        view.groups[name].floors = decisions::takeFloor({}, { { 2, 50 }, kStart - milliseconds(200) });
+        view.groups[name].floors = decisions::addFloor({}, { { 2, 50 }, kStart - milliseconds(200) });
         view.groups[name].provenAt = kStart;
     }
     view.groups["f"].lead = { "m", 2, true };
--- a/tests/unit/member_life_test.cpp
+++ b/tests/unit/member_life_test.cpp
@@ -81,9 +81,9 @@
 {
     GroupBelief group;
     BOOST_TEST(!decisions::hasLostLog(getKnownMark(group), { 1, 0 })); // nothing is known of it
-    group.floors = decisions::takeFloor({}, { { 2, 50 }, kStart });
+    group.floors = decisions::addFloor({}, { { 2, 50 }, kStart });
     auto known = getKnownMark(group); // when it is asked: answers that overtake each other do not matter
-    group.floors = decisions::takeFloor(group.floors, { { 2, 60 }, kStart + milliseconds(500) });
+    group.floors = decisions::addFloor(group.floors, { { 2, 60 }, kStart + milliseconds(500) });
     BOOST_TEST(decisions::hasLostLog(known, { 2, 49 }));
     BOOST_TEST(!decisions::hasLostLog(known, { 2, 50 }));
     BOOST_TEST(!decisions::hasLostLog(known, { 3, 0 })); // a new term may have taken commits back
--- a/tests/unit/relaying_test.cpp
+++ b/tests/unit/relaying_test.cpp
@@ -164,7 +164,7 @@
     auto direct = decisions::getExchangeIntervals(milliseconds(1000), false);
     auto relayed = decisions::getExchangeIntervals(milliseconds(1000), true);
     BOOST_TEST((relayed.carriers + relayed.relays <= direct.carriers));
-    BOOST_TEST((decisions::getExchangeIntervals(milliseconds(250), true).relays == decisions::kPingIntervalLeast));
+    BOOST_TEST((decisions::getExchangeIntervals(milliseconds(250), true).relays == decisions::kMinPingInterval));
 }
 
 // What relays that are gone had said stayed in force until others said something else.
@@ -201,7 +201,7 @@
         ClusterView view;
         auto& group = view.groups["g"];
         group.lead = { "m", 3, true };
-        group.floors = decisions::takeFloor({}, { { 3, 70 }, TimePoint(askedAt + offset) });
+        group.floors = decisions::addFloor({}, { { 3, 70 }, TimePoint(askedAt + offset) });
         group.provenAt = TimePoint(now + offset);
         bool isFirst = true;
         for (int hop = 0; hop < 3; ++hop) {
@@ -220,7 +220,7 @@
             BOOST_REQUIRE(pong.leads_size() == 1);
             ClusterView next;
             next.groups["g"].lead = decisions::applyPrimaryReport({}, pong.leads(0).member(), pong.leads(0).term());
-            next.groups["g"].floors = decisions::takeFloor({}, { { pong.floors(0).mark().term(), pong.floors(0).mark().position() }, provenAt });
+            next.groups["g"].floors = decisions::addFloor({}, { { pong.floors(0).mark().term(), pong.floors(0).mark().position() }, provenAt });
             view = next;
         }
     }
@@ -232,7 +232,7 @@
     ClusterView view;
     auto now = TimePoint(milliseconds(1'000'000));
     auto& group = view.groups["g"];
-    group.floors = decisions::takeFloor({}, { { 3, 70 }, now - milliseconds(100) });
+    group.floors = decisions::addFloor({}, { { 3, 70 }, now - milliseconds(100) });
     group.lead = { "n", 4, false };
     peer::Pong pong;
     writeGroups(pong, view, true, now);
