--- a/src/decisions/relaying.cpp
+++ b/src/decisions/relaying.cpp
@@ -3,7 +3,7 @@
 
 namespace alderward::decisions {
 
-static constexpr double kAlarmMsEachHost = 1000.0 / 300;
+static constexpr double kAlarmMsPerHost = 1000.0 / 300;
 
 ExchangeIntervals getExchangeIntervals(milliseconds quiet, bool isRelayed)
 {
@@ -13,20 +13,20 @@
     return { half, half };
 }
 
-std::set<std::string> findUnusable(const std::vector<std::set<std::string>>& toldByRelays)
+std::set<std::string> findUnreachableHosts(const std::vector<std::set<std::string>>& reportsOfRelays)
 {
-    if (toldByRelays.empty())
+    if (reportsOfRelays.empty())
         return {};
-    auto unusable = toldByRelays.front();
-    for (auto& told : toldByRelays)
-        std::erase_if(unusable, [&](const std::string& it) { return !told.contains(it); });
-    return unusable;
+    auto unreachable = reportsOfRelays.front();
+    for (auto& report : reportsOfRelays)
+        std::erase_if(unreachable, [&](const std::string& it) { return !report.contains(it); });
+    return unreachable;
 }
 
 milliseconds getAlarmInterval(size_t hosts)
 {
-    auto interval = milliseconds(static_cast<int64_t>(kAlarmMsEachHost * static_cast<double>(hosts)));
-    return std::clamp(interval, kAlarmIntervalLeast, kAlarmIntervalMost);
+    auto interval = milliseconds(static_cast<int64_t>(kAlarmMsPerHost * static_cast<double>(hosts)));
+    return std::clamp(interval, kMinAlarmInterval, kMaxAlarmInterval);
 }
 
 }
--- a/src/decisions/watching.h
+++ b/src/decisions/watching.h
@@ -8,7 +8,7 @@
 namespace alderward::decisions {
 
 // Hosts of a data centre that look often: one may be frozen or cut off from the store while another finds a watch that has fallen silent.
-inline constexpr size_t kWatchersOfDataCentre = 2;
+inline constexpr size_t kWatchersPerDataCentre = 2;
 
 // A usable host as another sees it.
 struct WatcherHost {
@@ -24,26 +24,26 @@
 
 // The pause after a watch that answered, before the next. Changes that come in a row, as when all hosts start, are taken together: `wasAtOnce`,
 // they stood ready when the watch was sent. Members that register within five seconds of a start cost each host five calls in place of twenty.
-milliseconds getWatchPause(milliseconds previous, bool wasAtOnce);
-inline constexpr milliseconds kWatchPauseLeast { 250 };
-inline constexpr milliseconds kWatchPauseMost { 1000 };
+milliseconds getWatchPause(milliseconds previous, bool hadPendingChanges);
+inline constexpr milliseconds kMinWatchPause { 250 };
+inline constexpr milliseconds kMaxWatchPause { 1000 };
 
 // The pause after `failures` failed calls in a row, spread by `random` in [0, 1) so that hosts do not come together. A store that turns calls
 // away at once would else be asked four times a second by each host, for nothing.
 milliseconds getRetryPause(unsigned failures, double random);
 
 // What others have said of changes in the store that this host has not seen.
-struct HeardChange {
+struct ReportedChange {
     uint64_t change { 0 }; // revision; 0: none
     TimePoint at {}; // when it was first heard of
-    friend bool operator==(const HeardChange&, const HeardChange&) = default;
+    friend bool operator==(const ReportedChange&, const ReportedChange&) = default;
 };
 
 // A watch brings changes within tens of ms and the longest pause: one that others know for longer shows that ours has fallen silent.
-inline constexpr milliseconds kChangeLate { 1500 };
+inline constexpr milliseconds kSilentWatchThreshold { 1500 };
 
 // Another host knows of `change`; `seen` is the newest that this host knows.
-HeardChange takeHeard(const HeardChange& heard, uint64_t change, uint64_t seen, TimePoint now);
-bool isWatchSilent(const HeardChange& heard, uint64_t seen, TimePoint now);
+ReportedChange applyReportedChange(const ReportedChange& reported, uint64_t change, uint64_t seen, TimePoint now);
+bool isWatchSilent(const ReportedChange& reported, uint64_t seen, TimePoint now);
 
 }
--- a/src/gateway/directory.cpp
+++ b/src/gateway/directory.cpp
@@ -107,7 +107,7 @@
     if (version <= m_version || m_mustReread)
         return;
     if (isToldByRelay()) { // it comes that way, unless something is amiss
-        m_heardVersion = decisions::takeHeard(m_heardVersion, version, m_version, Clock::now());
+        m_heardVersion = decisions::applyReportedChange(m_heardVersion, version, m_version, Clock::now());
         if (!decisions::isWatchSilent(m_heardVersion, m_version, Clock::now()))
             return;
     }
@@ -136,7 +136,7 @@
         return;
     auto now = Clock::now();
     auto seen = std::max(m_newestChange, m_revision);
-    m_heard = decisions::takeHeard(m_heard, change, seen, now);
+    m_heard = decisions::applyReportedChange(m_heard, change, seen, now);
     if (!decisions::isWatchSilent(m_heard, seen, now))
         return;
     base::logEvent(LogClass::State, "watch-silent", { { "here", static_cast<int64_t>(seen) }, { "elsewhere", static_cast<int64_t>(m_heard.change) } });
@@ -288,7 +288,7 @@
         setReachable(true, "watch answered");
         auto now = Clock::now();
         bool wasAtOnce = now - askedAt < kAtOnce; // what stood ready may have waited for as long as this host could not ask
-        bool isRecent = !wasAtOnce || now - m_answeredAt <= decisions::kChangeLate;
+        bool isRecent = !wasAtOnce || now - m_answeredAt <= decisions::kSilentWatchThreshold;
         m_answeredAt = now;
         for (auto& it : changes->items) {
             if (it.revision <= m_revision && m_revision != since)
--- a/src/gateway/directory.h
+++ b/src/gateway/directory.h
@@ -114,13 +114,13 @@
     std::set<std::string> m_known; // keys
     base::TimePoint m_answeredAt {}; // when the store last told all that had changed
     uint64_t m_newestChange { 0 }; // revision of the newest change that a watch brought; the store's own revision moves with more than these
-    decisions::HeardChange m_heard {};
+    decisions::ReportedChange m_heard {};
     base::milliseconds m_watchPause { 0 }; // the last
     std::deque<ToldChange> m_log {}; // changes that this host's watches brought, for those that it relays to
     size_t m_logBytes { 0 };
     uint64_t m_logSince { 0 }; // the log holds all changes behind this revision up to m_revision; 0: it holds none
     base::TimePoint m_toldAt {}; // when a relay last told all changes
-    decisions::HeardChange m_heardVersion {}; // of the configuration
+    decisions::ReportedChange m_heardVersion {}; // of the configuration
     unsigned m_failures { 0 }; // in a row
     bool m_isWatcher { true };
     bool m_hasRelay { false };
--- a/src/gateway/partners.cpp
+++ b/src/gateway/partners.cpp
@@ -18,7 +18,7 @@
     std::vector<decisions::WatcherHost> usable;
     size_t able = 0;
     for (auto& name : getRelayOrder(view, self.dataCentre)) {
-        bool isEnough = able == decisions::kWatchersOfDataCentre || usable.size() == kRelayCandidates;
+        bool isEnough = able == decisions::kWatchersPerDataCentre || usable.size() == kRelayCandidates;
         if (view.hosts.at(name).dataCentre != self.dataCentre || isEnough)
             break;
         bool isSelf = name == self.name;
@@ -88,7 +88,7 @@
     for (auto& [id, member] : view.members) {
         auto& ranked = getCarriers(view, member);
         if (asksCarriers)
-            addCarriers(partners, ranked, peers, self.name, intervals.carriers);
+            addCarriers(partners, ranked, peers, self.name, intervals.forwarders);
         else if (orders.groups.contains(member.listed.group))
             addCarriers(partners, ranked, peers, self.name, quiet);
         else
--- a/src/gateway/peers.cpp
+++ b/src/gateway/peers.cpp
@@ -450,7 +450,7 @@
         if (link->partner.isRelay && link->isUp && link->wasHeard)
             told.push_back(link->unusable);
     }
-    auto unusable = decisions::findUnusable(told);
+    auto unusable = decisions::findUnreachableHosts(told);
     m_version += unusable == m_unusable ? 0 : 1;
     m_unusable = std::move(unusable);
 }
@@ -483,7 +483,7 @@
     auto passed = now - link.pingedAt;
     if (passed < kPingInterval)
         return false;
-    bool isAwaited = std::ranges::any_of(link.calls, [&](auto& it) { return now - it.second.sentAt > decisions::kOrderUnansweredFor; });
+    bool isAwaited = std::ranges::any_of(link.calls, [&](auto& it) { return now - it.second.sentAt > decisions::kAwaitedExchangeThreshold; });
     return !link.wasHeard || isAwaited || !link.pings.empty() || (link.isPartner() && passed >= link.partner.interval);
 }
 
--- a/tests/unit/relaying_test.cpp
+++ b/tests/unit/relaying_test.cpp
@@ -96,7 +96,7 @@
         chosen[fleet.hosts[i].name] = fleet.choose(i);
     for (size_t i = 0; i < fleet.hosts.size(); ++i) {
         auto relays = fleet.findRelays(i);
-        BOOST_REQUIRE(relays.size() == decisions::kWatchersOfDataCentre);
+        BOOST_REQUIRE(relays.size() == decisions::kWatchersPerDataCentre);
         auto& own = chosen.at(fleet.hosts[i].name);
         size_t tellLoads = 0;
         for (auto& relay : relays) {
@@ -163,7 +163,7 @@
 {
     auto direct = decisions::getExchangeIntervals(milliseconds(1000), false);
     auto relayed = decisions::getExchangeIntervals(milliseconds(1000), true);
-    BOOST_TEST((relayed.carriers + relayed.relays <= direct.carriers));
+    BOOST_TEST((relayed.forwarders + relayed.relays <= direct.forwarders));
     BOOST_TEST((decisions::getExchangeIntervals(milliseconds(250), true).relays == decisions::kMinPingInterval));
 }
 
@@ -171,10 +171,10 @@
 BOOST_AUTO_TEST_CASE(a_host_is_out_of_reach_by_hearsay_while_all_relays_that_answer_say_so)
 {
     using Names = std::set<std::string>;
-    BOOST_TEST((decisions::findUnusable({ { "x", "y" }, { "y", "z" } }) == Names { "y" }));
-    BOOST_TEST((decisions::findUnusable({ { "x" } }) == Names { "x" }));
-    BOOST_TEST(decisions::findUnusable({ { "x" }, {} }).empty());
-    BOOST_TEST(decisions::findUnusable({}).empty());
+    BOOST_TEST((decisions::findUnreachableHosts({ { "x", "y" }, { "y", "z" } }) == Names { "y" }));
+    BOOST_TEST((decisions::findUnreachableHosts({ { "x" } }) == Names { "x" }));
+    BOOST_TEST(decisions::findUnreachableHosts({ { "x" }, {} }).empty());
+    BOOST_TEST(decisions::findUnreachableHosts({}).empty());
 }
 
 BOOST_AUTO_TEST_CASE(those_who_act_hear_a_bounded_number_of_alarms)
@@ -183,8 +183,8 @@
         auto interval = std::chrono::duration<double>(decisions::getAlarmInterval(hosts)).count();
         BOOST_TEST(static_cast<double>(hosts) / interval <= 310.0);
     }
-    BOOST_TEST((decisions::getAlarmInterval(9) == decisions::kAlarmIntervalLeast));
-    BOOST_TEST((decisions::getAlarmInterval(100000) == decisions::kAlarmIntervalMost));
+    BOOST_TEST((decisions::getAlarmInterval(9) == decisions::kMinAlarmInterval));
+    BOOST_TEST((decisions::getAlarmInterval(100000) == decisions::kMaxAlarmInterval));
 }
 
 // A floor says that it covers what was acknowledged before a moment. Whatever relays it passes over, with clocks that show other times, frozen or late
--- a/tests/unit/watching_test.cpp
+++ b/tests/unit/watching_test.cpp
@@ -58,16 +58,16 @@
 
 BOOST_AUTO_TEST_CASE(a_change_that_others_know_and_ours_does_not_bring_shows_a_silent_watch)
 {
-    auto heard = takeHeard({}, 10, 9, at(0));
+    auto heard = applyReportedChange({}, 10, 9, at(0));
     BOOST_TEST(!isWatchSilent(heard, 9, at(1000)));
-    heard = takeHeard(heard, 12, 9, at(1000)); // a later one does not begin the time anew
+    heard = applyReportedChange(heard, 12, 9, at(1000)); // a later one does not begin the time anew
     BOOST_TEST(isWatchSilent(heard, 9, at(1500)));
     BOOST_TEST(!isWatchSilent(heard, 10, at(1500))); // it came after all
-    heard = takeHeard(heard, 12, 10, at(1600));
+    heard = applyReportedChange(heard, 12, 10, at(1600));
     BOOST_TEST(!isWatchSilent(heard, 10, at(2000)));
     BOOST_TEST(isWatchSilent(heard, 10, at(3100)));
-    BOOST_TEST((takeHeard(heard, 12, 12, at(3200)) == HeardChange {}));
-    BOOST_TEST((takeHeard({}, 0, 0, at(0)) == HeardChange {}));
+    BOOST_TEST((applyReportedChange(heard, 12, 12, at(3200)) == ReportedChange {}));
+    BOOST_TEST((applyReportedChange({}, 0, 0, at(0)) == ReportedChange {}));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
