--- a/src/controllers/hosts.cpp
+++ b/src/controllers/hosts.cpp
@@ -260,8 +260,8 @@
     auto reply = co_await send(name, std::move(question), kExchangeTimeout * 2);
     if (!reply)
         co_return;
-    auto hostBuckets = decisions::getDifferences(decisions::getBucketDigests(m_membership), toSpan(reply->host_buckets()));
-    auto recordBuckets = decisions::getDifferences(m_configuration.getBucketDigests(), toSpan(reply->record_buckets()));
+    auto hostBuckets = decisions::findDifferingBuckets(decisions::getBucketDigests(m_membership), toSpan(reply->host_buckets()));
+    auto recordBuckets = decisions::findDifferingBuckets(m_configuration.getBucketDigests(), toSpan(reply->record_buckets()));
     takeReply(*reply, name);
     auto answer = makeRequest();
     addHosts(answer, m_membership, hostBuckets);
@@ -330,8 +330,8 @@
     bool isSynchronising = !request.record_buckets().empty();
     if (isSynchronising) {
         addBuckets(reply);
-        addHosts(reply, m_membership, decisions::getDifferences(decisions::getBucketDigests(m_membership), toSpan(request.host_buckets())));
-        for (auto& it : m_configuration.getVersions(decisions::getDifferences(m_configuration.getBucketDigests(), toSpan(request.record_buckets()))))
+        addHosts(reply, m_membership, decisions::findDifferingBuckets(decisions::getBucketDigests(m_membership), toSpan(request.host_buckets())));
+        for (auto& it : m_configuration.getVersions(decisions::findDifferingBuckets(m_configuration.getBucketDigests(), toSpan(request.record_buckets()))))
             *reply.add_versions() = it;
     } else {
         for (auto& it : decisions::takeNewsToTell(m_membership, m_timings))
--- a/src/controllers/pool.h
+++ b/src/controllers/pool.h
@@ -49,7 +49,7 @@
 };
 
 struct PoolLimits {
-    decisions::Share share {};
+    decisions::HomeShare share {};
     size_t queueLimit { 2000 };
 };
 
--- a/src/decisions/hashing.cpp
+++ b/src/decisions/hashing.cpp
@@ -10,14 +10,14 @@
 
 size_t getBucket(std::string_view key)
 {
-    return getHash(key) % kBuckets;
+    return getHash(key) % kBucketCount;
 }
 
-BucketMask getDifferences(const BucketDigests& mine, std::span<const uint64_t> theirs)
+BucketMask findDifferingBuckets(const BucketDigests& mine, std::span<const uint64_t> theirs)
 {
     BucketMask mask {};
-    for (size_t i = 0; i < kBuckets; ++i)
-        mask[i] = theirs.size() != kBuckets || theirs[i] != mine[i];
+    for (size_t i = 0; i < kBucketCount; ++i)
+        mask[i] = theirs.size() != kBucketCount || theirs[i] != mine[i];
     return mask;
 }
 
--- a/src/decisions/placement.cpp
+++ b/src/decisions/placement.cpp
@@ -14,13 +14,13 @@
     return found;
 }
 
-unsigned getHomeCount(const GroupRecord& record, unsigned homesMost)
+unsigned getHomeCount(const GroupRecord& record, unsigned maxHomes)
 {
-    if (homesMost > record.connectionLimit)
-        return homesMost;
-    auto worth = std::max(std::min(kLeastHomes, record.connectionLimit), record.connectionLimit / kLeastPool);
-    auto most = std::max(homesMost, static_cast<unsigned>(getMemberDataCentres(record).size()));
-    return std::min(worth, most);
+    if (maxHomes > record.connectionLimit)
+        return maxHomes;
+    auto useful = std::max(std::min(kMinHomes, record.connectionLimit), record.connectionLimit / kMinConnectionsPerHome);
+    auto limit = std::max(maxHomes, static_cast<unsigned>(getMemberDataCentres(record).size()));
+    return std::min(useful, limit);
 }
 
 uint64_t getHostWeight(const std::string& key, const std::string& host)
@@ -40,38 +40,38 @@
     return names;
 }
 
-std::vector<PlacedHost> selectFronting(const GroupRecord& record, const std::vector<PlacedHost>& live)
+std::vector<PlacedHost> selectServingHosts(const GroupRecord& record, const std::vector<PlacedHost>& live)
 {
     if (record.hosts.empty())
         return live;
-    std::vector<PlacedHost> fronting;
+    std::vector<PlacedHost> serving;
     for (auto& name : record.hosts) {
         auto it = std::ranges::lower_bound(live, name, {}, &PlacedHost::name);
         if (it != live.end() && it->name == name)
-            fronting.push_back(*it);
+            serving.push_back(*it);
     }
-    return fronting;
+    return serving;
 }
 
 // Takes hosts round by round: in each round one host of every data centre that has a member, then the others.
-std::vector<std::string> chooseHomes(const GroupRecord& record, const std::vector<PlacedHost>& live, unsigned homesMost)
+std::vector<std::string> chooseHomes(const GroupRecord& record, const std::vector<PlacedHost>& live, unsigned maxHomes)
 {
-    auto wanted = getHomeCount(record, homesMost);
+    auto wanted = getHomeCount(record, maxHomes);
     std::vector<std::string> names;
     std::map<std::string, std::string> dataCentres;
-    for (auto& it : selectFronting(record, live)) {
+    for (auto& it : selectServingHosts(record, live)) {
         names.push_back(it.name);
         dataCentres[it.name] = it.dataCentre;
     }
     auto ranked = rankHosts(record.name, names);
-    auto withMember = getMemberDataCentres(record);
+    auto memberDataCentres = getMemberDataCentres(record);
     std::vector<std::string> homes;
     while (homes.size() < wanted && !ranked.empty()) {
         std::set<std::string> taken;
         std::vector<std::string> rest;
         for (auto& it : ranked) {
             auto& dataCentre = dataCentres[it];
-            bool isFirst = withMember.contains(dataCentre) && taken.insert(dataCentre).second;
+            bool isFirst = memberDataCentres.contains(dataCentre) && taken.insert(dataCentre).second;
             if (isFirst && homes.size() < wanted)
                 homes.push_back(it);
             else
@@ -86,7 +86,7 @@
     return homes;
 }
 
-Share getShare(const GroupRecord& record, size_t homes)
+HomeShare getShare(const GroupRecord& record, size_t homes)
 {
     auto n = static_cast<unsigned>(std::max<size_t>(1, homes));
     return { std::max(1U, record.connectionLimit / n), record.slots };
--- a/tests/unit/records_test.cpp
+++ b/tests/unit/records_test.cpp
@@ -101,16 +101,16 @@
     for (int i = 0; i < 1000; ++i)
         takeValue(mine, "alderward/groups/g" + std::to_string(i), { 1, "{}" });
     auto theirs = mine;
-    BOOST_TEST(std::ranges::count(getDifferences(getBucketDigests(mine), getBucketDigests(theirs)), true) == 0);
+    BOOST_TEST(std::ranges::count(findDifferingBuckets(getBucketDigests(mine), getBucketDigests(theirs)), true) == 0);
     takeValue(theirs, "alderward/groups/g7", { 2, "{}" });
-    auto differences = getDifferences(getBucketDigests(mine), getBucketDigests(theirs));
+    auto differences = findDifferingBuckets(getBucketDigests(mine), getBucketDigests(theirs));
     BOOST_TEST(std::ranges::count(differences, true) == 1);
     BOOST_TEST(differences[getBucket("alderward/groups/g7")]);
     uint64_t sum = 0;
     for (auto it : getBucketDigests(theirs))
         sum ^= it;
     BOOST_TEST(sum == getDigest(theirs));
-    BOOST_TEST(std::ranges::count(getDifferences(getBucketDigests(mine), {}), true) == static_cast<int>(kBuckets)); // not comparable
+    BOOST_TEST(std::ranges::count(findDifferingBuckets(getBucketDigests(mine), {}), true) == static_cast<int>(kBucketCount)); // not comparable
 }
 
 BOOST_AUTO_TEST_CASE(bad_settings_are_refused_with_file_and_line)
