--- a/src/controllers/configuration.cpp
+++ b/src/controllers/configuration.cpp
@@ -146,7 +146,7 @@
     for (auto& [key, value] : values) {
         {
             std::lock_guard lock(m_mutex);
-            if (!decisions::takeValue(m_values, key, value))
+            if (!decisions::updateIfNewer(m_values, key, value))
                 continue;
         }
         hasChanged = true;
--- a/src/decisions/failover.cpp
+++ b/src/decisions/failover.cpp
@@ -89,9 +89,9 @@
         state.promotions.pop_front();
     if (limits.mode == PromotionMode::Off)
         return "the record has promotion mode off";
-    if (!state.promotions.empty() && now - state.promotions.back() < limits.leastInterval)
-        return fmt::format("the last promotion is less than {} ms ago", limits.leastInterval.count());
-    if (state.promotions.size() >= limits.mostPerHour)
+    if (!state.promotions.empty() && now - state.promotions.back() < limits.minInterval)
+        return fmt::format("the last promotion is less than {} ms ago", limits.minInterval.count());
+    if (state.promotions.size() >= limits.maxPerHour)
         return fmt::format("{} promotions within an hour", state.promotions.size());
     return {};
 }
--- a/src/decisions/records.cpp
+++ b/src/decisions/records.cpp
@@ -16,7 +16,7 @@
 
 using Problem = tl::unexpected<RecordProblem>;
 
-static Problem problem(std::string field, std::string message)
+static Problem makeProblem(std::string field, std::string message)
 {
     return tl::make_unexpected(RecordProblem { 0, std::move(field), std::move(message) });
 }
@@ -64,7 +64,7 @@
         , m_object(value.if_object())
     {
         if (!m_object)
-            note({}, "must be an object");
+            addProblem({}, "must be an object");
     }
 
     std::string getString(const char* name, std::optional<std::string> fallback = std::nullopt)
@@ -74,19 +74,19 @@
             return fallback.value_or("");
         if (value->is_string() && !value->get_string().empty())
             return std::string(value->get_string());
-        note(name, "must be a string that is not empty");
+        addProblem(name, "must be a string that is not empty");
         return {};
     }
 
-    int64_t getInteger(const char* name, int64_t least, int64_t most, std::optional<int64_t> fallback = std::nullopt)
+    int64_t getInteger(const char* name, int64_t minimum, int64_t maximum, std::optional<int64_t> fallback = std::nullopt)
     {
         auto* value = find(name, !fallback);
         if (!value)
             return fallback.value_or(0);
-        if (value->is_int64() && value->get_int64() >= least && value->get_int64() <= most)
+        if (value->is_int64() && value->get_int64() >= minimum && value->get_int64() <= maximum)
             return value->get_int64();
-        note(name, fmt::format("must be a whole number from {} to {}", least, most));
-        return least;
+        addProblem(name, fmt::format("must be a whole number from {} to {}", minimum, maximum));
+        return minimum;
     }
 
     bool getBool(const char* name, bool fallback)
@@ -96,7 +96,7 @@
             return fallback;
         if (value->is_bool())
             return value->get_bool();
-        note(name, "must be true or false");
+        addProblem(name, "must be true or false");
         return fallback;
     }
 
@@ -104,36 +104,36 @@
     {
         auto* value = find(name, isRequired);
         if (value && !value->is_array())
-            note(name, "must be an array");
+            addProblem(name, "must be an array");
         return value ? value->if_array() : nullptr;
     }
 
     const json::value* getAny(const char* name) { return find(name, false); }
 
     // Call last: says whether any field was never asked for.
-    void endFields()
+    void rejectUnknownFields()
     {
         if (!m_object)
             return;
         for (auto& it : *m_object) {
-            if (!m_asked.contains(it.key()))
-                note(std::string(it.key()), "is not known in this schema");
+            if (!m_knownFields.contains(it.key()))
+                addProblem(std::string(it.key()), "is not known in this schema");
         }
     }
 
-    void note(const std::string& name, std::string message)
+    void addProblem(const std::string& name, std::string message)
     {
         if (!m_problem)
-            m_problem = RecordProblem { 0, join(name), std::move(message) };
+            m_problem = RecordProblem { 0, getFieldPath(name), std::move(message) };
     }
 
-    void noteOther(const std::optional<RecordProblem>& other)
+    void addFirstProblem(const std::optional<RecordProblem>& other)
     {
         if (!m_problem)
             m_problem = other;
     }
 
-    std::string join(const std::string& name) const
+    std::string getFieldPath(const std::string& name) const
     {
         if (m_path.empty() || name.empty())
             return m_path + name;
@@ -145,16 +145,16 @@
 private:
     const json::value* find(const char* name, bool isRequired)
     {
-        m_asked.insert(name);
+        m_knownFields.insert(name);
         auto* value = m_object ? m_object->if_contains(name) : nullptr;
         if (!value && isRequired)
-            note(name, "is missing");
+            addProblem(name, "is missing");
         return value;
     }
 
     std::string m_path;
     const json::object* m_object;
-    std::set<std::string, std::less<>> m_asked;
+    std::set<std::string, std::less<>> m_knownFields;
     std::optional<RecordProblem> m_problem;
 };
 
@@ -177,9 +177,9 @@
     member.canFence = reader.getBool("fence", true);
     member.isLeaving = reader.getBool("leaving", false);
     if (!isAddress(member.address))
-        reader.note("address", "must be ip:port");
-    reader.endFields();
-    parent.noteOther(reader.getProblem());
+        reader.addProblem("address", "must be ip:port");
+    reader.rejectUnknownFields();
+    parent.addFirstProblem(reader.getProblem());
     return member;
 }
 
@@ -188,26 +188,26 @@
     FieldReader reader(value, "promotion");
     auto mode = reader.getString("mode", "automatic");
     if (mode != "automatic" && mode != "off")
-        reader.note("mode", "must be \"automatic\" or \"off\"");
+        reader.addProblem("mode", "must be \"automatic\" or \"off\"");
     limits.mode = mode == "off" ? PromotionMode::Off : PromotionMode::Automatic;
-    limits.leastInterval = milliseconds(reader.getInteger("leastIntervalMs", 0, kMaximumIntervalMs, limits.leastInterval.count()));
-    limits.mostPerHour = static_cast<unsigned>(reader.getInteger("mostPerHour", 0, 1000, limits.mostPerHour));
-    reader.endFields();
-    parent.noteOther(reader.getProblem());
+    limits.minInterval = milliseconds(reader.getInteger("leastIntervalMs", 0, kMaximumIntervalMs, limits.minInterval.count()));
+    limits.maxPerHour = static_cast<unsigned>(reader.getInteger("mostPerHour", 0, 1000, limits.maxPerHour));
+    reader.rejectUnknownFields();
+    parent.addFirstProblem(reader.getProblem());
 }
 
 static void readReadKinds(FieldReader& parent, const json::value& value, std::map<std::string, milliseconds>& kinds)
 {
     auto* object = value.if_object();
     if (!object) {
-        parent.note("reads", "must be an object");
+        parent.addProblem("reads", "must be an object");
         return;
     }
     for (auto& it : *object) {
         FieldReader reader(it.value(), "reads." + std::string(it.key()));
         kinds[it.key()] = milliseconds(reader.getInteger("maximumAgeMs", 0, kMaximumAgeMs));
-        reader.endFields();
-        parent.noteOther(reader.getProblem());
+        reader.rejectUnknownFields();
+        parent.addFirstProblem(reader.getProblem());
     }
 }
 
@@ -215,7 +215,7 @@
 {
     auto text = reader.getString("acknowledge", "replicated");
     if (text != "replicated" && text != "primary")
-        reader.note("acknowledge", "must be \"replicated\" or \"primary\"");
+        reader.addProblem("acknowledge", "must be \"replicated\" or \"primary\"");
     record.acknowledge = text == "primary" ? Acknowledge::Primary : Acknowledge::Replicated;
 }
 
@@ -230,7 +230,7 @@
             if (it.is_string())
                 record.hosts.emplace_back(it.get_string());
             else
-                reader.note("hosts", "must hold strings");
+                reader.addProblem("hosts", "must hold strings");
         }
     }
 }
@@ -255,15 +255,15 @@
             auto text = (*members)[i].is_string() ? std::string((*members)[i].get_string()) : std::string();
             auto equals = text.find('=');
             auto at = text.rfind('@');
-            bool isWhole = equals != std::string::npos && at != std::string::npos && equals < at && equals > 0 && at + 1 < text.size();
+            bool isWellFormed = equals != std::string::npos && at != std::string::npos && equals < at && equals > 0 && at + 1 < text.size();
             MemberRecord member;
-            if (isWhole) {
+            if (isWellFormed) {
                 member.name = text.substr(0, equals);
                 member.address = text.substr(equals + 1, at - equals - 1);
                 member.dataCentre = text.substr(at + 1);
             }
             if (!isAddress(member.address))
-                reader.note(fmt::format("members[{}]", i), "must be \"name=ip:port@data centre\"");
+                reader.addProblem(fmt::format("members[{}]", i), "must be \"name=ip:port@data centre\"");
             record.members.push_back(std::move(member));
         }
     }
@@ -276,14 +276,14 @@
 static void checkMembers(FieldReader& reader, const GroupRecord& record)
 {
     if (record.members.empty() || record.members.size() > kMaximumMembers)
-        reader.note("members", fmt::format("must hold 1 to {} members", kMaximumMembers));
+        reader.addProblem("members", fmt::format("must hold 1 to {} members", kMaximumMembers));
     std::set<std::string> names;
     std::set<std::string> addresses;
     for (auto& it : record.members) {
         if (!names.insert(it.name).second)
-            reader.note("members", "has two members named " + it.name);
+            reader.addProblem("members", "has two members named " + it.name);
         if (!addresses.insert(it.address).second)
-            reader.note("members", "has two members at " + it.address);
+            reader.addProblem("members", "has two members at " + it.address);
     }
 }
 
@@ -303,10 +303,10 @@
     else if (schema == 2)
         readSchema2(reader, record);
     else
-        return problem("schema", fmt::format("schema {} is not known here; this host reads 1 and 2", schema));
+        return makeProblem("schema", fmt::format("schema {} is not known here; this host reads 1 and 2", schema));
     readCommonFields(reader, record);
     checkMembers(reader, record);
-    reader.endFields();
+    reader.rejectUnknownFields();
     if (reader.getProblem())
         return tl::make_unexpected(*reader.getProblem());
     return record;
@@ -332,7 +332,7 @@
         for (auto& it : *changes) {
             FieldReader change(it, "envelope.changes");
             envelope.changes.push_back({ change.getString("id"), change.getString("by"), static_cast<uint64_t>(change.getInteger("atMs", 0, INT64_MAX)), change.getString("summary", "") });
-            reader.noteOther(change.getProblem());
+            reader.addFirstProblem(change.getProblem());
         }
     }
     if (reader.getProblem())
@@ -340,7 +340,7 @@
     return envelope;
 }
 
-bool takeValue(ValueMap& values, const std::string& key, const VersionedValue& value)
+bool updateIfNewer(ValueMap& values, const std::string& key, const VersionedValue& value)
 {
     auto& known = values[key];
     if (value.version <= known.version)
--- a/src/decisions/records.h
+++ b/src/decisions/records.h
@@ -35,8 +35,8 @@
 
 struct PromotionLimits {
     PromotionMode mode { PromotionMode::Automatic };
-    milliseconds leastInterval { 10000 }; // ms; between two automatic promotions
-    unsigned mostPerHour { 6 }; // automatic promotions in any hour
+    milliseconds minInterval { 10000 }; // ms; between two automatic promotions
+    unsigned maxPerHour { 6 }; // automatic promotions in any hour
     friend bool operator==(const PromotionLimits&, const PromotionLimits&) = default;
 };
 
@@ -100,7 +100,7 @@
 using ValueMap = std::map<std::string, VersionedValue>;
 
 // Takes a value in if it is newer than the known one. Returns whether it was. Versions never go back.
-bool takeValue(ValueMap& values, const std::string& key, const VersionedValue& value);
+bool updateIfNewer(ValueMap& values, const std::string& key, const VersionedValue& value);
 
 // One number that is equal for equal (key, version) sets, whatever their order.
 uint64_t getDigest(const ValueMap& values);
--- a/src/decisions/trace.cpp
+++ b/src/decisions/trace.cpp
@@ -48,7 +48,7 @@
     for (auto& [name, age] : record.readKinds)
         reads[name] = { { "maximumAgeMs", age.count() } };
     json::array hosts(record.hosts.begin(), record.hosts.end());
-    json::object promotion { { "mode", record.promotion.mode == PromotionMode::Off ? "off" : "automatic" }, { "leastIntervalMs", record.promotion.leastInterval.count() }, { "mostPerHour", record.promotion.mostPerHour } };
+    json::object promotion { { "mode", record.promotion.mode == PromotionMode::Off ? "off" : "automatic" }, { "leastIntervalMs", record.promotion.minInterval.count() }, { "mostPerHour", record.promotion.maxPerHour } };
     return { { "schema", 2 }, { "members", std::move(members) }, { "hosts", std::move(hosts) }, { "connectionLimit", record.connectionLimit }, { "slots", record.slots }, { "reads", std::move(reads) }, { "acknowledge", record.acknowledge == Acknowledge::Primary ? "primary" : "replicated" }, { "promotion", std::move(promotion) }, { "retired", record.isRetired } };
 }
 
--- a/tests/unit/failover_test.cpp
+++ b/tests/unit/failover_test.cpp
@@ -19,8 +19,8 @@
     record.name = "orders";
     for (size_t i = 0; i < members; ++i)
         record.members.push_back({ std::string(1, static_cast<char>('a' + i)), "127.0.0.1:" + std::to_string(i + 1), "x" });
-    record.promotion.leastInterval = milliseconds(0);
-    record.promotion.mostPerHour = 1000;
+    record.promotion.minInterval = milliseconds(0);
+    record.promotion.maxPerHour = 1000;
     return record;
 }
 
--- a/tests/unit/records_test.cpp
+++ b/tests/unit/records_test.cpp
@@ -80,12 +80,12 @@
     BOOST_TEST((decisions::parseEnvelope(decisions::formatEnvelope(envelope)).value() == envelope));
     BOOST_TEST(!decisions::parseEnvelope("{}"));
     decisions::ValueMap values;
-    BOOST_TEST(decisions::takeValue(values, "k", { 5, "five" }));
-    BOOST_TEST(!decisions::takeValue(values, "k", { 4, "four" }));
-    BOOST_TEST(!decisions::takeValue(values, "k", { 5, "other five" }));
+    BOOST_TEST(decisions::updateIfNewer(values, "k", { 5, "five" }));
+    BOOST_TEST(!decisions::updateIfNewer(values, "k", { 4, "four" }));
+    BOOST_TEST(!decisions::updateIfNewer(values, "k", { 5, "other five" }));
     BOOST_TEST(values["k"].value == "five");
     auto digest = decisions::getDigest(values);
-    decisions::takeValue(values, "k", { 6, "six" });
+    decisions::updateIfNewer(values, "k", { 6, "six" });
     BOOST_TEST(digest != decisions::getDigest(values));
 }
 
@@ -99,10 +99,10 @@
     using namespace decisions;
     ValueMap mine;
     for (int i = 0; i < 1000; ++i)
-        takeValue(mine, "alderward/groups/g" + std::to_string(i), { 1, "{}" });
+        updateIfNewer(mine, "alderward/groups/g" + std::to_string(i), { 1, "{}" });
     auto theirs = mine;
     BOOST_TEST(std::ranges::count(findDifferingBuckets(getBucketDigests(mine), getBucketDigests(theirs)), true) == 0);
-    takeValue(theirs, "alderward/groups/g7", { 2, "{}" });
+    updateIfNewer(theirs, "alderward/groups/g7", { 2, "{}" });
     auto differences = findDifferingBuckets(getBucketDigests(mine), getBucketDigests(theirs));
     BOOST_TEST(std::ranges::count(differences, true) == 1);
     BOOST_TEST(differences[getBucket("alderward/groups/g7")]);
