--- a/src/decisions/choice.cpp
+++ b/src/decisions/choice.cpp
@@ -7,47 +7,47 @@
 // Statements' worth of queue that a read must save to be sent to the leader.
 static constexpr double kPrimaryPenalty = 1.0;
 
-KnownPrimary applyPrimaryProof(const KnownPrimary& lead, const std::string& member, uint64_t term)
+KnownPrimary applyPrimaryProof(const KnownPrimary& known, const std::string& member, uint64_t term)
 {
-    return term < lead.term ? lead : KnownPrimary { member, term, true };
+    return term < known.term ? known : KnownPrimary { member, term, true };
 }
 
-KnownPrimary applyPrimaryDenial(const KnownPrimary& lead, const std::string& member)
+KnownPrimary applyPrimaryDenial(const KnownPrimary& known, const std::string& member)
 {
-    return lead.member == member ? KnownPrimary { "", lead.term, false } : lead;
+    return known.member == member ? KnownPrimary { "", known.term, false } : known;
 }
 
-KnownPrimary applyPrimaryReport(const KnownPrimary& lead, const std::string& member, uint64_t term)
+KnownPrimary applyPrimaryReport(const KnownPrimary& known, const std::string& member, uint64_t term)
 {
-    bool fillsGap = lead.member.empty() && term >= lead.term;
-    return term > lead.term || fillsGap ? KnownPrimary { member, term, false } : lead;
+    bool fillsGap = known.member.empty() && term >= known.term;
+    return term > known.term || fillsGap ? KnownPrimary { member, term, false } : known;
 }
 
-KnownPrimary applyPrimaryListing(const KnownPrimary& lead, const std::string& member)
+KnownPrimary applyPrimaryListing(const KnownPrimary& known, const std::string& member)
 {
-    return lead.member.empty() ? KnownPrimary { member, lead.term, false } : lead;
+    return known.member.empty() ? KnownPrimary { member, known.term, false } : known;
 }
 
 bool isSuperseded(const KnownPrimary& before, const KnownPrimary& now)
 {
-    bool isOther = !now.member.empty() && now.member != before.member;
-    return isOther || now.term > before.term;
+    bool isOtherMember = !now.member.empty() && now.member != before.member;
+    return isOtherMember || now.term > before.term;
 }
 
 double estimateLatencyMs(const Candidate& candidate)
 {
-    auto ahead = candidate.queued < candidate.slots ? 0.0 : static_cast<double>(candidate.queued - candidate.slots + 1);
-    return candidate.roundTripMs + candidate.statementMs * (1 + ahead / candidate.slots);
+    auto queuedAhead = candidate.queued < candidate.slots ? 0.0 : static_cast<double>(candidate.queued - candidate.slots + 1);
+    return candidate.roundTripMs + candidate.statementMs * (1 + queuedAhead / candidate.slots);
 }
 
-std::optional<size_t> chooseReadMember(const std::vector<Candidate>& candidates, const Mark& need)
+std::optional<size_t> chooseReadMember(const std::vector<Candidate>& candidates, const Mark& required)
 {
     std::optional<size_t> best;
     double bestCost = 0;
     for (size_t i = 0; i < candidates.size(); ++i) {
         auto& it = candidates[i];
-        bool isLeftAlone = it.positionAge < (it.isFarBehind ? kFarBehindCooldown : kBehindCooldown);
-        bool isBehind = !it.isPrimary && it.position < need && isLeftAlone && (it.position.term != 0 || it.wasBehind);
+        bool isCoolingDown = it.positionAge < (it.isFarBehind ? kFarBehindCooldown : kBehindCooldown);
+        bool isBehind = !it.isPrimary && it.position < required && isCoolingDown && (it.position.term != 0 || it.wasBehind);
         if (!it.isUsable || it.wasTried || isBehind)
             continue;
         auto cost = estimateLatencyMs(it) + (it.isPrimary ? kPrimaryPenalty * it.statementMs : 0);
--- a/src/decisions/choice.h
+++ b/src/decisions/choice.h
@@ -23,13 +23,13 @@
 };
 
 // The member itself showed that it leads in `term`.
-KnownPrimary applyPrimaryProof(const KnownPrimary& lead, const std::string& member, uint64_t term);
+KnownPrimary applyPrimaryProof(const KnownPrimary& known, const std::string& member, uint64_t term);
 // The member itself said that it does not lead.
-KnownPrimary applyPrimaryDenial(const KnownPrimary& lead, const std::string& member);
+KnownPrimary applyPrimaryDenial(const KnownPrimary& known, const std::string& member);
 // Another host told us.
-KnownPrimary applyPrimaryReport(const KnownPrimary& lead, const std::string& member, uint64_t term);
+KnownPrimary applyPrimaryReport(const KnownPrimary& known, const std::string& member, uint64_t term);
 // The list of members names it; that may be out of date, so it fills a gap only.
-KnownPrimary applyPrimaryListing(const KnownPrimary& lead, const std::string& member);
+KnownPrimary applyPrimaryListing(const KnownPrimary& known, const std::string& member);
 
 // Whether evidence that was gathered while `before` was believed is void: another member, or a newer term, has become known since. An order
 // that rests on it could make a member the primary that lacks what was acknowledged meanwhile.
@@ -62,7 +62,7 @@
 double estimateLatencyMs(const Candidate& candidate);
 
 // The best member for a read that must see `need`. The leader counts as busier than it is: writes have no other place to go.
-std::optional<size_t> chooseReadMember(const std::vector<Candidate>& candidates, const Mark& need);
+std::optional<size_t> chooseReadMember(const std::vector<Candidate>& candidates, const Mark& required);
 
 //-----------------------------------------------------------------------------
 // [SECTION] Carriers
--- a/src/decisions/freshness.cpp
+++ b/src/decisions/freshness.cpp
@@ -22,8 +22,8 @@
     if (it != floors.begin() && std::prev(it)->mark > floor.mark)
         return history;
     // Two in one step: the younger one stands for both, unless it is the newest of all, which is always kept.
-    bool isCrowded = it != floors.begin() && std::prev(it) != floors.begin() && floor.coveredUntil - std::prev(it, 2)->coveredUntil < kMinFloorSpacing;
-    if (isCrowded && std::prev(it)->mark.term == floor.mark.term)
+    bool isTooClose = it != floors.begin() && std::prev(it) != floors.begin() && floor.coveredUntil - std::prev(it, 2)->coveredUntil < kMinFloorSpacing;
+    if (isTooClose && std::prev(it)->mark.term == floor.mark.term)
         *std::prev(it) = floor;
     else
         it = floors.insert(it, floor);
@@ -32,10 +32,10 @@
     return history;
 }
 
-std::optional<Mark> getFloor(const FloorHistory& history, milliseconds maximumAge, TimePoint sent)
+std::optional<Mark> getFloor(const FloorHistory& history, milliseconds maximumAge, TimePoint sentAt)
 {
-    auto oldest = sent - maximumAge;
-    auto it = std::ranges::lower_bound(history.floors, oldest, {}, &Floor::coveredUntil);
+    auto earliest = sentAt - maximumAge;
+    auto it = std::ranges::lower_bound(history.floors, earliest, {}, &Floor::coveredUntil);
     return it == history.floors.end() ? std::nullopt : std::optional(it->mark);
 }
 
@@ -44,9 +44,9 @@
     return received.term == known.term && received.position < known.position;
 }
 
-std::optional<Mark> getReadMark(const DatabaseRoute& route, const FloorHistory& history, const Mark& sessionCommit, TimePoint sent)
+std::optional<Mark> getReadMark(const DatabaseRoute& route, const FloorHistory& history, const Mark& sessionCommit, TimePoint sentAt)
 {
-    auto floor = getFloor(history, route.maximumAge, sent);
+    auto floor = getFloor(history, route.maximumAge, sentAt);
     if (!floor || route.consistency != Consistency::ReadYourWrites)
         return floor;
     return std::max(*floor, sessionCommit);
--- a/src/decisions/freshness.h
+++ b/src/decisions/freshness.h
@@ -38,13 +38,13 @@
 // The lowest mark that covers everything acknowledged before `sent` less `maximumAge`. Empty: no floor is young enough.
 // A floor of an older term than the newest may name commits that a change of primary took back; one is returned only as long as
 // nothing newer is known, and members of the new term hold every position of older ones that survived.
-std::optional<Mark> getFloor(const FloorHistory& history, milliseconds maximumAge, TimePoint sent);
+std::optional<Mark> getFloor(const FloorHistory& history, milliseconds maximumAge, TimePoint sentAt);
 
 // Whether the log of a member that is to lead, which answers that it stands at `received`, lacks what was known to be in it when it was asked.
 // Positions of different terms say nothing: a new one may have taken commits back.
 bool hasLostLog(const Mark& known, const Mark& received);
 
 // What a read outside the primary must see: a floor, and for ReadYourWrites the session's last commit as well.
-std::optional<Mark> getReadMark(const DatabaseRoute& route, const FloorHistory& history, const Mark& sessionCommit, TimePoint sent);
+std::optional<Mark> getReadMark(const DatabaseRoute& route, const FloorHistory& history, const Mark& sessionCommit, TimePoint sentAt);
 
 }
--- a/src/decisions/relaying.h
+++ b/src/decisions/relaying.h
@@ -29,7 +29,7 @@
 std::set<std::string> findUnreachableHosts(const std::vector<std::set<std::string>>& reportsOfRelays);
 
 // Whether an exchange with a host is due where operations are under way. One that is answered at once needs none; the longest way there and back is 40 ms.
-inline constexpr milliseconds kAwaitedExchangeThreshold { 60 };
+inline constexpr milliseconds kOverdueReplyThreshold { 60 };
 
 // Hosts that raise an alarm for one group at one moment, all of them: the few that are to act hear it from each.
 inline constexpr milliseconds kMinAlarmInterval { 100 };
--- a/src/decisions/succession.cpp
+++ b/src/decisions/succession.cpp
@@ -11,36 +11,36 @@
 {
     CoordinatorRecord next;
     next.firstToken = previous.coordinators.empty() ? 1 : previous.firstToken + kTokensPerCoordinator * kCoordinatorCount;
-    std::set<std::string> used;
-    auto take = [&](bool onlyNewDataCentres) {
+    std::set<std::string> usedDataCentres;
+    auto addCandidates = [&](bool onlyNewDataCentres) {
         for (auto& it : ranked) {
-            bool isIn = std::ranges::find(next.coordinators, it.coordinator) != next.coordinators.end();
-            if (isIn || next.coordinators.size() >= kCoordinatorCount || (onlyNewDataCentres && used.contains(it.dataCentre)))
+            bool isListed = std::ranges::find(next.coordinators, it.coordinator) != next.coordinators.end();
+            if (isListed || next.coordinators.size() >= kCoordinatorCount || (onlyNewDataCentres && usedDataCentres.contains(it.dataCentre)))
                 continue;
-            used.insert(it.dataCentre);
+            usedDataCentres.insert(it.dataCentre);
             next.coordinators.push_back(it.coordinator);
         }
     };
-    take(true);
-    take(false);
+    addCandidates(true);
+    addCandidates(false);
     return next;
 }
 
-bool isCoordinatorRecordDue(const CoordinatorRecord& succession, const std::vector<LiveCandidate>& live)
+bool isCoordinatorRecordDue(const CoordinatorRecord& record, const std::vector<LiveCandidate>& live)
 {
     auto isLive = [&](const Coordinator& it) { return std::ranges::find(live, it, &LiveCandidate::coordinator) != live.end(); };
     auto isAble = [&](const Coordinator& it) { return std::ranges::find(live, LiveCandidate { it, true }) != live.end(); };
-    if (succession.coordinators.empty() || !isLive(succession.coordinators.front()))
+    if (record.coordinators.empty() || !isLive(record.coordinators.front()))
         return true;
-    auto standing = std::ranges::count_if(succession.coordinators, isLive);
-    if (static_cast<size_t>(standing) < std::min(kCoordinatorCount, live.size()))
+    auto liveCount = std::ranges::count_if(record.coordinators, isLive);
+    if (static_cast<size_t>(liveCount) < std::min(kCoordinatorCount, live.size()))
         return true;
-    return std::ranges::any_of(live, &LiveCandidate::canAct) && std::ranges::none_of(succession.coordinators, isAble);
+    return std::ranges::any_of(live, &LiveCandidate::canAct) && std::ranges::none_of(record.coordinators, isAble);
 }
 
-bool canPerform(const HostCapabilities& ability, PromotionTask task)
+bool canPerform(const HostCapabilities& capabilities, PromotionTask task)
 {
-    return ability.canOrder && (ability.hasStore || task == PromotionTask::CheckPrimary);
+    return capabilities.canOrder && (capabilities.hasStore || task == PromotionTask::CheckPrimary);
 }
 
 std::vector<size_t> rankUsableCoordinators(const std::vector<CoordinatorState>& coordinators)
@@ -60,27 +60,27 @@
     return task == PromotionTask::HandOver ? milliseconds(4000) : milliseconds(5000);
 }
 
-std::optional<size_t> findRank(const CoordinatorRecord& succession, const Coordinator& self)
+std::optional<size_t> findRank(const CoordinatorRecord& record, const Coordinator& self)
 {
-    auto it = std::ranges::find(succession.coordinators, self);
-    if (it == succession.coordinators.end())
+    auto it = std::ranges::find(record.coordinators, self);
+    if (it == record.coordinators.end())
         return std::nullopt;
-    return static_cast<size_t>(it - succession.coordinators.begin());
+    return static_cast<size_t>(it - record.coordinators.begin());
 }
 
-std::optional<uint64_t> getFencingToken(const CoordinatorRecord& succession, size_t rank, uint64_t count)
+std::optional<uint64_t> getFencingToken(const CoordinatorRecord& record, size_t rank, uint64_t count)
 {
     if (count >= kTokensPerCoordinator)
         return std::nullopt;
-    return succession.firstToken + rank * kTokensPerCoordinator + count;
+    return record.firstToken + rank * kTokensPerCoordinator + count;
 }
 
-std::string formatCoordinatorRecord(const CoordinatorRecord& succession)
+std::string formatCoordinatorRecord(const CoordinatorRecord& record)
 {
     json::array coordinators;
-    for (auto& it : succession.coordinators)
+    for (auto& it : record.coordinators)
         coordinators.push_back({ { "host", it.host }, { "incarnation", it.incarnation } });
-    return json::serialize(json::object { { "orderers", coordinators }, { "firstToken", succession.firstToken } });
+    return json::serialize(json::object { { "orderers", coordinators }, { "firstToken", record.firstToken } });
 }
 
 std::optional<CoordinatorRecord> parseCoordinatorRecord(const std::string& text)
@@ -94,17 +94,17 @@
     auto* first = object.if_contains("firstToken");
     if (!coordinators || !coordinators->is_array() || !first || !first->is_number())
         return std::nullopt;
-    CoordinatorRecord succession;
-    succession.firstToken = first->to_number<uint64_t>(ec);
+    CoordinatorRecord record;
+    record.firstToken = first->to_number<uint64_t>(ec);
     for (auto& it : coordinators->as_array()) {
         auto* object = it.if_object();
         if (!object || !object->contains("host") || !object->at("host").is_string() || !object->contains("incarnation"))
             return std::nullopt;
-        succession.coordinators.push_back({ std::string(object->at("host").as_string()), object->at("incarnation").to_number<uint64_t>(ec) });
+        record.coordinators.push_back({ std::string(object->at("host").as_string()), object->at("incarnation").to_number<uint64_t>(ec) });
     }
     if (ec)
         return std::nullopt;
-    return succession;
+    return record;
 }
 
 bool canJudgePrimary(const HostReachability& hosts)
@@ -130,8 +130,8 @@
 
 std::optional<std::string> chooseSuccessor(const std::vector<MemberFinding>& replicas, unsigned synchronousReplicas, size_t listedMembers)
 {
-    auto heard = static_cast<size_t>(std::ranges::count_if(replicas, hasStatus));
-    if (heard * 2 <= listedMembers)
+    auto answered = static_cast<size_t>(std::ranges::count_if(replicas, hasStatus));
+    if (answered * 2 <= listedMembers)
         return std::nullopt;
     const MemberFinding* best = nullptr;
     for (auto& it : replicas) {
--- a/src/decisions/succession.h
+++ b/src/decisions/succession.h
@@ -48,13 +48,13 @@
     bool canAct { true };
     friend bool operator==(const LiveCandidate&, const LiveCandidate&) = default;
 };
-bool isCoordinatorRecordDue(const CoordinatorRecord& succession, const std::vector<LiveCandidate>& live);
+bool isCoordinatorRecordDue(const CoordinatorRecord& record, const std::vector<LiveCandidate>& live);
 // This process's place; empty: none.
-std::optional<size_t> findRank(const CoordinatorRecord& succession, const Coordinator& self);
+std::optional<size_t> findRank(const CoordinatorRecord& record, const Coordinator& self);
 // The token of this process's `count`th decision (from 0). Empty: its tokens are used up.
-std::optional<uint64_t> getFencingToken(const CoordinatorRecord& succession, size_t rank, uint64_t count);
+std::optional<uint64_t> getFencingToken(const CoordinatorRecord& record, size_t rank, uint64_t count);
 
-std::string formatCoordinatorRecord(const CoordinatorRecord& succession);
+std::string formatCoordinatorRecord(const CoordinatorRecord& record);
 std::optional<CoordinatorRecord> parseCoordinatorRecord(const std::string& text);
 
 //-----------------------------------------------------------------------------
@@ -76,7 +76,7 @@
 };
 
 // Whether a host of this ability can do the task. A dead primary is found by asking members; the other tasks come from the store's list.
-bool canPerform(const HostCapabilities& ability, PromotionTask task);
+bool canPerform(const HostCapabilities& capabilities, PromotionTask task);
 
 // One orderer as another sees it.
 struct CoordinatorState {
--- a/src/decisions/watching.cpp
+++ b/src/decisions/watching.cpp
@@ -10,20 +10,20 @@
 
 std::vector<std::string> chooseWatchers(const std::vector<WatcherHost>& ranked)
 {
-    std::vector<std::string> names;
+    std::vector<std::string> chosen;
     for (bool hasStore : { true, false }) {
         for (auto& it : ranked) {
-            if (it.hasStore == hasStore && names.size() < kWatchersPerDataCentre)
-                names.push_back(it.name);
+            if (it.hasStore == hasStore && chosen.size() < kWatchersPerDataCentre)
+                chosen.push_back(it.name);
         }
     }
-    return names;
+    return chosen;
 }
 
 bool isWatcher(const std::string& self, const std::vector<WatcherHost>& ranked)
 {
-    auto names = chooseWatchers(ranked);
-    return std::ranges::find(names, self) != names.end();
+    auto chosen = chooseWatchers(ranked);
+    return std::ranges::find(chosen, self) != chosen.end();
 }
 
 milliseconds getWatchPause(milliseconds previous, bool hadPendingChanges)
@@ -40,16 +40,16 @@
     return milliseconds(static_cast<int64_t>(mean * (0.5 + random)));
 }
 
-ReportedChange applyReportedChange(const ReportedChange& reported, uint64_t change, uint64_t seen, TimePoint now)
+ReportedChange applyReportedChange(const ReportedChange& reported, uint64_t revision, uint64_t knownRevision, TimePoint now)
 {
-    if (reported.change > seen) // the one that is missing already counts
+    if (reported.revision > knownRevision) // the one that is missing already counts
         return reported;
-    return change > seen ? ReportedChange { change, now } : ReportedChange {};
+    return revision > knownRevision ? ReportedChange { revision, now } : ReportedChange {};
 }
 
-bool isWatchSilent(const ReportedChange& reported, uint64_t seen, TimePoint now)
+bool isWatchSilent(const ReportedChange& reported, uint64_t knownRevision, TimePoint now)
 {
-    return reported.change > seen && now - reported.at >= kSilentWatchThreshold;
+    return reported.revision > knownRevision && now - reported.at >= kSilentWatchThreshold;
 }
 
 }
--- a/src/decisions/watching.h
+++ b/src/decisions/watching.h
@@ -34,7 +34,7 @@
 
 // What others have said of changes in the store that this host has not seen.
 struct ReportedChange {
-    uint64_t change { 0 }; // revision; 0: none
+    uint64_t revision { 0 }; // revision; 0: none
     TimePoint at {}; // when it was first heard of
     friend bool operator==(const ReportedChange&, const ReportedChange&) = default;
 };
@@ -43,7 +43,7 @@
 inline constexpr milliseconds kSilentWatchThreshold { 1500 };
 
 // Another host knows of `change`; `seen` is the newest that this host knows.
-ReportedChange applyReportedChange(const ReportedChange& reported, uint64_t change, uint64_t seen, TimePoint now);
-bool isWatchSilent(const ReportedChange& reported, uint64_t seen, TimePoint now);
+ReportedChange applyReportedChange(const ReportedChange& reported, uint64_t revision, uint64_t knownRevision, TimePoint now);
+bool isWatchSilent(const ReportedChange& reported, uint64_t knownRevision, TimePoint now);
 
 }
--- a/src/gateway/directory.cpp
+++ b/src/gateway/directory.cpp
@@ -139,7 +139,7 @@
     m_heard = decisions::applyReportedChange(m_heard, change, seen, now);
     if (!decisions::isWatchSilent(m_heard, seen, now))
         return;
-    base::logEvent(LogClass::State, "watch-silent", { { "here", static_cast<int64_t>(seen) }, { "elsewhere", static_cast<int64_t>(m_heard.change) } });
+    base::logEvent(LogClass::State, "watch-silent", { { "here", static_cast<int64_t>(seen) }, { "elsewhere", static_cast<int64_t>(m_heard.revision) } });
     m_heard = {};
     doubtStore();
 }
--- a/src/gateway/peers.cpp
+++ b/src/gateway/peers.cpp
@@ -483,7 +483,7 @@
     auto passed = now - link.pingedAt;
     if (passed < kPingInterval)
         return false;
-    bool isAwaited = std::ranges::any_of(link.calls, [&](auto& it) { return now - it.second.sentAt > decisions::kAwaitedExchangeThreshold; });
+    bool isAwaited = std::ranges::any_of(link.calls, [&](auto& it) { return now - it.second.sentAt > decisions::kOverdueReplyThreshold; });
     return !link.wasHeard || isAwaited || !link.pings.empty() || (link.isPartner() && passed >= link.partner.interval);
 }
 
