--- a/src/alderward.h
+++ b/src/alderward.h
@@ -46,7 +46,7 @@
 #include "decisions/session.h"
 
 //-----------------------------------------------------------------------------
-// [SECTION] Records: GroupRecord, parseGroupRecord(), Envelope, takeValue(), getDigest()
+// [SECTION] Records: GroupRecord, parseGroupRecord(), Envelope, updateIfNewer(), getDigest()
 //-----------------------------------------------------------------------------
 #include "decisions/records.h"
 
--- a/src/decisions/choice.cpp
+++ b/src/decisions/choice.cpp
@@ -4,7 +4,7 @@
 
 namespace alderward::decisions {
 
-// Statements' worth of queue that a read must save to be sent to the leader.
+// In statement times: a read goes to the primary only if this saves more than that.
 static constexpr double kPrimaryPenalty = 1.0;
 
 KnownPrimary applyPrimaryProof(const KnownPrimary& known, const std::string& member, uint64_t term)
--- a/src/decisions/choice.h
+++ b/src/decisions/choice.h
@@ -1,8 +1,8 @@
-// Which member a statement goes to, and which host's connections it uses to get there.
+// Which member serves a statement, and which host's connections reach that member.
 //
-// [SECTION] Lead       who leads a group, from evidence of several kinds
-// [SECTION] Choice     the cheapest member that may serve a statement
-// [SECTION] Carriers   the hosts that connect to a member
+// [SECTION] Primary      what a host believes about a group's primary
+// [SECTION] Choice       the member with the lowest expected latency that may serve a read
+// [SECTION] Forwarders   the hosts that connect to a member
 #pragma once
 #include "decisions/freshness.h"
 #include <string>
@@ -11,28 +11,28 @@
 namespace alderward::decisions {
 
 //-----------------------------------------------------------------------------
-// [SECTION] Lead
+// [SECTION] Primary
 //-----------------------------------------------------------------------------
 
-// Which member leads a group, as far as this host knows.
+// The member that this host believes to be a group's primary.
 struct KnownPrimary {
-    std::string member {}; // empty: nobody is known to
-    uint64_t term { 0 }; // the newest that was heard of
-    bool isConfirmed { false }; // shown by the member itself, not only listed or told
+    std::string member {}; // empty: no primary is known
+    uint64_t term { 0 }; // newest term known to this host
+    bool isConfirmed { false }; // by an answer of the member itself, not only by a list or another host
     friend bool operator==(const KnownPrimary&, const KnownPrimary&) = default;
 };
 
-// The member itself showed that it leads in `term`.
+// The member itself proved that it is the primary in `term`. Older terms are ignored.
 KnownPrimary applyPrimaryProof(const KnownPrimary& known, const std::string& member, uint64_t term);
-// The member itself said that it does not lead.
+// The member itself denied that it is the primary.
 KnownPrimary applyPrimaryDenial(const KnownPrimary& known, const std::string& member);
-// Another host told us.
+// Another host reported the member as primary in `term`.
 KnownPrimary applyPrimaryReport(const KnownPrimary& known, const std::string& member, uint64_t term);
-// The list of members names it; that may be out of date, so it fills a gap only.
+// The list of members names it as primary. The list can be out of date: it counts only while no primary is known.
 KnownPrimary applyPrimaryListing(const KnownPrimary& known, const std::string& member);
 
-// Whether evidence that was gathered while `before` was believed is void: another member, or a newer term, has become known since. An order
-// that rests on it could make a member the primary that lacks what was acknowledged meanwhile.
+// Whether another primary or a newer term has become known since `before`. Evidence gathered under `before` is then void:
+// a promotion based on it could lose writes acknowledged in the meantime.
 bool isSuperseded(const KnownPrimary& before, const KnownPrimary& now);
 
 //-----------------------------------------------------------------------------
@@ -40,32 +40,33 @@
 //-----------------------------------------------------------------------------
 
 struct Candidate {
-    bool isUsable { true }; // listed, not leaving, reachable as far as is known
+    bool isUsable { true }; // listed, not leaving and not known to be unreachable
     bool isPrimary { false };
     bool wasTried { false }; // by this statement
-    Mark position {}; // that it is estimated to hold now
-    milliseconds positionAge { 0 }; // since it was last heard of, or that it is behind
-    bool wasBehind { false }; // it said so once; counts where its position is not known
-    bool isFarBehind { false }; // by more than replicas usually are
-    double roundTripMs { 0 }; // there and back, with the host that carries it
-    unsigned queued { 0 }; // statements waiting or running there
-    unsigned slots { 1 };
-    double statementMs { 10 }; // of one statement
+    Mark position {}; // estimated current log position
+    milliseconds positionAge { 0 }; // since the last report of its position, or of its being behind
+    bool wasBehind { false }; // it once refused a read as behind; used while its position is unknown
+    bool isFarBehind { false }; // lacks commits older than kFarBehindThreshold
+    double roundTripMs { 0 }; // including the forwarding host
+    unsigned queued { 0 }; // statements waiting or running at the member
+    unsigned slots { 1 }; // statements it runs at once
+    double statementMs { 10 }; // usual execution time of one statement
 };
 
-inline constexpr milliseconds kBehindCooldown { 100 }; // a replica that was heard of as behind is left alone this long
-// One that is far behind: its carrier asks it each 100 ms and tells all others with each ping, so no read has to. Longer than pings may fail to come.
+inline constexpr milliseconds kBehindCooldown { 100 }; // reads avoid a replica for this long after a report that it is behind
+// The same for a replica that is far behind. Its forwarder reports when it has caught up; the time covers lost reports.
 inline constexpr milliseconds kFarBehindCooldown { 1500 };
-inline constexpr milliseconds kFarBehindThreshold { 1500 }; // lacks commits of this age; replicas in calm lack some tens to hundreds of ms, and a floor is a second old at most
+inline constexpr milliseconds kFarBehindThreshold { 1500 }; // a replica that lacks commits older than this is far behind
 
-// The expected time of an answer, in ms.
+// The expected time to an answer, in ms: round trip, queueing and execution.
 double estimateLatencyMs(const Candidate& candidate);
 
-// The best member for a read that must see `need`. The leader counts as busier than it is: writes have no other place to go.
+// The index of the best member for a read that must see `required`; empty: none can serve it.
+// The primary gets a penalty, as it alone takes writes.
 std::optional<size_t> chooseReadMember(const std::vector<Candidate>& candidates, const Mark& required);
 
 //-----------------------------------------------------------------------------
-// [SECTION] Carriers
+// [SECTION] Forwarders
 //-----------------------------------------------------------------------------
 
 struct ForwarderHost {
@@ -73,8 +74,8 @@
     std::string dataCentre {};
 };
 
-// The hosts in the order in which they are asked to carry statements to a member: those of the member's data centre first, by
-// rendezvous rank, so that all hosts agree without asking each other as long as they see the same hosts.
+// All hosts in order of preference for forwarding statements to a member: first those of the member's data centre, each part by
+// rendezvous hashing, so that hosts with the same list of hosts agree without communication.
 std::vector<std::string> rankForwarders(const std::string& member, const std::string& dataCentre, const std::vector<ForwarderHost>& hosts);
 
 }
--- a/src/decisions/freshness.cpp
+++ b/src/decisions/freshness.cpp
@@ -3,7 +3,7 @@
 
 namespace alderward::decisions {
 
-// Of a stated age, what is left for the interval: a floor is up to a proof's interval old when it is told, and the ping itself takes time.
+// Fraction of the maximum age spent on the ping interval; the rest covers the floor's age when sent and the transfer.
 static constexpr double kPingAgeFraction = 0.5;
 
 milliseconds getPingInterval(milliseconds minAge)
@@ -18,10 +18,10 @@
 {
     auto& floors = history.floors;
     auto it = std::ranges::upper_bound(floors, floor.coveredUntil, {}, &Floor::coveredUntil);
-    // Marks and times rise together; a floor that says less than an older one says nothing.
+    // Marks never fall over time: a floor below an older one adds nothing.
     if (it != floors.begin() && std::prev(it)->mark > floor.mark)
         return history;
-    // Two in one step: the younger one stands for both, unless it is the newest of all, which is always kept.
+    // Merges floors that are closer than the spacing, but always keeps the newest one.
     bool isTooClose = it != floors.begin() && std::prev(it) != floors.begin() && floor.coveredUntil - std::prev(it, 2)->coveredUntil < kMinFloorSpacing;
     if (isTooClose && std::prev(it)->mark.term == floor.mark.term)
         *std::prev(it) = floor;
--- a/src/decisions/placement.cpp
+++ b/src/decisions/placement.cpp
@@ -53,7 +53,7 @@
     return serving;
 }
 
-// Takes hosts round by round: in each round one host of every data centre that has a member, then the others.
+// Each round takes one host of every data centre that has a member; the remaining hosts follow.
 std::vector<std::string> chooseHomes(const GroupRecord& record, const std::vector<PlacedHost>& live, unsigned maxHomes)
 {
     auto wanted = getHomeCount(record, maxHomes);
--- a/src/decisions/placement.h
+++ b/src/decisions/placement.h
@@ -1,5 +1,5 @@
-// Which hosts are homes of a group, and how a member's connections and slots are shared among them.
-// Every host computes this from what it knows; while two hosts differ, a member's own limit decides (its refusal is "not run").
+// Which hosts are homes of a group (keep connection pools to its members), and how a member's connections and slots are divided
+// among them. Hosts compute this independently; while their views differ, members enforce their own limits.
 #pragma once
 #include "decisions/records.h"
 #include <string>
@@ -7,41 +7,40 @@
 
 namespace alderward::decisions {
 
-inline constexpr unsigned kMinConnectionsPerHome = 4; // connections that make a home's pool to one member worth having
-inline constexpr unsigned kMinHomes = 2; // whatever the pool: one of them can die
-inline constexpr unsigned kDefaultMaxHomes = 3; // default of homesMost
+inline constexpr unsigned kMinConnectionsPerHome = 4; // fewer connections to a member are not worth another home
+inline constexpr unsigned kMinHomes = 2; // so that one of them can fail
+inline constexpr unsigned kDefaultMaxHomes = 3; // default of the setting for `maxHomes`
 
-// A live host as placement sees it.
+// A live host that may become a home.
 struct PlacedHost {
     std::string name {};
     std::string dataCentre {};
     friend bool operator==(const PlacedHost&, const PlacedHost&) = default;
 };
 
-// A home's part of each member's limits.
+// One home's share of each member's limits.
 struct HomeShare {
-    unsigned connections { 1 }; // to one member, from one home
-    unsigned slots { 1 }; // statements in flight at one member from one home, at most
+    unsigned connections { 1 }; // from one home to one member
+    unsigned slots { 1 }; // maximum statements in flight from one home at one member
     friend bool operator==(const HomeShare&, const HomeShare&) = default;
 };
 
-// How many homes a group gets: connectionLimit / kLeastPool, at least kLeastHomes, at most `homesMost` or one for each data centre with a member.
-// `homesMost` above the number of hosts makes every host a home; that is for measurements.
+// How many homes a group gets: connectionLimit / kMinConnectionsPerHome, at least kMinHomes, at most `maxHomes` or one for each
+// data centre with a member. If `maxHomes` exceeds the connection limit, it alone decides (for benchmarks).
 unsigned getHomeCount(const GroupRecord& record, unsigned maxHomes = kDefaultMaxHomes);
 
-// The homes, best first: a data centre that has a member gets one before any gets a second; within a data centre,
-// rendezvous hashing decides. `live` holds the live hosts, sorted by name (as getLiveHosts() gives them).
+// The homes, best first: each data centre with a member gets one before any gets a second; rendezvous hashing decides
+// within a data centre. `live` must be sorted by name, as from getLiveHosts().
 std::vector<std::string> chooseHomes(const GroupRecord& record, const std::vector<PlacedHost>& live, unsigned maxHomes = kDefaultMaxHomes);
 
-// The hosts that may front the group by its record. `live` is sorted by name, so that a record that names its hosts costs
-// its own length, not the fleet's.
+// The live hosts that the record allows to serve the group. `live` must be sorted by name.
 std::vector<PlacedHost> selectServingHosts(const GroupRecord& record, const std::vector<PlacedHost>& live);
 
 HomeShare getShare(const GroupRecord& record, size_t homes);
 
-// A host's rendezvous weight for a key; the highest is first, between equal ones the higher name.
+// A host's rendezvous weight for a key: the highest ranks first, ties go to the higher name.
 uint64_t getHostWeight(const std::string& key, const std::string& host);
-// Hosts in order of rendezvous rank for a key, best first.
+// Hosts by rendezvous rank for a key, best first.
 std::vector<std::string> rankHosts(const std::string& key, const std::vector<std::string>& hosts);
 
 }
--- a/src/decisions/records.cpp
+++ b/src/decisions/records.cpp
@@ -37,7 +37,7 @@
     return where + it.message;
 }
 
-// The parser stops where it meets the fault: the line is one more than the line ends before that place.
+// Reports the line at which the parser stopped.
 static tl::expected<json::value, RecordProblem> parseJson(const std::string& text)
 {
     json::stream_parser parser;
@@ -49,14 +49,14 @@
         parser.finish(ec);
     if (ec) {
         auto line = 1 + static_cast<size_t>(std::count(text.begin(), text.begin() + static_cast<std::ptrdiff_t>(n), '\n'));
-        return tl::make_unexpected(RecordProblem { line, {}, "not JSON: " + ec.message() });
+        return tl::make_unexpected(RecordProblem { line, {}, "invalid JSON: " + ec.message() });
     }
     return parser.release();
 }
 
 namespace {
 
-// Reads the fields of one JSON object and remembers the first problem. Every field must be asked for, or it is unknown.
+// Reads fields of a JSON object and keeps the first problem. Fields that were never read count as unknown.
 class FieldReader {
 public:
     FieldReader(const json::value& value, std::string path)
@@ -74,7 +74,7 @@
             return fallback.value_or("");
         if (value->is_string() && !value->get_string().empty())
             return std::string(value->get_string());
-        addProblem(name, "must be a string that is not empty");
+        addProblem(name, "must be a non-empty string");
         return {};
     }
 
@@ -110,14 +110,14 @@
 
     const json::value* getAny(const char* name) { return find(name, false); }
 
-    // Call last: says whether any field was never asked for.
+    // Call after all fields have been read.
     void rejectUnknownFields()
     {
         if (!m_object)
             return;
         for (auto& it : *m_object) {
             if (!m_knownFields.contains(it.key()))
-                addProblem(std::string(it.key()), "is not known in this schema");
+                addProblem(std::string(it.key()), "is not a field of this schema");
         }
     }
 
@@ -230,7 +230,7 @@
             if (it.is_string())
                 record.hosts.emplace_back(it.get_string());
             else
-                reader.addProblem("hosts", "must hold strings");
+                reader.addProblem("hosts", "must contain only strings");
         }
     }
 }
@@ -247,7 +247,7 @@
         readPromotion(reader, *promotion, record.promotion);
 }
 
-// The old form: a member is "name=ip:port@data centre", there is one maximum age for all reads, and promotion is a flag.
+// Schema 1: members are "name=ip:port@data centre", all reads share one maximum age, and promotion is a flag.
 static void readSchema1(FieldReader& reader, GroupRecord& record)
 {
     if (auto* members = reader.getArray("members", true)) {
@@ -276,7 +276,7 @@
 static void checkMembers(FieldReader& reader, const GroupRecord& record)
 {
     if (record.members.empty() || record.members.size() > kMaximumMembers)
-        reader.addProblem("members", fmt::format("must hold 1 to {} members", kMaximumMembers));
+        reader.addProblem("members", fmt::format("must contain 1 to {} members", kMaximumMembers));
     std::set<std::string> names;
     std::set<std::string> addresses;
     for (auto& it : record.members) {
@@ -303,7 +303,7 @@
     else if (schema == 2)
         readSchema2(reader, record);
     else
-        return makeProblem("schema", fmt::format("schema {} is not known here; this host reads 1 and 2", schema));
+        return makeProblem("schema", fmt::format("schema {} is not supported; this host supports 1 and 2", schema));
     readCommonFields(reader, record);
     checkMembers(reader, record);
     reader.rejectUnknownFields();
--- a/src/decisions/records.h
+++ b/src/decisions/records.h
@@ -1,5 +1,5 @@
-// Configuration records: what operators write and hosts obey. Reading, checking, comparing; no I/O.
-// The store keeps an envelope around each record, so that changes carry an id and a short history.
+// Configuration records that operators write: parsing, validation, comparison; no I/O.
+// The store keeps each record in an envelope with its most recent changes.
 #pragma once
 #include "decisions/errors.h"
 #include "decisions/hashing.h"
@@ -12,13 +12,13 @@
 namespace alderward::decisions {
 
 inline constexpr std::string_view kGroupPrefix = "alderward/groups/"; // records of database groups
-inline constexpr std::string_view kClaimPrefix = "alderward/claims/"; // who promoted what, for operators and limits
-inline constexpr std::string_view kHostListPrefix = "platform/hosts/"; // the platform's late list of hosts
-inline constexpr size_t kChangeHistoryLimit = 16; // changes kept in a record's envelope
+inline constexpr std::string_view kClaimPrefix = "alderward/claims/"; // claims of promotions, for operators and rate limits
+inline constexpr std::string_view kHostListPrefix = "platform/hosts/"; // the platform's list of hosts; it can be out of date
+inline constexpr size_t kChangeHistoryLimit = 16; // changes kept in an envelope
 
 enum class Acknowledge {
-    Replicated, // a majority holds the write: no acknowledged write is lost by a promotion
-    Primary, // the primary holds it: faster, and a promotion can lose the newest writes
+    Replicated, // once a majority holds it: a promotion loses no acknowledged write
+    Primary, // once the primary holds it: faster, but a promotion can lose the newest writes
 };
 
 enum class PromotionMode { Automatic,
@@ -28,58 +28,58 @@
     std::string name {}; // unique in the group
     std::string address {}; // ip:port
     std::string dataCentre {};
-    bool canFence { true }; // false: promoted only with a claim in the platform's store
-    bool isLeaving { false }; // true: no new work within 3 s; a primary is handed over first
+    bool canFence { true }; // false: promotions need a claim in the platform's store
+    bool isLeaving { false }; // takes no new work within 3 s; a primary is handed over first
     friend bool operator==(const MemberRecord&, const MemberRecord&) = default;
 };
 
 struct PromotionLimits {
     PromotionMode mode { PromotionMode::Automatic };
-    milliseconds minInterval { 10000 }; // ms; between two automatic promotions
+    milliseconds minInterval { 10000 }; // between two automatic promotions
     unsigned maxPerHour { 6 }; // automatic promotions in any hour
     friend bool operator==(const PromotionLimits&, const PromotionLimits&) = default;
 };
 
-// A database group's record in its newest form (schema 2). Schema 1 is read into the same struct.
+// A database group's record (schema 2). Schema 1 is read into the same struct.
 struct GroupRecord {
-    std::string name {}; // the key's last part
+    std::string name {}; // last part of the key in the store
     std::vector<MemberRecord> members {};
-    std::vector<std::string> hosts {}; // hosts that front it; empty: all
-    unsigned connectionLimit { 16 }; // connections a member takes from all hosts together
+    std::vector<std::string> hosts {}; // hosts that may serve it; empty: all
+    unsigned connectionLimit { 16 }; // connections to one member from all hosts together
     unsigned slots { 2 }; // statements a member runs at once
-    std::map<std::string, milliseconds> readKinds {}; // maximum age by kind of read
+    std::map<std::string, milliseconds> readKinds {}; // maximum age of the data, by kind of read
     Acknowledge acknowledge { Acknowledge::Replicated };
     PromotionLimits promotion {};
-    bool isRetired { false }; // true: the group is no longer served
+    bool isRetired { false }; // no longer served
     friend bool operator==(const GroupRecord&, const GroupRecord&) = default;
 
     const MemberRecord* findMember(const std::string& member) const;
     size_t getMajority() const { return members.size() / 2 + 1; }
 };
 
-// What is wrong with a record, and where.
+// Why a record was refused.
 struct RecordProblem {
-    size_t line { 0 }; // from 1; 0: the problem has no line
-    std::string field {}; // like "members[1].address"
+    size_t line { 0 }; // from 1; 0: not known
+    std::string field {}; // for example "members[1].address"
     std::string message {};
     friend bool operator==(const RecordProblem&, const RecordProblem&) = default;
 };
 
 std::string formatProblem(const RecordProblem& problem);
 
-// Reads and checks a record as operators write it: JSON with "schema" 1 or 2.
+// Parses and validates an operator's record: JSON with "schema" 1 or 2.
 tl::expected<GroupRecord, RecordProblem> parseGroupRecord(const std::string& name, const std::string& text);
 
-// Who changed a record, and under which id the change can be found again.
+// A change of a record, as kept in its envelope.
 struct Change {
-    std::string id {}; // random; a retry looks for it before it writes again
+    std::string id {}; // random; lets a retry detect that the change was already written
     std::string by {}; // operator's name
     uint64_t atMs { 0 }; // wall clock, ms since the epoch
     std::string summary {}; // one line
     friend bool operator==(const Change&, const Change&) = default;
 };
 
-// What the store keeps at a record's key.
+// The stored value of a record.
 struct Envelope {
     std::string record {}; // the operator's JSON
     std::vector<Change> changes {}; // newest first, at most kChangeHistoryLimit
@@ -89,25 +89,25 @@
 std::string formatEnvelope(const Envelope& envelope);
 tl::expected<Envelope, RecordProblem> parseEnvelope(const std::string& text);
 
-// One stored value as hosts pass it on: the store's revision is its version and never goes back.
+// A stored value as hosts exchange it. Its version is the store's revision and only increases.
 struct VersionedValue {
     uint64_t version { 0 };
     std::string value {};
     friend bool operator==(const VersionedValue&, const VersionedValue&) = default;
 };
 
-// All values that a host knows, by key. The same struct holds records and the platform's host list.
+// All values known to a host, by key: records and the platform's host list.
 using ValueMap = std::map<std::string, VersionedValue>;
 
-// Takes a value in if it is newer than the known one. Returns whether it was. Versions never go back.
+// Stores `value` if it is newer than the known one. Returns whether it was.
 bool updateIfNewer(ValueMap& values, const std::string& key, const VersionedValue& value);
 
-// One number that is equal for equal (key, version) sets, whatever their order.
+// Equal for equal sets of (key, version).
 uint64_t getDigest(const ValueMap& values);
-// The same by parts of the keys.
+// The same digest for each bucket of keys.
 BucketDigests getBucketDigests(const ValueMap& values);
 
-// The platform's entry for one host or target, as far as we read it.
+// The fields used of the platform's entry for a host or target.
 struct PlatformHost {
     std::string name {};
     std::string dataCentre {};
--- a/src/decisions/relaying.h
+++ b/src/decisions/relaying.h
@@ -1,6 +1,5 @@
-// How often hosts exchange what they know, and through whom. A few hosts of each data centre, the relays, exchange with every host that carries to
-// a member; the others hear of it from the relays of their own data centre. So the exchange of one host does not grow with hosts and members, and what
-// crosses between data centres grows with data centres and members, not with hosts.
+// How often hosts exchange state, and with whom. In a large data centre a few hosts, the relays, exchange with the forwarders of all
+// members, and the other hosts exchange with their relays. So traffic between data centres does not grow with the number of hosts.
 #pragma once
 #include "decisions/freshness.h"
 #include <cstddef>
@@ -10,31 +9,30 @@
 
 namespace alderward::decisions {
 
-// With fewer hosts in a data centre than this, each exchanges with carriers itself: two relays that ask twice as often would send as much.
+// In a smaller data centre each host exchanges with forwarders itself: relays would save nothing.
 inline constexpr size_t kMinRelayedHosts = 7;
 
 struct ExchangeIntervals {
-    milliseconds forwarders { kMinPingInterval }; // of a host that asks carriers
-    milliseconds relays { kMinPingInterval }; // of one that asks its relays
+    milliseconds forwarders { kMinPingInterval }; // between a host and forwarders
+    milliseconds relays { kMinPingInterval }; // between a host and its relays
     friend bool operator==(const ExchangeIntervals&, const ExchangeIntervals&) = default;
 };
 
 inline bool usesRelays(size_t hostsOfDataCentre) { return hostsOfDataCentre >= kMinRelayedHosts; }
 
-// `quiet`: how often a host that asks carriers itself does so. A floor that passes over a relay waits twice, so both waits together are no longer.
+// `quiet`: the interval of a host that exchanges with forwarders itself. It is halved with relays, as a floor waits once at each hop.
 ExchangeIntervals getExchangeIntervals(milliseconds quiet, bool isRelayed);
 
-// The hosts that count as out of reach by hearsay: a host that one relay does not reach may be reached through another way, so all relays that answer have
-// to say it, and nobody is where none answers.
+// The hosts that every relay reports as unreachable; none without reports. A host that one relay cannot reach may be reachable from here.
 std::set<std::string> findUnreachableHosts(const std::vector<std::set<std::string>>& reportsOfRelays);
 
-// Whether an exchange with a host is due where operations are under way. One that is answered at once needs none; the longest way there and back is 40 ms.
+// A host with a call unanswered for longer than this is pinged. Must exceed the round trip between data centres.
 inline constexpr milliseconds kOverdueReplyThreshold { 60 };
 
-// Hosts that raise an alarm for one group at one moment, all of them: the few that are to act hear it from each.
+// All hosts may raise an alarm for a group at once, and its coordinators receive one from each.
 inline constexpr milliseconds kMinAlarmInterval { 100 };
 inline constexpr milliseconds kMaxAlarmInterval { 2000 };
-// The pause between two alarms of one host for one group, so that those who act hear at most 300 a second of one group, whatever the number of hosts.
+// The pause between two alarms of one host for one group, which bounds the rate of alarms from `hosts` hosts together.
 milliseconds getAlarmInterval(size_t hosts);
 
 }
--- a/src/decisions/succession.cpp
+++ b/src/decisions/succession.cpp
@@ -109,7 +109,7 @@
 
 bool canJudgePrimary(const HostReachability& hosts)
 {
-    return hosts.answering + 1 > hosts.lost; // itself included; in a tie the primary is on the other side as likely as not, and it may live
+    return hosts.answering + 1 > hosts.lost; // counts this host; in a tie the primary may be alive on the other side
 }
 
 std::optional<uint64_t> findNewerTerm(const std::vector<MemberFinding>& members, uint64_t known)
@@ -122,7 +122,7 @@
     return newest > known ? std::optional(newest) : std::nullopt;
 }
 
-// A member that is too busy to tell its status lives, but says nothing of what it holds: it counts for no majority.
+// A member that is too busy to report its status is alive, but its log is unknown, so it does not count towards the majority.
 static bool hasStatus(const MemberFinding& it)
 {
     return it.wasReached && it.term != 0;
@@ -144,7 +144,7 @@
     }
     if (!best)
         return std::nullopt;
-    // A member that may not lead can hold more than the best that may: with synchronous replicas, that would lose a commit.
+    // A member that is not promotable may hold a newer log than the best one: with synchronous replicas, promoting would lose a commit.
     bool isBehind = std::ranges::any_of(replicas, [&](const MemberFinding& it) { return it.received > best->received; });
     if (synchronousReplicas > 0 && isBehind)
         return std::nullopt;
--- a/src/decisions/succession.h
+++ b/src/decisions/succession.h
@@ -1,13 +1,13 @@
-// Who may order a change of primary, and which member is to lead. The right to order is settled in the platform's store beforehand, for
-// a holder and its deputies, each with tokens of its own, so that a deputy can act while the store is away and no two hosts ever use
-// the same token (docs/design/0009-platform.md).
+// Which hosts may order a promotion, and which member is promoted. Each group has a record in the platform's store that names a
+// few coordinators, in order, and gives each its own range of fencing tokens: a standby can act while the store is unreachable,
+// and no two hosts ever use the same token (docs/design/0009-platform.md).
 //
 // COMMON MISTAKES
-//   - Ordering a different member with a token that was used before: the first order may be carried out late, after the second.
+//   - Reusing a fencing token to order another member: the platform may carry out the first order after the second.
 //
-// [SECTION] Succession   the record in the store
-// [SECTION] Charge       whose turn it is to act
-// [SECTION] Evidence     whether the primary is dead, and who takes over
+// [SECTION] Coordinators   the record in the store
+// [SECTION] Turns          which coordinator acts, and when
+// [SECTION] Evidence       whether the primary is dead, and which member succeeds it
 #pragma once
 #include "decisions/freshness.h"
 #include <optional>
@@ -17,10 +17,10 @@
 namespace alderward::decisions {
 
 //-----------------------------------------------------------------------------
-// [SECTION] Succession
+// [SECTION] Coordinators
 //-----------------------------------------------------------------------------
 
-// A process that may order; a restarted one is another.
+// A process that may order promotions. A restarted process is a different coordinator.
 struct Coordinator {
     std::string host {};
     uint64_t incarnation { 0 };
@@ -28,107 +28,107 @@
 };
 
 struct CoordinatorRecord {
-    std::vector<Coordinator> coordinators {}; // the holder first, then its deputies in order
-    uint64_t firstToken { 0 }; // orderer i owns kTokensEach tokens from firstToken + i * kTokensEach on
+    std::vector<Coordinator> coordinators {}; // the first coordinator, then the standbys in order
+    uint64_t firstToken { 0 }; // coordinator i owns kTokensPerCoordinator fencing tokens from firstToken + i * kTokensPerCoordinator
     friend bool operator==(const CoordinatorRecord&, const CoordinatorRecord&) = default;
 };
 
-inline constexpr uint64_t kTokensPerCoordinator = 1000; // decisions of one orderer before the record must be renewed
-inline constexpr size_t kCoordinatorCount = 3; // a holder and two deputies: two hosts may die while the store is away
+inline constexpr uint64_t kTokensPerCoordinator = 1000; // promotions that one coordinator can order before the record must be renewed
+inline constexpr size_t kCoordinatorCount = 3; // tolerates the loss of two hosts while the store is unreachable
 
-// The next record: orderers in rank order over the live hosts, in different data centres where there are several.
+// A live host that may become a coordinator.
 struct RankedCandidate {
     Coordinator coordinator {};
     std::string dataCentre {};
 };
+// The next record: the best-ranked live hosts, in different data centres where possible, with new fencing tokens.
 CoordinatorRecord makeCoordinatorRecord(const CoordinatorRecord& previous, const std::vector<RankedCandidate>& ranked);
-// Whether the record names too few live orderers, a holder that is gone, or nobody who can act while others can.
+// A live host, and whether it can perform every task of a coordinator.
 struct LiveCandidate {
     Coordinator coordinator {};
     bool canAct { true };
     friend bool operator==(const LiveCandidate&, const LiveCandidate&) = default;
 };
+// Whether the record must be replaced: its first coordinator is gone, too few are live, or none of them can act while another host can.
 bool isCoordinatorRecordDue(const CoordinatorRecord& record, const std::vector<LiveCandidate>& live);
-// This process's place; empty: none.
+// This process's rank in the record, from 0; empty: it is not a coordinator.
 std::optional<size_t> findRank(const CoordinatorRecord& record, const Coordinator& self);
-// The token of this process's `count`th decision (from 0). Empty: its tokens are used up.
+// The fencing token for a coordinator's `count`th order (from 0). Empty: its tokens are used up.
 std::optional<uint64_t> getFencingToken(const CoordinatorRecord& record, size_t rank, uint64_t count);
 
 std::string formatCoordinatorRecord(const CoordinatorRecord& record);
 std::optional<CoordinatorRecord> parseCoordinatorRecord(const std::string& text);
 
 //-----------------------------------------------------------------------------
-// [SECTION] Charge
+// [SECTION] Turns
 //-----------------------------------------------------------------------------
 
-// What an orderer has to do.
+// What a coordinator has to do.
 enum class PromotionTask {
-    HandOver, // the primary leaves or is not listed any more
-    CheckPrimary, // somebody has trouble with the primary
+    HandOver, // the primary is leaving or is no longer listed
+    CheckPrimary, // a host reported that the primary fails
     FindPrimary, // no primary is known
 };
 
-// What a host can do, as it says of itself. That it answers says nothing of either.
+// What a host reports that it can do. A host that answers pings may be able to do neither.
 struct HostCapabilities {
-    bool hasStore { true }; // it hears of changes there
-    bool canOrder { true }; // its orders to the platform are taken
+    bool hasStore { true }; // receives changes from the store
+    bool canOrder { true }; // the platform accepts its orders
     friend bool operator==(const HostCapabilities&, const HostCapabilities&) = default;
 };
 
-// Whether a host of this ability can do the task. A dead primary is found by asking members; the other tasks come from the store's list.
+// Whether a host can perform a task. Checking a primary needs members only; the other tasks need the store's list of members.
 bool canPerform(const HostCapabilities& capabilities, PromotionTask task);
 
-// One orderer as another sees it.
+// A coordinator as another one sees it.
 struct CoordinatorState {
-    bool isUsable { false }; // answers, in the life that the record names, and does not stop
+    bool isUsable { false }; // reachable, the same process as in the record, and not stopping
     bool canAct { true };
     friend bool operator==(const CoordinatorState&, const CoordinatorState&) = default;
 };
 
-// The order in which usable orderers act, as indices: those that can act first, then by rank.
+// Indices of the usable coordinators in the order in which they act: those that can act first, then by rank.
 std::vector<size_t> rankUsableCoordinators(const std::vector<CoordinatorState>& coordinators);
 
-// How long a task may stand for each orderer that comes before. Whatever that one lacks, be it something that nobody thought of, shows in a task
-// that is not done. A handover takes 2 s at most, and a leaving primary is used for 5.5 s in a drain time of 7 s. Sooner would do harm: an order that
-// is carried out late is refused once a deputy has used a higher token (where all come 2 to 12 s late, 0.08 to 0.11 of worth with 2 s in place of 4). To judge
-// a primary by several hosts at once makes a wrong verdict likelier, so there a deputy waits for longer still.
+// How long a coordinator waits for each one before it to finish a task. A shorter delay would do harm: once a standby has used a
+// higher token, an order of the first coordinator that the platform carries out late is refused.
 milliseconds getTakeoverDelay(PromotionTask task);
 
 //-----------------------------------------------------------------------------
 // [SECTION] Evidence
 //-----------------------------------------------------------------------------
 
-// The other hosts as one host sees them.
+// How many other hosts a host can reach.
 struct HostReachability {
     size_t answering { 0 };
-    size_t lost { 0 }; // answered within kLostCountsFor and do not any more; not those that stopped as planned
+    size_t lost { 0 }; // answered within kLostHostRetention but no longer do; hosts that stopped as planned are not counted
     friend bool operator==(const HostReachability&, const HostReachability&) = default;
 };
 
-// A host that died counts as lost for this long: a change of primary is over within 12 s also if most hosts died together with the primary.
+// How long a silent host counts as lost. Bounds how long promotions are blocked if most hosts die together with the primary.
 inline constexpr milliseconds kLostHostRetention { 10000 };
 
-// Whether a host may take a primary that it does not reach for dead. One that has lost most of the others is probably cut off itself,
-// and the primary serves those others: replacing it would leave most callers without one.
+// Whether a host may declare an unreachable primary dead. A host that has lost most others is probably isolated itself, and the
+// primary still serves those others.
 bool canJudgePrimary(const HostReachability& hosts);
 
-// What one host found when it asked a member for its status.
+// The result of asking a member for its status.
 struct MemberFinding {
     std::string member {};
     bool wasReached { false };
     bool saysPrimary { false };
     uint64_t term { 0 };
-    Mark received {}; // newest entry of its log
+    Mark received {}; // position of the newest entry in its log
     bool isPromotable { true }; // listed and not leaving
 };
 
-// A term above `known` that members have seen: somebody was made the primary whom this host has not heard of, and who may live out of its reach.
-// Nobody is replaced on such evidence; the host waits for what others tell, and looks again.
+// The newest term reported by members, if above `known`: a primary unknown to this host was promoted and may be alive.
+// No promotion may be ordered on such evidence.
 std::optional<uint64_t> findNewerTerm(const std::vector<MemberFinding>& members, uint64_t known);
 
-// The member that holds most. With synchronous replicas a commit may be on any one of them, so all have to be heard. In any case a
-// majority of the listed members has to be: whoever reaches fewer may be on the small side of a split, where an old primary looks like the
-// only member that is left, and making it the primary takes back what the other side has acknowledged. Empty: none can be chosen.
+// The promotable member with the newest log; empty: none can be chosen safely. A majority of the listed members must have answered, or
+// the minority side of a network partition could promote an outdated member and lose acknowledged writes. With synchronous replicas
+// all must have answered, since any one of them may hold the newest commit.
 std::optional<std::string> chooseSuccessor(const std::vector<MemberFinding>& replicas, unsigned synchronousReplicas, size_t listedMembers);
 
 }
--- a/src/decisions/watching.cpp
+++ b/src/decisions/watching.cpp
@@ -5,7 +5,7 @@
 namespace alderward::decisions {
 
 static constexpr double kInitialRetryMs = 225;
-static constexpr double kMaxRetryMs = 1000; // how late the store's return may be noticed
+static constexpr double kMaxRetryMs = 1000; // bounds the time to notice that the store is back
 static constexpr unsigned kMaxDoublings = 10;
 
 std::vector<std::string> chooseWatchers(const std::vector<WatcherHost>& ranked)
@@ -42,7 +42,7 @@
 
 ReportedChange applyReportedChange(const ReportedChange& reported, uint64_t revision, uint64_t knownRevision, TimePoint now)
 {
-    if (reported.revision > knownRevision) // the one that is missing already counts
+    if (reported.revision > knownRevision) // keeps the time of the first missing change
         return reported;
     return revision > knownRevision ? ReportedChange { revision, now } : ReportedChange {};
 }
--- a/src/decisions/watching.h
+++ b/src/decisions/watching.h
@@ -1,5 +1,5 @@
-// How a host follows the platform's store at a price that grows with data centres and changes, not with hosts: a few hosts of each data
-// centre look often, the others hold one long watch and hear from the rest, with pings that are sent anyway, that something changed.
+// How hosts follow changes in the platform's store. A few hosts of each data centre, the watchers, poll often; the others keep one
+// long watch and learn of changes from pings. So the load on the store grows with data centres and changes, not with hosts.
 #pragma once
 #include "decisions/freshness.h"
 #include <string>
@@ -7,42 +7,41 @@
 
 namespace alderward::decisions {
 
-// Hosts of a data centre that look often: one may be frozen or cut off from the store while another finds a watch that has fallen silent.
+// More than one, as a watcher may be frozen or cut off from the store.
 inline constexpr size_t kWatchersPerDataCentre = 2;
 
-// A usable host as another sees it.
+// A reachable host that may be a watcher.
 struct WatcherHost {
     std::string name {};
-    bool hasStore { true }; // as it says itself
+    bool hasStore { true }; // receives changes from the store, as it reports itself
     friend bool operator==(const WatcherHost&, const WatcherHost&) = default;
 };
 
-// Whether `self` is one of the watchers. `ranked`: the usable hosts of its data centre, in an order that all agree on. One that has lost the store
-// answers the others and hears of nothing: it is passed over while there are others.
+// Whether `self` is a watcher. `ranked`: the reachable hosts of its data centre, in an order that all hosts agree on. Hosts that have
+// lost the store are chosen only if there are too few others.
 bool isWatcher(const std::string& self, const std::vector<WatcherHost>& ranked);
 std::vector<std::string> chooseWatchers(const std::vector<WatcherHost>& ranked);
 
-// The pause after a watch that answered, before the next. Changes that come in a row, as when all hosts start, are taken together: `wasAtOnce`,
-// they stood ready when the watch was sent. Members that register within five seconds of a start cost each host five calls in place of twenty.
+// The pause between the answer of a watch and the next one. It doubles while `hadPendingChanges`, that is while changes were already
+// waiting when the watch was sent, so that bursts are read in batches.
 milliseconds getWatchPause(milliseconds previous, bool hadPendingChanges);
 inline constexpr milliseconds kMinWatchPause { 250 };
 inline constexpr milliseconds kMaxWatchPause { 1000 };
 
-// The pause after `failures` failed calls in a row, spread by `random` in [0, 1) so that hosts do not come together. A store that turns calls
-// away at once would else be asked four times a second by each host, for nothing.
+// The pause after `failures` consecutive failed calls: exponential backoff with jitter from `random` in [0, 1).
 milliseconds getRetryPause(unsigned failures, double random);
 
-// What others have said of changes in the store that this host has not seen.
+// The newest change reported by other hosts that this host has not received.
 struct ReportedChange {
-    uint64_t revision { 0 }; // revision; 0: none
-    TimePoint at {}; // when it was first heard of
+    uint64_t revision { 0 }; // 0: none
+    TimePoint at {}; // when a missing change was first reported
     friend bool operator==(const ReportedChange&, const ReportedChange&) = default;
 };
 
-// A watch brings changes within tens of ms and the longest pause: one that others know for longer shows that ours has fallen silent.
+// A change that other hosts have reported for this long should have arrived: the watch has failed. Must exceed kMaxWatchPause.
 inline constexpr milliseconds kSilentWatchThreshold { 1500 };
 
-// Another host knows of `change`; `seen` is the newest that this host knows.
+// Another host knows `revision`; `knownRevision` is the newest that this host knows.
 ReportedChange applyReportedChange(const ReportedChange& reported, uint64_t revision, uint64_t knownRevision, TimePoint now);
 bool isWatchSilent(const ReportedChange& reported, uint64_t knownRevision, TimePoint now);
 
