--- a/src/decisions/choice.h
+++ b/src/decisions/choice.h
@@ -50,7 +50,7 @@
     double roundTripMs { 0 }; // including the forwarding host
     unsigned queued { 0 }; // statements waiting or running at the member
     unsigned slots { 1 }; // statements it runs at once
-    double statementMs { 10 }; // usual execution time of one statement
+    double statementMs { 10 }; // typical time of one statement
 };
 
 inline constexpr milliseconds kBehindCooldown { 100 }; // reads avoid a replica for this long after a report that it is behind
--- a/src/gateway/cluster_view.cpp
+++ b/src/gateway/cluster_view.cpp
@@ -66,7 +66,7 @@
     group.shownTerm = std::max(group.shownTerm, term);
 }
 
-// The order of decisions::rankCarriers().
+// The order of decisions::rankForwarders().
 static void insertHost(const ClusterView& view, const std::string& key, Ranking& ranking, const std::string& host)
 {
     auto rank = [&](const std::string& name) { return std::tuple(view.hosts.at(name).dataCentre == ranking.dataCentre, decisions::getHostWeight(key, name), name); };
--- a/tests/unit/entries_test.cpp
+++ b/tests/unit/entries_test.cpp
@@ -1,4 +1,4 @@
-// What other writers may put into the store or send: refused whole, never used in part, and no input ends the program.
+// Invalid entries of the store and invalid messages are refused as a whole, and no input crashes the process.
 #include "decisions/succession.h"
 #include "platform/adapter.h"
 #include "platform/entries.h"
@@ -35,7 +35,7 @@
     return platform::readConfiguration(json::serialize(configuration)).has_value();
 }
 
-// What a checked member promises to all who use it.
+// The invariants of a parsed member.
 bool isWhole(const links::ListedMember& it)
 {
     return !it.id.empty() && !it.group.empty() && !it.address.empty() && !it.dataCentre.empty() && it.slots > 0;
@@ -72,14 +72,14 @@
     return text;
 }
 
-constexpr int kChanges = 20000; // of each input; a second or two in all
+constexpr int kChanges = 20000; // mutations of each input
 constexpr unsigned kSeeds[] { 1, 2, 3 };
 
 }
 
 BOOST_AUTO_TEST_SUITE(entries)
 
-BOOST_AUTO_TEST_CASE(a_whole_entry_is_read_field_by_field)
+BOOST_AUTO_TEST_CASE(all_fields_of_a_valid_entry_are_parsed)
 {
     auto member = platform::readMemberEntry("m1", json::serialize(makeEntry()));
     BOOST_REQUIRE(member.has_value());
@@ -87,13 +87,13 @@
     BOOST_TEST((*member == expected));
     auto older = makeEntry();
     older.erase("born");
-    BOOST_TEST(isRead(older)); // not all members say it
+    BOOST_TEST(isRead(older)); // optional
     auto newer = makeEntry();
     newer["something"] = json::object { { "new", nullptr } };
     BOOST_TEST(isRead(newer));
 }
 
-BOOST_AUTO_TEST_CASE(a_field_that_is_missing_or_of_another_type_names_no_member)
+BOOST_AUTO_TEST_CASE(entries_with_a_missing_or_mistyped_field_are_refused)
 {
     for (auto* name : { "Service", "Address", "Zone", "Version", "Slots", "State", "ColdLeftMs", "DbRole", "Sequence" }) {
         auto entry = makeEntry();
@@ -111,7 +111,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(words_and_ranges_that_are_not_known_name_no_member)
+BOOST_AUTO_TEST_CASE(entries_with_unknown_values_or_values_out_of_range_are_refused)
 {
     auto with = [](std::string_view name, json::value value) {
         auto entry = makeEntry();
@@ -130,7 +130,7 @@
         BOOST_TEST(!with("Address", address), address);
 }
 
-BOOST_AUTO_TEST_CASE(bytes_that_are_no_entry_name_no_member)
+BOOST_AUTO_TEST_CASE(malformed_entries_are_refused)
 {
     for (auto& text : { std::string(), std::string("x"), std::string("null"), std::string("[]"), std::string("\xff\xfe\0", 3), nest(10000), "{\"Service\":" + nest(10000) + "}", std::string(1 << 20, '{'), std::string("{\"Slots\":99999999999999999999999999}"), std::string(1 << 20, ' ') })
         BOOST_TEST(!platform::readMemberEntry("m1", text).has_value());
@@ -138,8 +138,8 @@
     BOOST_TEST(platform::readMemberEntry(std::string(200, 'k'), json::serialize(makeEntry())).has_value());
 }
 
-// A version that fails in one field stays out as a whole: half of its routes would be handled as no version ever said.
-BOOST_AUTO_TEST_CASE(a_configuration_is_taken_whole_or_not_at_all)
+// Guards against applying some routes of an invalid configuration.
+BOOST_AUTO_TEST_CASE(a_configuration_with_one_invalid_field_is_refused_as_a_whole)
 {
     BOOST_REQUIRE(isInForce(makeConfiguration()));
     for (auto* name : { "Version", "Routes", "Services", "Limits" }) {
@@ -161,7 +161,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(no_change_of_an_entry_is_used_in_part)
+BOOST_AUTO_TEST_CASE(mutated_entries_are_refused_or_parsed_completely)
 {
     auto entry = json::serialize(makeEntry());
     auto configuration = json::serialize(makeConfiguration());
@@ -178,10 +178,10 @@
             decisions::parseCoordinatorRecord(change(succession, random));
         }
     }
-    BOOST_TEST(refused > kChanges); // most of three times as many
+    BOOST_TEST(refused > kChanges); // the majority over all seeds
 }
 
-BOOST_AUTO_TEST_CASE(no_message_of_a_caller_or_a_target_ends_the_program)
+BOOST_AUTO_TEST_CASE(no_message_of_a_caller_or_a_target_crashes_the_process)
 {
     auto codec = platform::makeLineCodec();
     const std::vector<std::string> lines { "CONNECT lepu u3\r\n", "QUERY 5c0e AFTER 3.12 READ 1a4\r\n", "QUERY 5c0e EXECUTE s1 1a4 xkq\r\n", "ROW replica 3 3.1209 0 12 2 17\r\n", "COMPLETE 7.1f3.c.2b\r\n", "ERROR READONLY i-7\r\n", "READY T 3.1209\r\n" };
--- a/tests/unit/gateway_decisions_test.cpp
+++ b/tests/unit/gateway_decisions_test.cpp
@@ -1,4 +1,4 @@
-// The gateway's decisions: freshness, choice, succession, sessions' connections; the line protocol; what is documented.
+// Decisions of the gateway (read floors, choice of members, promotions, connections), the line protocol, and documentation checks.
 #include "base/families.h"
 #include "base/settings.h"
 #include "decisions/choice.h"
@@ -42,7 +42,7 @@
 
 BOOST_AUTO_TEST_SUITE(freshness)
 
-BOOST_AUTO_TEST_CASE(the_oldest_floor_that_is_young_enough_is_taken)
+BOOST_AUTO_TEST_CASE(the_oldest_floor_within_the_maximum_age_is_used)
 {
     FloorHistory history;
     for (int i = 0; i <= 20; ++i)
@@ -53,24 +53,24 @@
     BOOST_TEST((getFloor(history, milliseconds(0), at(2000)) == Mark { 1, 120 }));
 }
 
-BOOST_AUTO_TEST_CASE(floors_that_come_late_or_close_together_lower_nothing)
+BOOST_AUTO_TEST_CASE(late_or_closely_spaced_floors_never_lower_the_required_position)
 {
     FloorHistory history;
     history = addFloor(std::move(history), { { 1, 100 }, at(0) });
     history = addFloor(std::move(history), { { 1, 200 }, at(1000) });
-    history = addFloor(std::move(history), { { 1, 150 }, at(1200) }); // less than an older one says
+    history = addFloor(std::move(history), { { 1, 150 }, at(1200) }); // below an older one
     BOOST_TEST((getFloor(history, milliseconds(0), at(1000)) == Mark { 1, 200 }));
     BOOST_TEST(!getFloor(history, milliseconds(0), at(1100)));
-    history = addFloor(std::move(history), { { 1, 160 }, at(500) }); // late, in between
+    history = addFloor(std::move(history), { { 1, 160 }, at(500) }); // arrives late, between the others
     BOOST_TEST((getFloor(history, milliseconds(600), at(1000)) == Mark { 1, 160 }));
     for (int i = 0; i < 2000; ++i)
         history = addFloor(std::move(history), { { 1, static_cast<uint64_t>(300 + i) }, at(2000 + i) });
     BOOST_TEST(history.floors.size() < 60u);
-    // The newest is always there, however close the one before.
+    // The newest is always kept, however close the previous one.
     BOOST_TEST((history.floors.back() == Floor { { 1, 2299 }, at(3999) }));
 }
 
-BOOST_AUTO_TEST_CASE(a_session_sees_its_own_commit_and_a_new_term_covers_the_old_one)
+BOOST_AUTO_TEST_CASE(read_your_writes_covers_the_sessions_commit_and_newer_terms_cover_older_ones)
 {
     FloorHistory history;
     history = addFloor(std::move(history), { { 1, 100 }, at(0) });
@@ -81,7 +81,7 @@
     BOOST_TEST((getReadMark(makeRoute(Consistency::ReadYourWrites, 2500), history, { 1, 130 }, at(3001)) == Mark { 2, 90 }));
 }
 
-BOOST_AUTO_TEST_CASE(pings_come_often_enough_for_the_least_stated_age)
+BOOST_AUTO_TEST_CASE(the_ping_interval_follows_the_lowest_maximum_age)
 {
     BOOST_TEST(getPingInterval(milliseconds(1500)).count() == 750);
     BOOST_TEST(getPingInterval(milliseconds(100)).count() == 250);
@@ -94,7 +94,7 @@
 
 BOOST_AUTO_TEST_SUITE(choice)
 
-BOOST_AUTO_TEST_CASE(lead_goes_by_term_and_by_what_the_member_itself_shows)
+BOOST_AUTO_TEST_CASE(newer_terms_and_the_members_own_proof_decide_who_is_primary)
 {
     KnownPrimary lead = applyPrimaryListing({}, "a");
     BOOST_TEST((lead == KnownPrimary { "a", 0, false }));
@@ -110,9 +110,8 @@
     BOOST_TEST((applyPrimaryReport(lead, "b", 3) == KnownPrimary { "b", 3, false }));
 }
 
-// Found at the bench (sahyog-uw, scale-2, seed 11): a split healed while a deputy, which knew no primary, gathered evidence. It was told of the one that
-// the other side had made in term 2, and ordered the old one all the same: commits of term 1 came back and those of term 2 were lost.
-BOOST_AUTO_TEST_CASE(evidence_is_void_once_another_primary_or_a_newer_term_is_known)
+// Guards against a promotion ordered on outdated evidence after a network partition heals: it would lose the commits of the newer term.
+BOOST_AUTO_TEST_CASE(evidence_is_superseded_by_another_primary_or_a_newer_term)
 {
     KnownPrimary none { "", 1, false };
     KnownPrimary old { "a", 1, true };
@@ -121,11 +120,11 @@
     BOOST_TEST(isSuperseded(old, { "a", 2, true }));
     BOOST_TEST(isSuperseded(old, { "", 2, false }));
     BOOST_TEST(!isSuperseded(old, old));
-    BOOST_TEST(!isSuperseded(old, { "", 1, false })); // it said itself that it does not lead
+    BOOST_TEST(!isSuperseded(old, { "", 1, false })); // denied by the member itself
     BOOST_TEST(!isSuperseded(none, none));
 }
 
-BOOST_AUTO_TEST_CASE(reads_avoid_the_leader_the_busy_the_far_and_those_that_were_seen_behind)
+BOOST_AUTO_TEST_CASE(reads_avoid_the_primary_and_busy_distant_or_lagging_members)
 {
     std::vector<Candidate> candidates(3);
     candidates[0].isPrimary = true;
@@ -142,10 +141,10 @@
     BOOST_TEST((*chooseReadMember(candidates, { 1, 10 }) == 1u));
     candidates[1].positionAge = milliseconds(200); // it may have caught up
     BOOST_TEST((*chooseReadMember(candidates, { 1, 11 }) == 1u));
-    candidates[1].isFarBehind = true; // its carrier tells all when it has
+    candidates[1].isFarBehind = true; // its forwarder reports when it has caught up
     BOOST_TEST((*chooseReadMember(candidates, { 1, 11 }) == 2u));
     candidates[1] = {};
-    candidates[1].positionAge = milliseconds(20); // all that is known is that it was behind
+    candidates[1].positionAge = milliseconds(20); // position unknown, but it was behind
     candidates[1].wasBehind = true;
     BOOST_TEST((*chooseReadMember(candidates, { 1, 11 }) == 2u));
     candidates[1].wasBehind = false;
@@ -155,7 +154,7 @@
     BOOST_TEST(!chooseReadMember(candidates, {}));
 }
 
-BOOST_AUTO_TEST_CASE(carriers_stand_in_the_members_data_centre_and_all_hosts_agree_on_them)
+BOOST_AUTO_TEST_CASE(forwarders_are_in_the_members_data_centre_and_do_not_depend_on_host_order)
 {
     std::vector<ForwarderHost> hosts { { "a1", "a" }, { "a2", "a" }, { "b1", "b" } };
     auto ranked = rankForwarders("m", "a", hosts);
@@ -164,14 +163,14 @@
     BOOST_TEST(ranked[2] == "b1");
     std::ranges::reverse(hosts);
     BOOST_TEST((rankForwarders("m", "a", hosts) == ranked));
-    // One that goes moves nothing but what it carried.
+    // Removing a host keeps the order of the others.
     std::erase_if(hosts, [&](const ForwarderHost& it) { return it.name == ranked[0]; });
     BOOST_TEST(rankForwarders("m", "a", hosts)[0] == ranked[1]);
     BOOST_TEST(rankForwarders("m", "c", hosts).size() == 2u);
 }
 
-// The ranking is kept between statements; what it is made from may change under it.
-BOOST_AUTO_TEST_CASE(the_ranking_that_is_kept_follows_hosts_and_members)
+// Guards against cached rankings that do not follow changes of hosts and members.
+BOOST_AUTO_TEST_CASE(cached_rankings_follow_hosts_and_members)
 {
     gateway::ClusterView view;
     for (auto* name : { "a1", "a2", "b1" })
@@ -189,12 +188,12 @@
     BOOST_TEST(getCarriers(view, member)[0] == before[1]);
     takeHost(view, { before[0], "", "a", 2 });
     BOOST_TEST((getCarriers(view, member) == before));
-    takeHost(view, { before[0], "", "a", 3 }); // started anew
+    takeHost(view, { before[0], "", "a", 3 }); // restarted
     BOOST_TEST((getCarriers(view, member) == before));
-    takeHost(view, { before[0], "", "c", 4 }); // in another data centre now
+    takeHost(view, { before[0], "", "c", 4 }); // moved to another data centre
     BOOST_TEST(getCarriers(view, member)[0] == before[1]);
     takeHost(view, { before[0], "", "a", 5 });
-    // Whatever came and went, the order is the one that a host makes that sees it for the first time.
+    // After any sequence of changes, cached rankings equal newly computed ones.
     for (int i = 0; i < 300; ++i) {
         auto name = "h" + std::to_string(i * 7 % 40);
         if (view.hosts.contains(name) && i % 3 == 0)
@@ -211,7 +210,7 @@
         if (name.starts_with("h"))
             dropHost(view, name);
     }
-    listed.dataCentre = "b"; // an address or a data centre may be given to another process under the same id
+    listed.dataCentre = "b"; // another process may register under the same id
     takeMember(view, listed, 1, {}, {});
     BOOST_TEST(getCarriers(view, member)[0] == "b1");
     BOOST_TEST(getRankedHosts(view, "g").size() == 3u);
@@ -226,7 +225,7 @@
     return { { { "h1", 1 }, "a" }, { { "h2", 2 }, "a" }, { { "h3", 3 }, "b" }, { { "h4", 4 }, "c" } };
 }
 
-BOOST_AUTO_TEST_CASE(deputies_stand_in_other_data_centres_and_tokens_never_meet)
+BOOST_AUTO_TEST_CASE(standbys_are_in_other_data_centres_and_fencing_tokens_never_overlap)
 {
     auto first = makeCoordinatorRecord({}, makeRanked());
     BOOST_REQUIRE(first.coordinators.size() == kCoordinatorCount);
@@ -246,7 +245,7 @@
     BOOST_TEST(!getFencingToken(first, 0, kTokensPerCoordinator));
 }
 
-BOOST_AUTO_TEST_CASE(a_restarted_process_is_not_the_one_in_the_record)
+BOOST_AUTO_TEST_CASE(a_restarted_process_does_not_match_the_record)
 {
     auto record = makeCoordinatorRecord({}, makeRanked());
     BOOST_TEST(*findRank(record, { "h1", 1 }) == 0u);
@@ -257,38 +256,38 @@
     BOOST_TEST(isCoordinatorRecordDue({}, { { { "h1", 1 } } }));
 }
 
-BOOST_AUTO_TEST_CASE(a_record_that_names_nobody_who_can_act_is_renewed_and_not_while_nobody_can)
+BOOST_AUTO_TEST_CASE(a_record_is_renewed_if_only_hosts_outside_it_can_act)
 {
     auto record = makeCoordinatorRecord({}, makeRanked());
     std::vector<LiveCandidate> live { { { "h1", 1 }, false }, { { "h2", 2 }, true }, { { "h3", 3 }, false }, { { "h4", 4 }, false } };
     BOOST_TEST(isCoordinatorRecordDue(record, live));
-    live[3].canAct = true; // a deputy can: it acts in the holder's place, and the record stays
+    live[3].canAct = true; // a standby in the record can act: the record stays
     BOOST_TEST(!isCoordinatorRecordDue(record, live));
     live[1].canAct = false;
-    live[3].canAct = false; // the store is away for all, and nobody could write
+    live[3].canAct = false; // no host has the store, so none could write the record
     BOOST_TEST(!isCoordinatorRecordDue(record, live));
 }
 
-// A holder that answers and cannot act kept two deputies that could from acting: a leaving primary was not handed over for ten seconds.
-BOOST_AUTO_TEST_CASE(those_who_can_act_come_first_then_the_order_of_the_record)
+// Guards against a first coordinator that answers but cannot act and blocks the standbys.
+BOOST_AUTO_TEST_CASE(coordinators_that_can_act_come_first_then_by_rank)
 {
     BOOST_TEST((rankUsableCoordinators({ { true, true }, { true, true }, { true, true } }) == std::vector<size_t> { 0, 1, 2 }));
     BOOST_TEST((rankUsableCoordinators({ { true, false }, { true, true }, { true, true } }) == std::vector<size_t> { 1, 2, 0 }));
-    BOOST_TEST((rankUsableCoordinators({ { true, false }, { true, false }, { true, false } }) == std::vector<size_t> { 0, 1, 2 })); // one of them still tries
+    BOOST_TEST((rankUsableCoordinators({ { true, false }, { true, false }, { true, false } }) == std::vector<size_t> { 0, 1, 2 })); // none can act: all still try
     BOOST_TEST((rankUsableCoordinators({ { false, true }, { true, false }, { false, true } }) == std::vector<size_t> { 1 }));
     BOOST_TEST(rankUsableCoordinators({}).empty());
 }
 
-BOOST_AUTO_TEST_CASE(what_a_task_needs_decides_who_can_do_it)
+BOOST_AUTO_TEST_CASE(only_checking_a_primary_works_without_the_store)
 {
     for (auto task : { PromotionTask::HandOver, PromotionTask::CheckPrimary, PromotionTask::FindPrimary }) {
         BOOST_TEST(canPerform({ true, true }, task));
         BOOST_TEST(!canPerform({ true, false }, task));
-        BOOST_TEST(canPerform({ false, true }, task) == (task == PromotionTask::CheckPrimary)); // members themselves show that a primary is dead
+        BOOST_TEST(canPerform({ false, true }, task) == (task == PromotionTask::CheckPrimary)); // needs answers of members only
     }
 }
 
-BOOST_AUTO_TEST_CASE(the_record_survives_its_text_and_bad_text_is_refused)
+BOOST_AUTO_TEST_CASE(coordinator_records_survive_formatting_and_malformed_ones_are_refused)
 {
     auto record = makeCoordinatorRecord({}, makeRanked());
     BOOST_TEST((parseCoordinatorRecord(formatCoordinatorRecord(record)) == record));
@@ -296,7 +295,7 @@
         BOOST_TEST(!parseCoordinatorRecord(text), text);
 }
 
-BOOST_AUTO_TEST_CASE(the_member_that_holds_most_succeeds_and_a_synchronous_commit_is_never_passed_over)
+BOOST_AUTO_TEST_CASE(the_member_with_the_newest_log_succeeds_and_synchronous_commits_are_kept)
 {
     std::vector<MemberFinding> found { { "b", true, false, 1, { 1, 10 } }, { "c", true, false, 1, { 1, 12 } } };
     BOOST_TEST(*chooseSuccessor(found, 0, 3) == "c");
@@ -306,28 +305,26 @@
     found[0].received = { 1, 12 };
     BOOST_TEST(*chooseSuccessor(found, 1, 3) == "b");
     found[1].wasReached = false;
-    BOOST_TEST(*chooseSuccessor(found, 0, 1) == "b"); // the others are gone from the list
+    BOOST_TEST(*chooseSuccessor(found, 0, 1) == "b"); // the others are no longer listed
     BOOST_TEST(!chooseSuccessor(found, 1, 1));
     BOOST_TEST(!chooseSuccessor({}, 0, 0));
 }
 
-// Found at the bench: on the small side of a split a deputy reached only the old primary and promoted it; what the new one had
-// acknowledged meanwhile was taken back, and reads missed it.
-BOOST_AUTO_TEST_CASE(nobody_is_chosen_by_whoever_reaches_no_majority)
+// Guards against a promotion on the minority side of a network partition, which would lose writes acknowledged by the new primary.
+BOOST_AUTO_TEST_CASE(no_successor_is_chosen_without_a_majority)
 {
     std::vector<MemberFinding> found { { "old", true, false, 1, { 1, 10 } }, { "new", false, false, 0, {} }, { "other", false, false, 0, {} } };
     BOOST_TEST(!chooseSuccessor(found, 0, 3));
     BOOST_TEST(!chooseSuccessor(found, 0, 2));
     found[2].wasReached = true;
-    BOOST_TEST(!chooseSuccessor(found, 0, 3)); // it told no status
+    BOOST_TEST(!chooseSuccessor(found, 0, 3)); // it reported no status
     found[2].term = 1;
     BOOST_TEST(chooseSuccessor(found, 0, 3).has_value());
 }
 
-// Found at the bench (sahyog-uw, scale-2, seed 11): as a split healed, the new primary of the other side took no further connection. It counted as
-// reached, and the old primary, the only one of which anything was known, was promoted: 629 reads had missed what came back. On the code before,
-// the first of these checks fails.
-BOOST_AUTO_TEST_CASE(members_that_live_but_tell_no_status_count_for_no_majority)
+// Guards against counting a busy member, whose log is unknown, towards the majority: it may be the new primary of the other side
+// of a partition.
+BOOST_AUTO_TEST_CASE(members_without_a_status_do_not_count_towards_the_majority)
 {
     MemberFinding old { "a", true, false, 1, { 1, 75 }, true };
     MemberFinding busy { "b", true, false, 0, {}, true };
@@ -337,27 +334,26 @@
     BOOST_TEST(!chooseSuccessor({ old, busy, replica }, 1, 3)); // it may hold a commit that no other has
 }
 
-BOOST_AUTO_TEST_CASE(members_that_know_a_newer_term_show_a_primary_that_is_not_known_here)
+BOOST_AUTO_TEST_CASE(a_newer_term_reported_by_members_reveals_an_unknown_primary)
 {
     MemberFinding old { "a", true, false, 1, { 1, 90 }, true };
     MemberFinding replica { "b", true, false, 2, { 1, 50 }, true };
     MemberFinding unreached { "c", false, false, 9, {}, true };
     BOOST_TEST((findNewerTerm({ old, replica, unreached }, 1) == std::optional<uint64_t>(2)));
     BOOST_TEST((findNewerTerm({ old, { "b", true, false, 0, { 2, 60 }, true } }, 1) == std::optional<uint64_t>(2)));
-    BOOST_TEST(!findNewerTerm({ old, replica, unreached }, 2)); // looked at again with that in mind
+    BOOST_TEST(!findNewerTerm({ old, replica, unreached }, 2)); // the term is already known
     BOOST_TEST(!findNewerTerm({ old, unreached }, 1));
     BOOST_TEST(!findNewerTerm({}, 0));
 }
 
-// Found at the bench (phewa-huts, scale-2): two of nine hosts, cut off together with two of three members, made one of these the primary;
-// the other seven hosts, which still reached the old one, had none for six seconds.
-BOOST_AUTO_TEST_CASE(a_host_that_has_lost_most_others_takes_no_primary_for_dead)
+// Guards against a few isolated hosts that replace a primary which most hosts still reach.
+BOOST_AUTO_TEST_CASE(a_host_that_has_lost_most_others_declares_no_primary_dead)
 {
     BOOST_TEST(!canJudgePrimary({ .answering = 1, .lost = 7 }));
     BOOST_TEST(!canJudgePrimary({ .answering = 0, .lost = 2 }));
     BOOST_TEST(canJudgePrimary({ .answering = 0, .lost = 0 })); // the only host
-    BOOST_TEST(!canJudgePrimary({ .answering = 0, .lost = 1 })); // one of two: the other may reach it
-    BOOST_TEST(!canJudgePrimary({ .answering = 3, .lost = 4 })); // four of eight
+    BOOST_TEST(!canJudgePrimary({ .answering = 0, .lost = 1 })); // one of two hosts: the other may reach the primary
+    BOOST_TEST(!canJudgePrimary({ .answering = 3, .lost = 4 })); // four of eight hosts, this one included
     BOOST_TEST(canJudgePrimary({ .answering = 4, .lost = 4 }));
     BOOST_TEST(canJudgePrimary({ .answering = 6, .lost = 2 }));
 }
@@ -366,7 +362,7 @@
 
 BOOST_AUTO_TEST_SUITE(connections)
 
-BOOST_AUTO_TEST_CASE(a_connection_is_reset_only_for_values_that_the_session_lacks)
+BOOST_AUTO_TEST_CASE(a_connection_is_reset_only_to_remove_values_that_the_session_lacks)
 {
     ConnectionState connection { { { "zone", "a" } }, {} };
     BOOST_TEST(planConnection(connection, { { "zone", "a" } }, {}).getCost() == 0u);
@@ -378,7 +374,7 @@
     BOOST_TEST(planConnection(connection, { { "zone", "b" }, { "lang", "mn" } }, PreparedShape { "q", false }).getCost() == 0u);
     plan = planConnection(connection, { { "lang", "mn" } }, PreparedShape { "q", false });
     BOOST_TEST(plan.mustReset);
-    BOOST_TEST(plan.mustPrepare); // a reset forgets them
+    BOOST_TEST(plan.mustPrepare); // a reset drops prepared statements
     connection = applyPlan(connection, plan, PreparedShape { "q", false });
     BOOST_TEST((connection.values == SessionValues { { "lang", "mn" } }));
     BOOST_TEST(nameShape({ "q", false }) != nameShape({ "q", true }));
@@ -388,7 +384,7 @@
 
 BOOST_AUTO_TEST_SUITE(line_protocol)
 
-BOOST_AUTO_TEST_CASE(callers_messages_are_read_into_statements)
+BOOST_AUTO_TEST_CASE(messages_of_callers_are_parsed_into_statements)
 {
     auto codec = platform::makeLineCodec();
     auto parse = [&](const std::string& text) { return std::get<Statement>(codec->parseCaller(text)); };
@@ -410,7 +406,7 @@
     BOOST_TEST(std::get<links::OpenSession>(codec->parseCaller("CONNECT db who")).database == "db");
 }
 
-BOOST_AUTO_TEST_CASE(statements_reach_targets_unchanged_but_for_mark_and_prepared_name)
+BOOST_AUTO_TEST_CASE(statements_are_forwarded_unchanged_except_for_mark_and_prepared_name)
 {
     auto codec = platform::makeLineCodec();
     auto statement = std::get<Statement>(codec->parseCaller("QUERY 5c READ  odd  blanks "));
@@ -420,7 +416,7 @@
     BOOST_TEST(codec->formatStatement(statement, {}, "w_q2c") == "QUERY 5c EXECUTE w_q2c 1a4 data with blanks\r\n");
 }
 
-BOOST_AUTO_TEST_CASE(targets_answers_are_read_and_promises_keep_their_words)
+BOOST_AUTO_TEST_CASE(answers_of_targets_are_parsed_and_retryable_errors_keep_their_codes)
 {
     auto codec = platform::makeLineCodec();
     auto ready = std::get<links::ReadyMessage>(codec->parseTarget("READY T 3.1207"));
@@ -433,7 +429,7 @@
     auto status = codec->parseStatus("replica 3 3.1209 0 12 2 17");
     BOOST_TEST((status == links::TargetStatus { false, 3, { 3, 1209 }, milliseconds(12) }));
     BOOST_TEST(!codec->parseStatus("leader 3"));
-    // A kind that promises nothing must never be sent as a word that does.
+    // A code that promises that the statement did not run may be sent only for errors that guarantee it.
     for (auto& row : getErrorTable()) {
         auto text = codec->formatError({ row.kind, "x" });
         bool promises = text.starts_with("ERROR BUSY") || text.starts_with("ERROR ABORTED") || text.starts_with("ERROR LAGGING") || text.starts_with("ERROR READONLY") || text.starts_with("ERROR WRONGNODE") || text.starts_with("ERROR OVERLOAD");
@@ -441,7 +437,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(messages_are_split_and_bad_ones_found)
+BOOST_AUTO_TEST_CASE(messages_are_split_and_malformed_ones_detected)
 {
     BOOST_TEST(links::splitLine("READ", 0).size == 0u);
     auto line = links::splitLine("READ x\r\nmore", 0);
@@ -459,7 +455,7 @@
 
 BOOST_AUTO_TEST_SUITE(pages)
 
-BOOST_AUTO_TEST_CASE(every_metric_is_documented_and_named_after_the_conventions)
+BOOST_AUTO_TEST_CASE(every_metric_is_documented_and_follows_naming_conventions)
 {
     auto page = readPage("docs/METRICS.md");
     for (auto& it : base::getFamilies()) {
@@ -475,7 +471,7 @@
     BOOST_TEST(text.find("alderward_store_seconds_bucket{call=\"get\",le=\"+Inf\"} 1") != std::string::npos);
 }
 
-BOOST_AUTO_TEST_CASE(every_log_event_is_documented_and_every_documented_one_exists)
+BOOST_AUTO_TEST_CASE(log_events_in_code_and_documentation_match)
 {
     std::set<std::string> inCode;
     for (auto* folder : { "src", "platform" }) {
@@ -508,7 +504,7 @@
     BOOST_TEST(inCode.size() > 20u);
 }
 
-BOOST_AUTO_TEST_CASE(gateway_settings_are_checked_and_documented)
+BOOST_AUTO_TEST_CASE(gateway_settings_are_validated_and_documented)
 {
     auto page = readPage("docs/OPERATIONS.md");
     for (auto& it : base::getGatewaySettingTable())
--- a/tests/unit/lead_terms_test.cpp
+++ b/tests/unit/lead_terms_test.cpp
@@ -1,4 +1,4 @@
-// Terms that follow from orders against terms that members show.
+// Which primary a host believes in when ordered promotions and the terms that members prove disagree.
 #include "gateway/cluster_view.h"
 #include "gateway/status_exchange.h"
 #include <boost/test/unit_test.hpp>
@@ -22,21 +22,21 @@
 
 BOOST_AUTO_TEST_SUITE(lead_terms)
 
-BOOST_AUTO_TEST_CASE(an_assumed_term_stands_until_its_order_has_had_its_time)
+BOOST_AUTO_TEST_CASE(an_assumed_term_is_kept_until_its_promotion_order_times_out)
 {
     auto group = makeShown("a", 1);
     takeOrderedLead(group, "b", 2, kStart);
-    // The old primary, asked before it was replaced or while it is being replaced.
+    // The old primary, asked before or during its replacement.
     takeShownLead(group, "a", 1, kStart - milliseconds(1), ShownTo::ThisHost);
     BOOST_TEST((group.lead == KnownPrimary { "b", 2, false }));
     takeShownLead(group, "a", 1, group.pendingUntil - milliseconds(1), ShownTo::ThisHost);
     BOOST_TEST((group.lead == KnownPrimary { "b", 2, false }));
-    // It answers after that: the order changed nothing.
+    // Asked after the timeout: the order had no effect.
     takeShownLead(group, "a", 1, group.pendingUntil, ShownTo::ThisHost);
     BOOST_TEST((group.lead == KnownPrimary { "a", 1, true }));
 }
 
-BOOST_AUTO_TEST_CASE(a_term_that_was_shown_gives_way_to_no_older_one)
+BOOST_AUTO_TEST_CASE(a_proven_term_is_never_replaced_by_an_older_one)
 {
     auto group = makeShown("a", 1);
     takeOrderedLead(group, "b", 2, kStart);
@@ -45,13 +45,13 @@
     for (auto shownTo : { ShownTo::ThisHost, ShownTo::AnotherHost })
         takeShownLead(group, "a", 1, kStart + milliseconds(60000), shownTo);
     BOOST_TEST((group.lead == KnownPrimary { "b", 2, true }));
-    takeShownTerm(group, 3); // members know it
+    takeShownTerm(group, 3); // known to members
     takeShownLead(group, "b", 2, kStart + milliseconds(60000), ShownTo::ThisHost);
     BOOST_TEST((group.lead == KnownPrimary { "", 3, false }));
 }
 
-// Ordered as its own successor, and denied after that.
-BOOST_AUTO_TEST_CASE(a_host_that_denied_a_lead_of_a_term_that_was_too_high_believes_its_proof)
+// Guards against a primary that is promoted again and denies the assumed term: its proof of the actual term must still count.
+BOOST_AUTO_TEST_CASE(proof_of_a_lower_term_is_accepted_after_denial_of_a_term_that_was_too_high)
 {
     for (auto shownTo : { ShownTo::ThisHost, ShownTo::AnotherHost }) {
         auto group = makeShown("a", 2);
@@ -62,8 +62,8 @@
     }
 }
 
-// A primary that was replaced without this host: older than any term that a member showed here, it is not believed however late it is asked.
-BOOST_AUTO_TEST_CASE(an_assumed_term_gives_way_to_nothing_older_than_what_was_shown)
+// Guards against trusting a primary that was replaced without this host's knowledge.
+BOOST_AUTO_TEST_CASE(an_assumed_term_is_not_replaced_by_one_older_than_the_proven_term)
 {
     auto group = makeShown("b", 2);
     takeOrderedLead(group, "c", 3, kStart);
@@ -71,8 +71,8 @@
     BOOST_TEST((group.lead == KnownPrimary { "c", 3, false }));
 }
 
-// Two hosts that give an assumed term up at different moments told it to each other again.
-BOOST_AUTO_TEST_CASE(an_assumed_term_that_gave_way_is_taken_from_the_orderer_only)
+// Guards against two hosts that keep reviving a discarded assumed term in each other.
+BOOST_AUTO_TEST_CASE(a_discarded_assumed_term_is_accepted_again_from_a_new_order_only)
 {
     auto group = makeShown("a", 2);
     takeAssumedLead(group, "a", 3, kStart);
@@ -81,11 +81,11 @@
     takeShownLead(group, "a", 2, now, ShownTo::ThisHost);
     takeAssumedLead(group, "a", 3, now);
     BOOST_TEST((group.lead == KnownPrimary { "a", 2, true }));
-    takeOrderedLead(group, "b", 3, now); // the next change of primary
+    takeOrderedLead(group, "b", 3, now); // the next promotion
     BOOST_TEST((group.lead == KnownPrimary { "b", 3, false }));
 }
 
-BOOST_AUTO_TEST_CASE(an_order_is_told_on_while_it_is_pending)
+BOOST_AUTO_TEST_CASE(a_promotion_order_is_passed_on_while_it_is_pending)
 {
     ClusterView view;
     auto& group = view.groups["g"];
@@ -96,14 +96,14 @@
     peer::Pong wire;
     writeGroups(wire, view, false, kStart + milliseconds(500));
     BOOST_TEST(wire.leads_size() == 1);
-    BOOST_TEST((findLeadTimes(wire, kStart).at(0) == std::nullopt)); // told, and not shown
+    BOOST_TEST((findLeadTimes(wire, kStart).at(0) == std::nullopt)); // reported without proof
     group.provenAt = group.pendingUntil;
     peer::Pong later;
     writeGroups(later, view, false, group.pendingUntil);
     BOOST_TEST(later.leads_size() == 0);
 }
 
-BOOST_AUTO_TEST_CASE(a_told_lead_is_shown_by_a_floor_of_its_term)
+BOOST_AUTO_TEST_CASE(a_reported_primary_is_proven_by_a_floor_of_its_term)
 {
     ClusterView view;
     for (auto* name : { "f", "g", "h" }) {
@@ -111,12 +111,12 @@
         view.groups[name].provenAt = kStart;
     }
     view.groups["f"].lead = { "m", 2, true };
-    view.groups["g"].lead = { "n", 3, false }; // ordered just now, and assumed
+    view.groups["g"].lead = { "n", 3, false }; // assumed from a new order
     view.groups["h"].lead = { "o", 2, true };
     peer::Pong wire;
     writeGroups(wire, view, false, kStart);
-    BOOST_TEST(wire.leads_size() == 2); // an assumed term is not told
-    auto& assumed = *wire.add_leads(); // as a host of an older version does
+    BOOST_TEST(wire.leads_size() == 2); // an assumed term is not reported
+    auto& assumed = *wire.add_leads(); // as hosts of an older version send it
     assumed.set_group("h");
     assumed.set_term(3);
     auto times = findLeadTimes(wire, kStart + milliseconds(1000));
--- a/tests/unit/records_test.cpp
+++ b/tests/unit/records_test.cpp
@@ -1,4 +1,4 @@
-// Records and settings: every bad one is refused with its place.
+// Records and settings: invalid ones are refused with the field or line at fault.
 #include "base/settings.h"
 #include "decisions/records.h"
 #include <algorithm>
@@ -38,7 +38,7 @@
 
 BOOST_AUTO_TEST_SUITE(records)
 
-BOOST_AUTO_TEST_CASE(each_bad_field_is_named)
+BOOST_AUTO_TEST_CASE(problems_name_the_invalid_field)
 {
     BOOST_TEST(getField(makeRecord("")) == "good");
     BOOST_TEST(getField(makeRecord(R"(,"slots":0)")) == "slots");
@@ -56,14 +56,14 @@
     BOOST_TEST(getField("[]") == "");
 }
 
-BOOST_AUTO_TEST_CASE(a_fault_of_form_is_given_its_line)
+BOOST_AUTO_TEST_CASE(syntax_errors_name_their_line)
 {
     auto record = parseGroupRecord("g", "{\n \"schema\": 2,\n \"members\": [,]\n}");
     BOOST_TEST(record.error().line == 3u);
     BOOST_TEST(parseGroupRecord("g", makeRecord("") + "}").error().line == 1u);
 }
 
-BOOST_AUTO_TEST_CASE(schema_1_reads_into_the_same_struct)
+BOOST_AUTO_TEST_CASE(schema_1_is_parsed_into_the_current_struct)
 {
     auto record = parseGroupRecord("g", R"({"schema":1,"members":["a=127.0.0.1:1@x"],"staleMs":70,"promote":false})");
     BOOST_REQUIRE(record);
@@ -74,7 +74,7 @@
     BOOST_TEST(getField(R"({"schema":1,"members":["a=127.0.0.1:1@x"],"reads":{}})") == "reads");
 }
 
-BOOST_AUTO_TEST_CASE(envelope_comes_back_and_versions_never_go_back)
+BOOST_AUTO_TEST_CASE(envelopes_survive_formatting_and_older_versions_are_ignored)
 {
     decisions::Envelope envelope { makeRecord(""), { { "id1", "asha", 5, "changed" } } };
     BOOST_TEST((decisions::parseEnvelope(decisions::formatEnvelope(envelope)).value() == envelope));
@@ -93,8 +93,8 @@
 
 BOOST_AUTO_TEST_SUITE(settings)
 
-// Two hosts that differ in one key tell each other one part of 64.
-BOOST_AUTO_TEST_CASE(one_key_differs_in_one_bucket_only)
+// Guards against exchanging whole sets between hosts that differ in one key.
+BOOST_AUTO_TEST_CASE(a_change_of_one_key_changes_one_bucket_only)
 {
     using namespace decisions;
     ValueMap mine;
@@ -113,7 +113,7 @@
     BOOST_TEST(std::ranges::count(findDifferingBuckets(getBucketDigests(mine), {}), true) == static_cast<int>(kBucketCount)); // not comparable
 }
 
-BOOST_AUTO_TEST_CASE(bad_settings_are_refused_with_file_and_line)
+BOOST_AUTO_TEST_CASE(invalid_settings_are_refused_with_file_and_line)
 {
     BOOST_TEST(getProblem(kSettings) == "good");
     BOOST_TEST(getProblem(kSettings + "[health]\nprobe_interval_ms = 5\n").starts_with("f.ini:12: [health] probe_interval_ms"));
@@ -126,7 +126,7 @@
     BOOST_TEST(!base::readSettings("/nowhere/at/all.ini"));
 }
 
-BOOST_AUTO_TEST_CASE(operations_page_lists_every_setting_as_it_is)
+BOOST_AUTO_TEST_CASE(the_operations_page_documents_every_setting)
 {
     std::ifstream file(std::string(ALDERWARD_SOURCE_DIR) + "/docs/OPERATIONS.md");
     std::string page((std::istreambuf_iterator<char>(file)), {});
--- a/tests/unit/relaying_test.cpp
+++ b/tests/unit/relaying_test.cpp
@@ -1,4 +1,4 @@
-// Through whom hosts hear of each other, and at what price.
+// Which hosts exchange state with each other, and what passes through relays.
 #include "decisions/relaying.h"
 #include "decisions/watching.h"
 #include "gateway/partners.h"
@@ -16,7 +16,7 @@
 constexpr milliseconds kQuiet { 750 };
 constexpr size_t kDataCentres = 6;
 
-// A fleet as one of its hosts sees it: hosts spread over data centres, groups of three members.
+// Hosts spread over data centres and groups of three members, as seen by one host.
 struct Fleet {
     boost::asio::io_context context {};
     ClusterView view {};
@@ -64,8 +64,8 @@
 
 BOOST_AUTO_TEST_SUITE(relaying)
 
-// With 20 groups a host had 52 partners at 295 hosts, each pinged every 750 ms at most; 12 now in the middle, and 62 of a relay.
-BOOST_AUTO_TEST_CASE(what_a_host_exchanges_does_not_grow_with_hosts_nor_with_members)
+// Guards against ping traffic per host that grows with the size of the system.
+BOOST_AUTO_TEST_CASE(the_number_of_partners_of_a_host_does_not_grow_with_hosts_or_members)
 {
     for (size_t groups : { size_t { 20 }, size_t { 200 } }) {
         for (size_t count : { size_t { 60 }, size_t { 100 }, size_t { 300 }, size_t { 1000 } }) {
@@ -81,14 +81,14 @@
                 ++looked;
                 sum += partners.size();
             }
-            // Members and groups that a host stands in for are shared among all hosts.
+            // Forwarder and coordinator roles are spread over all hosts.
             auto mean = static_cast<double>(sum) / static_cast<double>(looked);
             BOOST_TEST(mean <= 12 + 12.0 * static_cast<double>(groups) / static_cast<double>(count), "groups " << groups << " hosts " << count << " mean " << mean);
         }
     }
 }
 
-BOOST_AUTO_TEST_CASE(every_host_hears_of_every_member_through_its_relays)
+BOOST_AUTO_TEST_CASE(every_host_learns_of_every_member_through_its_relays)
 {
     Fleet fleet(295, 20);
     std::map<std::string, Partners> chosen;
@@ -110,11 +110,11 @@
                 BOOST_REQUIRE((carrier == relay || chosen.at(relay).contains(carrier)));
             }
         }
-        BOOST_TEST(tellLoads == 1u); // the larger part is asked of one of them
+        BOOST_TEST(tellLoads == 1u); // loads are requested from one relay only
     }
 }
 
-BOOST_AUTO_TEST_CASE(few_hosts_ask_carriers_themselves)
+BOOST_AUTO_TEST_CASE(hosts_of_small_data_centres_exchange_with_forwarders_directly)
 {
     Fleet fleet(9, 3);
     for (size_t i = 0; i < 9; ++i) {
@@ -128,8 +128,8 @@
     BOOST_TEST(one.isRelay(0));
 }
 
-// Hosts may disagree on who relays; who is asked does it.
-BOOST_AUTO_TEST_CASE(a_host_that_is_asked_to_relay_does)
+// Hosts may disagree on which of them are relays, so any host that is asked must relay.
+BOOST_AUTO_TEST_CASE(a_host_that_is_asked_to_relay_exchanges_with_all_forwarders)
 {
     Fleet fleet(295, 20);
     size_t self = 0;
@@ -142,8 +142,8 @@
     }
 }
 
-// An orderer asks the carriers of its groups itself, and knows enough other hosts to tell that it is cut off.
-BOOST_AUTO_TEST_CASE(an_orderer_knows_the_carriers_of_its_groups_and_enough_others)
+// A coordinator needs first-hand evidence on its groups, and enough other partners to detect that it is isolated.
+BOOST_AUTO_TEST_CASE(a_coordinator_exchanges_with_the_forwarders_of_its_groups_and_some_other_hosts)
 {
     Fleet fleet(295, 20);
     size_t self = 0;
@@ -159,7 +159,7 @@
     BOOST_TEST(partners.size() <= 30u);
 }
 
-BOOST_AUTO_TEST_CASE(a_floor_that_passes_over_a_relay_is_no_older)
+BOOST_AUTO_TEST_CASE(a_floor_that_passes_through_a_relay_waits_no_longer)
 {
     auto direct = decisions::getExchangeIntervals(milliseconds(1000), false);
     auto relayed = decisions::getExchangeIntervals(milliseconds(1000), true);
@@ -167,8 +167,8 @@
     BOOST_TEST((decisions::getExchangeIntervals(milliseconds(250), true).relays == decisions::kMinPingInterval));
 }
 
-// What relays that are gone had said stayed in force until others said something else.
-BOOST_AUTO_TEST_CASE(a_host_is_out_of_reach_by_hearsay_while_all_relays_that_answer_say_so)
+// Guards against reports of lost relays staying in force.
+BOOST_AUTO_TEST_CASE(a_host_counts_as_unreachable_only_while_all_answering_relays_report_it)
 {
     using Names = std::set<std::string>;
     BOOST_TEST((decisions::findUnreachableHosts({ { "x", "y" }, { "y", "z" } }) == Names { "y" }));
@@ -177,7 +177,7 @@
     BOOST_TEST(decisions::findUnreachableHosts({}).empty());
 }
 
-BOOST_AUTO_TEST_CASE(those_who_act_hear_a_bounded_number_of_alarms)
+BOOST_AUTO_TEST_CASE(coordinators_receive_a_bounded_rate_of_alarms)
 {
     for (size_t hosts : { size_t { 1 }, size_t { 9 }, size_t { 59 }, size_t { 295 }, size_t { 600 } }) {
         auto interval = std::chrono::duration<double>(decisions::getAlarmInterval(hosts)).count();
@@ -187,15 +187,15 @@
     BOOST_TEST((decisions::getAlarmInterval(100000) == decisions::kMaxAlarmInterval));
 }
 
-// A floor says that it covers what was acknowledged before a moment. Whatever relays it passes over, with clocks that show other times, frozen or late
-// at any point, the moment that a receiver takes it for is never later than the true one.
-BOOST_AUTO_TEST_CASE(a_floor_never_becomes_younger_on_its_way)
+// Guards against stale reads: whatever clocks, delays and frozen relays a floor meets on its way, the time that it covers
+// must never be later than when its primary was asked.
+BOOST_AUTO_TEST_CASE(a_relayed_floor_never_covers_a_later_time)
 {
     std::mt19937 random(17);
     auto any = [&](int most) { return milliseconds(static_cast<int>(random() % static_cast<unsigned>(most + 1))); };
     for (int round = 0; round < 2000; ++round) {
         milliseconds now { 1'000'000 }; // true time
-        auto askedAt = now; // the member was asked then: what was acknowledged before is covered
+        auto askedAt = now; // when the member was asked: covers what was acknowledged before
         now += any(50);
         milliseconds offset = any(100'000);
         ClusterView view;
@@ -206,14 +206,14 @@
         bool isFirst = true;
         for (int hop = 0; hop < 3; ++hop) {
             now += any(900);
-            auto sentAt = now; // of the question
-            now += any(300); // on its way, or the relay is frozen
+            auto sentAt = now; // when the question was sent
+            now += any(300); // network delay or a frozen relay
             peer::Pong pong;
             writeGroups(pong, view, !isFirst, TimePoint(now + offset));
             isFirst = false;
             now += any(400);
             if (pong.floors().empty())
-                break; // too old to be told
+                break; // too old to be passed on
             offset = any(100'000);
             auto provenAt = TimePoint(sentAt + offset) - std::chrono::microseconds(pong.floors(0).age_us());
             BOOST_REQUIRE((provenAt <= TimePoint(askedAt + offset)));
@@ -226,8 +226,8 @@
     }
 }
 
-// A lead is passed on with the floor that proves it, not one that was only heard of.
-BOOST_AUTO_TEST_CASE(a_lead_that_no_floor_proves_is_not_passed_on)
+// A relay passes on a primary only with the floor that proves it.
+BOOST_AUTO_TEST_CASE(a_primary_without_a_floor_of_its_term_is_not_passed_on)
 {
     ClusterView view;
     auto now = TimePoint(milliseconds(1'000'000));
@@ -240,7 +240,7 @@
     BOOST_TEST(pong.leads_size() == 0);
     peer::Pong own;
     writeGroups(own, view, false, now);
-    BOOST_TEST(own.floors_size() == 0); // it has not seen it itself
+    BOOST_TEST(own.floors_size() == 0); // this host did not obtain it from the member itself
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/unit/watching_test.cpp
+++ b/tests/unit/watching_test.cpp
@@ -1,4 +1,4 @@
-// How hosts follow the platform's store.
+// Choice of watchers, pauses between watches and retries, detection of a failed watch.
 #include "decisions/watching.h"
 #include <boost/test/unit_test.hpp>
 
@@ -9,33 +9,33 @@
 
 BOOST_AUTO_TEST_SUITE(watching)
 
-BOOST_AUTO_TEST_CASE(the_first_usable_hosts_of_a_data_centre_watch)
+BOOST_AUTO_TEST_CASE(the_first_reachable_hosts_of_a_data_centre_are_watchers)
 {
     std::vector<WatcherHost> all { { "a" }, { "b" }, { "c" } };
     std::vector<WatcherHost> one { { "a" } };
     BOOST_TEST(isWatcher("a", one));
     BOOST_TEST(isWatcher("b", all));
     BOOST_TEST(!isWatcher("c", all));
-    all.erase(all.begin()); // the first is gone
+    all.erase(all.begin()); // the first one failed
     BOOST_TEST(isWatcher("c", all));
     BOOST_TEST(!isWatcher("x", one));
 }
 
-// Both watchers of a data centre can lose the store and go on answering the other hosts there.
-BOOST_AUTO_TEST_CASE(hosts_that_have_lost_the_store_do_not_watch_for_others)
+// Guards against a data centre whose watchers still answer other hosts but have lost the store.
+BOOST_AUTO_TEST_CASE(hosts_that_have_lost_the_store_are_watchers_only_as_a_last_resort)
 {
     std::vector<WatcherHost> ranked { { "a", false }, { "b", false }, { "c", true }, { "d", true } };
     BOOST_TEST(!isWatcher("a", ranked));
     BOOST_TEST(!isWatcher("b", ranked));
     BOOST_TEST(isWatcher("c", ranked));
     BOOST_TEST(isWatcher("d", ranked));
-    ranked[3].hasStore = false; // one is left; the first of the others looks out for the store's return
+    ranked[3].hasStore = false; // one host has the store; the best-ranked of the others fills up
     BOOST_TEST(isWatcher("a", ranked));
     BOOST_TEST(!isWatcher("b", ranked));
     BOOST_TEST(!isWatcher("d", ranked));
 }
 
-BOOST_AUTO_TEST_CASE(changes_in_a_row_are_taken_together)
+BOOST_AUTO_TEST_CASE(the_pause_doubles_while_changes_are_pending)
 {
     auto pause = getWatchPause(milliseconds(0), false);
     BOOST_TEST(pause.count() == 250);
@@ -47,7 +47,7 @@
     BOOST_TEST(getWatchPause(milliseconds(-5), true).count() == 250);
 }
 
-BOOST_AUTO_TEST_CASE(failures_in_a_row_are_asked_after_less_and_less_often)
+BOOST_AUTO_TEST_CASE(retries_back_off_exponentially_with_jitter)
 {
     BOOST_TEST(getRetryPause(0, 0.5).count() == 225);
     BOOST_TEST(getRetryPause(1, 0.5).count() == 225);
@@ -56,13 +56,13 @@
     BOOST_TEST(getRetryPause(1'000'000, 0).count() >= 500);
 }
 
-BOOST_AUTO_TEST_CASE(a_change_that_others_know_and_ours_does_not_bring_shows_a_silent_watch)
+BOOST_AUTO_TEST_CASE(a_watch_is_silent_if_a_change_known_to_others_does_not_arrive)
 {
     auto heard = applyReportedChange({}, 10, 9, at(0));
     BOOST_TEST(!isWatchSilent(heard, 9, at(1000)));
-    heard = applyReportedChange(heard, 12, 9, at(1000)); // a later one does not begin the time anew
+    heard = applyReportedChange(heard, 12, 9, at(1000)); // a later change does not restart the time
     BOOST_TEST(isWatchSilent(heard, 9, at(1500)));
-    BOOST_TEST(!isWatchSilent(heard, 10, at(1500))); // it came after all
+    BOOST_TEST(!isWatchSilent(heard, 10, at(1500))); // it arrived
     heard = applyReportedChange(heard, 12, 10, at(1600));
     BOOST_TEST(!isWatchSilent(heard, 10, at(2000)));
     BOOST_TEST(isWatchSilent(heard, 10, at(3100)));
