--- a/src/alderward.h
+++ b/src/alderward.h
@@ -73,7 +73,7 @@
 #include "decisions/trace.h"
 
 //-----------------------------------------------------------------------------
-// [SECTION] Placement: chooseHomes(), getShare(), rankHosts()
+// [SECTION] Placement: chooseHomes(), getHomeShare(), rankHosts()
 //-----------------------------------------------------------------------------
 #include "decisions/placement.h"
 
--- a/src/controllers/group.cpp
+++ b/src/controllers/group.cpp
@@ -51,7 +51,7 @@
     m_role = std::move(role);
     auto rank = std::ranges::find(m_role.homes, m_node.settings.name) - m_role.homes.begin();
     takeEvent(decisions::RoleChanged { *m_role.record, m_role.isLeaving, static_cast<size_t>(rank) });
-    auto share = decisions::getShare(*m_role.record, m_role.homes.size());
+    auto share = decisions::getHomeShare(*m_role.record, m_role.homes.size());
     for (size_t i = 0; i < m_members.size(); ++i) {
         m_members[i].pool->setLimits({ share, static_cast<size_t>(m_node.settings.queueLimit) });
         if (m_role.isLeaving[i])
--- a/src/decisions/placement.cpp
+++ b/src/decisions/placement.cpp
@@ -86,7 +86,7 @@
     return homes;
 }
 
-HomeShare getShare(const GroupRecord& record, size_t homes)
+HomeShare getHomeShare(const GroupRecord& record, size_t homes)
 {
     auto n = static_cast<unsigned>(std::max<size_t>(1, homes));
     return { std::max(1U, record.connectionLimit / n), record.slots };
--- a/src/decisions/placement.h
+++ b/src/decisions/placement.h
@@ -36,7 +36,7 @@
 // The live hosts that the record allows to serve the group. `live` must be sorted by name.
 std::vector<PlacedHost> selectServingHosts(const GroupRecord& record, const std::vector<PlacedHost>& live);
 
-HomeShare getShare(const GroupRecord& record, size_t homes);
+HomeShare getHomeShare(const GroupRecord& record, size_t homes);
 
 // A host's rendezvous weight for a key: the highest ranks first, ties go to the higher name.
 uint64_t getHostWeight(const std::string& key, const std::string& host);
--- a/tests/unit/gateway_decisions_test.cpp
+++ b/tests/unit/gateway_decisions_test.cpp
@@ -96,18 +96,18 @@
 
 BOOST_AUTO_TEST_CASE(newer_terms_and_the_members_own_proof_decide_who_is_primary)
 {
-    KnownPrimary lead = applyPrimaryListing({}, "a");
-    BOOST_TEST((lead == KnownPrimary { "a", 0, false }));
-    lead = applyPrimaryProof(lead, "a", 3);
-    BOOST_TEST((applyPrimaryProof(lead, "b", 2) == lead));
-    BOOST_TEST((applyPrimaryReport(lead, "b", 3) == lead));
-    BOOST_TEST((applyPrimaryReport(lead, "b", 4) == KnownPrimary { "b", 4, false }));
-    BOOST_TEST((applyPrimaryListing(lead, "b") == lead));
-    BOOST_TEST((applyPrimaryDenial(lead, "b") == lead));
-    lead = applyPrimaryDenial(lead, "a");
-    BOOST_TEST((lead == KnownPrimary { "", 3, false }));
-    BOOST_TEST((applyPrimaryReport(lead, "b", 2) == lead));
-    BOOST_TEST((applyPrimaryReport(lead, "b", 3) == KnownPrimary { "b", 3, false }));
+    KnownPrimary known = applyPrimaryListing({}, "a");
+    BOOST_TEST((known == KnownPrimary { "a", 0, false }));
+    known = applyPrimaryProof(known, "a", 3);
+    BOOST_TEST((applyPrimaryProof(known, "b", 2) == known));
+    BOOST_TEST((applyPrimaryReport(known, "b", 3) == known));
+    BOOST_TEST((applyPrimaryReport(known, "b", 4) == KnownPrimary { "b", 4, false }));
+    BOOST_TEST((applyPrimaryListing(known, "b") == known));
+    BOOST_TEST((applyPrimaryDenial(known, "b") == known));
+    known = applyPrimaryDenial(known, "a");
+    BOOST_TEST((known == KnownPrimary { "", 3, false }));
+    BOOST_TEST((applyPrimaryReport(known, "b", 2) == known));
+    BOOST_TEST((applyPrimaryReport(known, "b", 3) == KnownPrimary { "b", 3, false }));
 }
 
 // Guards against a promotion ordered on outdated evidence after a network partition heals: it would lose the commits of the newer term.
--- a/tests/unit/hosts_test.cpp
+++ b/tests/unit/hosts_test.cpp
@@ -211,7 +211,7 @@
     for (unsigned limit = 1; limit < 100; ++limit) {
         auto record = makeRecord("g", limit);
         auto homes = chooseHomes(record, makeHosts(9));
-        BOOST_TEST(homes.size() * getShare(record, homes.size()).connections <= std::max<size_t>(limit, homes.size()));
+        BOOST_TEST(homes.size() * getHomeShare(record, homes.size()).connections <= std::max<size_t>(limit, homes.size()));
         BOOST_TEST(homes.size() >= 1u);
     }
 }
