--- a/src/decisions/relaying.cpp
+++ b/src/decisions/relaying.cpp
@@ -3,7 +3,7 @@
 
 namespace alderward::decisions {
 
-static constexpr double kAlarmMsPerHost = 1000.0 / 300;
+static constexpr double kAlarmMsPerHost = 1000.0 / 300; // at most 300 alarms a second for one group
 
 ExchangeIntervals getExchangeIntervals(milliseconds quiet, bool isRelayed)
 {
