--- a/src/alderward.h
+++ b/src/alderward.h
@@ -46,7 +46,7 @@
 #include "decisions/session.h"
 
 //-----------------------------------------------------------------------------
-// [SECTION] Records: GroupRecord, parseGroupRecord(), Envelope, takeValue(), getDigest()
+// [SECTION] Records: GroupRecord, parseGroupRecord(), Envelope, updateIfNewer(), getDigest()
 //-----------------------------------------------------------------------------
 #include "decisions/records.h"
 
@@ -73,7 +73,7 @@
 #include "decisions/trace.h"
 
 //-----------------------------------------------------------------------------
-// [SECTION] Placement: chooseHomes(), getShare(), rankHosts()
+// [SECTION] Placement: chooseHomes(), getHomeShare(), rankHosts()
 //-----------------------------------------------------------------------------
 #include "decisions/placement.h"
 
--- a/src/decisions/failover.cpp
+++ b/src/decisions/failover.cpp
@@ -89,9 +89,9 @@
         state.recentPromotions.pop_front();
     if (limits.mode == PromotionMode::Off)
         return "the record has promotion mode off";
-    if (!state.recentPromotions.empty() && now - state.recentPromotions.back() < limits.leastInterval)
-        return fmt::format("the last promotion is less than {} ms ago", limits.leastInterval.count());
-    if (state.recentPromotions.size() >= limits.mostPerHour)
+    if (!state.recentPromotions.empty() && now - state.recentPromotions.back() < limits.minInterval)
+        return fmt::format("the last promotion is less than {} ms ago", limits.minInterval.count());
+    if (state.recentPromotions.size() >= limits.maxPerHour)
         return fmt::format("{} promotions within an hour", state.recentPromotions.size());
     return {};
 }
--- a/src/decisions/succession.cpp
+++ b/src/decisions/succession.cpp
@@ -7,109 +7,109 @@
 
 namespace json = boost::json;
 
-Succession makeSuccession(const Succession& previous, const std::vector<RankedHost>& ranked)
+CoordinatorRecord makeCoordinatorRecord(const CoordinatorRecord& previous, const std::vector<RankedCandidate>& ranked)
 {
-    Succession next;
-    next.firstToken = previous.orderers.empty() ? 1 : previous.firstToken + kTokensEach * kOrderers;
-    std::set<std::string> used;
-    auto take = [&](bool onlyNewDataCentres) {
+    CoordinatorRecord next;
+    next.firstToken = previous.coordinators.empty() ? 1 : previous.firstToken + kTokensPerCoordinator * kCoordinatorCount;
+    std::set<std::string> usedDataCentres;
+    auto addCandidates = [&](bool onlyNewDataCentres) {
         for (auto& it : ranked) {
-            bool isIn = std::ranges::find(next.orderers, it.orderer) != next.orderers.end();
-            if (isIn || next.orderers.size() >= kOrderers || (onlyNewDataCentres && used.contains(it.dataCentre)))
+            bool isListed = std::ranges::find(next.coordinators, it.coordinator) != next.coordinators.end();
+            if (isListed || next.coordinators.size() >= kCoordinatorCount || (onlyNewDataCentres && usedDataCentres.contains(it.dataCentre)))
                 continue;
-            used.insert(it.dataCentre);
-            next.orderers.push_back(it.orderer);
+            usedDataCentres.insert(it.dataCentre);
+            next.coordinators.push_back(it.coordinator);
         }
     };
-    take(true);
-    take(false);
+    addCandidates(true);
+    addCandidates(false);
     return next;
 }
 
-bool isSuccessionDue(const Succession& succession, const std::vector<LiveOrderer>& live)
+bool isCoordinatorRecordDue(const CoordinatorRecord& record, const std::vector<LiveCandidate>& live)
 {
-    auto isLive = [&](const Orderer& it) { return std::ranges::find(live, it, &LiveOrderer::orderer) != live.end(); };
-    auto isAble = [&](const Orderer& it) { return std::ranges::find(live, LiveOrderer { it, true }) != live.end(); };
-    if (succession.orderers.empty() || !isLive(succession.orderers.front()))
+    auto isLive = [&](const Coordinator& it) { return std::ranges::find(live, it, &LiveCandidate::coordinator) != live.end(); };
+    auto isAble = [&](const Coordinator& it) { return std::ranges::find(live, LiveCandidate { it, true }) != live.end(); };
+    if (record.coordinators.empty() || !isLive(record.coordinators.front()))
         return true;
-    auto standing = std::ranges::count_if(succession.orderers, isLive);
-    if (static_cast<size_t>(standing) < std::min(kOrderers, live.size()))
+    auto liveCount = std::ranges::count_if(record.coordinators, isLive);
+    if (static_cast<size_t>(liveCount) < std::min(kCoordinatorCount, live.size()))
         return true;
-    return std::ranges::any_of(live, &LiveOrderer::canAct) && std::ranges::none_of(succession.orderers, isAble);
+    return std::ranges::any_of(live, &LiveCandidate::canAct) && std::ranges::none_of(record.coordinators, isAble);
 }
 
-bool canDo(const Ability& ability, Task task)
+bool canPerform(const HostCapabilities& capabilities, PromotionTask task)
 {
-    return ability.hasOrders && (ability.hasStore || task == Task::Examine);
+    return capabilities.canOrder && (capabilities.hasStore || task == PromotionTask::CheckPrimary);
 }
 
-std::vector<size_t> rankActing(const std::vector<OrdererState>& orderers)
+std::vector<size_t> rankUsableCoordinators(const std::vector<CoordinatorState>& coordinators)
 {
     std::vector<size_t> ranked;
     for (bool canAct : { true, false }) {
-        for (size_t i = 0; i < orderers.size(); ++i) {
-            if (orderers[i].isUsable && orderers[i].canAct == canAct)
+        for (size_t i = 0; i < coordinators.size(); ++i) {
+            if (coordinators[i].isUsable && coordinators[i].canAct == canAct)
                 ranked.push_back(i);
         }
     }
     return ranked;
 }
 
-milliseconds getTaskLimit(Task task)
+milliseconds getTakeoverDelay(PromotionTask task)
 {
-    return task == Task::HandOver ? milliseconds(4000) : milliseconds(5000);
+    return task == PromotionTask::HandOver ? milliseconds(4000) : milliseconds(5000);
 }
 
-std::optional<size_t> findRank(const Succession& succession, const Orderer& self)
+std::optional<size_t> findRank(const CoordinatorRecord& record, const Coordinator& self)
 {
-    auto it = std::ranges::find(succession.orderers, self);
-    if (it == succession.orderers.end())
+    auto it = std::ranges::find(record.coordinators, self);
+    if (it == record.coordinators.end())
         return std::nullopt;
-    return static_cast<size_t>(it - succession.orderers.begin());
+    return static_cast<size_t>(it - record.coordinators.begin());
 }
 
-std::optional<uint64_t> getToken(const Succession& succession, size_t rank, uint64_t count)
+std::optional<uint64_t> getFencingToken(const CoordinatorRecord& record, size_t rank, uint64_t count)
 {
-    if (count >= kTokensEach)
+    if (count >= kTokensPerCoordinator)
         return std::nullopt;
-    return succession.firstToken + rank * kTokensEach + count;
+    return record.firstToken + rank * kTokensPerCoordinator + count;
 }
 
-std::string formatSuccession(const Succession& succession)
+std::string formatCoordinatorRecord(const CoordinatorRecord& record)
 {
-    json::array orderers;
-    for (auto& it : succession.orderers)
-        orderers.push_back({ { "host", it.host }, { "incarnation", it.incarnation } });
-    return json::serialize(json::object { { "orderers", orderers }, { "firstToken", succession.firstToken } });
+    json::array coordinators;
+    for (auto& it : record.coordinators)
+        coordinators.push_back({ { "host", it.host }, { "incarnation", it.incarnation } });
+    return json::serialize(json::object { { "orderers", coordinators }, { "firstToken", record.firstToken } });
 }
 
-std::optional<Succession> parseSuccession(const std::string& text)
+std::optional<CoordinatorRecord> parseCoordinatorRecord(const std::string& text)
 {
     boost::system::error_code ec;
     auto value = json::parse(text, ec);
     if (ec || !value.is_object())
         return std::nullopt;
     auto& object = value.as_object();
-    auto* orderers = object.if_contains("orderers");
+    auto* coordinators = object.if_contains("orderers");
     auto* first = object.if_contains("firstToken");
-    if (!orderers || !orderers->is_array() || !first || !first->is_number())
+    if (!coordinators || !coordinators->is_array() || !first || !first->is_number())
         return std::nullopt;
-    Succession succession;
-    succession.firstToken = first->to_number<uint64_t>(ec);
-    for (auto& it : orderers->as_array()) {
+    CoordinatorRecord record;
+    record.firstToken = first->to_number<uint64_t>(ec);
+    for (auto& it : coordinators->as_array()) {
         auto* object = it.if_object();
         if (!object || !object->contains("host") || !object->at("host").is_string() || !object->contains("incarnation"))
             return std::nullopt;
-        succession.orderers.push_back({ std::string(object->at("host").as_string()), object->at("incarnation").to_number<uint64_t>(ec) });
+        record.coordinators.push_back({ std::string(object->at("host").as_string()), object->at("incarnation").to_number<uint64_t>(ec) });
     }
     if (ec)
         return std::nullopt;
-    return succession;
+    return record;
 }
 
-bool mayJudge(const HostsInReach& hosts)
+bool canJudgePrimary(const HostReachability& hosts)
 {
-    return hosts.answering + 1 > hosts.lost; // itself included; in a tie the primary is on the other side as likely as not, and it may live
+    return hosts.answering + 1 > hosts.lost; // counts this host; in a tie the primary may be alive on the other side
 }
 
 std::optional<uint64_t> findNewerTerm(const std::vector<MemberFinding>& members, uint64_t known)
@@ -122,7 +122,7 @@
     return newest > known ? std::optional(newest) : std::nullopt;
 }
 
-// A member that is too busy to tell its status lives, but says nothing of what it holds: it counts for no majority.
+// A member that is too busy to report its status is alive, but its log is unknown, so it does not count towards the majority.
 static bool hasStatus(const MemberFinding& it)
 {
     return it.wasReached && it.term != 0;
@@ -130,21 +130,21 @@
 
 std::optional<std::string> chooseSuccessor(const std::vector<MemberFinding>& replicas, unsigned synchronousReplicas, size_t listedMembers)
 {
-    auto heard = static_cast<size_t>(std::ranges::count_if(replicas, hasStatus));
-    if (heard * 2 <= listedMembers)
+    auto answered = static_cast<size_t>(std::ranges::count_if(replicas, hasStatus));
+    if (answered * 2 <= listedMembers)
         return std::nullopt;
     const MemberFinding* best = nullptr;
     for (auto& it : replicas) {
         if (!hasStatus(it) && synchronousReplicas > 0)
             return std::nullopt;
-        if (!hasStatus(it) || !it.mayLead)
+        if (!hasStatus(it) || !it.isPromotable)
             continue;
         if (!best || it.received > best->received)
             best = &it;
     }
     if (!best)
         return std::nullopt;
-    // A member that may not lead can hold more than the best that may: with synchronous replicas, that would lose a commit.
+    // A member that is not promotable may hold a newer log than the best one: with synchronous replicas, promoting would lose a commit.
     bool isBehind = std::ranges::any_of(replicas, [&](const MemberFinding& it) { return it.received > best->received; });
     if (synchronousReplicas > 0 && isBehind)
         return std::nullopt;
--- a/src/gateway/cluster_view.cpp
+++ b/src/gateway/cluster_view.cpp
@@ -6,7 +6,7 @@
 
 bool isFarBehind(const GroupBelief& group, const MemberBelief& member, TimePoint now)
 {
-    auto floor = decisions::getFloor(group.floors, decisions::kFarBehind, now);
+    auto floor = decisions::getFloor(group.floors, decisions::kFarBehindThreshold, now);
     auto position = decisions::estimatePosition(member.progress, now);
     return group.lead.member != member.listed.id && floor && position.term != 0 && position < *floor;
 }
@@ -18,14 +18,14 @@
 
 void denyLead(GroupBelief& group, const std::string& member, TimePoint now)
 {
-    bool isPending = group.lead.member == member && !group.lead.isProven && now < group.pendingUntil;
+    bool isPending = group.lead.member == member && !group.lead.isConfirmed && now < group.pendingUntil;
     if (!isPending)
-        group.lead = decisions::takeDenial(group.lead, member);
+        group.lead = decisions::applyPrimaryDenial(group.lead, member);
 }
 
 void takeOrderedLead(GroupBelief& group, const std::string& member, uint64_t term, TimePoint now)
 {
-    auto lead = decisions::takeReport(group.lead, member, term);
+    auto lead = decisions::applyPrimaryReport(group.lead, member, term);
     if (lead == group.lead)
         return;
     group.lead = lead;
@@ -56,7 +56,7 @@
         group.disprovedTerm = known.term;
         known = { "", term, false };
     }
-    group.lead = shownTo == ShownTo::ThisHost ? decisions::takeProof(known, member, term) : decisions::takeReport(known, member, term);
+    group.lead = shownTo == ShownTo::ThisHost ? decisions::applyPrimaryProof(known, member, term) : decisions::applyPrimaryReport(known, member, term);
     group.shownTerm = std::max(group.shownTerm, term);
 }
 
@@ -66,7 +66,7 @@
     group.shownTerm = std::max(group.shownTerm, term);
 }
 
-// The order of decisions::rankCarriers().
+// The order of decisions::rankForwarders().
 static void insertHost(const ClusterView& view, const std::string& key, Ranking& ranking, const std::string& host)
 {
     auto rank = [&](const std::string& name) { return std::tuple(view.hosts.at(name).dataCentre == ranking.dataCentre, decisions::getHostWeight(key, name), name); };
@@ -101,10 +101,10 @@
 {
     auto [it, isNew] = view.rankings.try_emplace(key, Ranking { dataCentre });
     if (isNew) {
-        std::vector<decisions::CarrierHost> hosts;
+        std::vector<decisions::ForwarderHost> hosts;
         for (auto& [name, host] : view.hosts)
             hosts.push_back({ name, host.dataCentre });
-        it->second.hosts = decisions::rankCarriers(key, dataCentre, hosts);
+        it->second.hosts = decisions::rankForwarders(key, dataCentre, hosts);
     }
     return it->second.hosts;
 }
@@ -155,7 +155,7 @@
 static void forgetLife(ClusterView& view, MemberBelief& member, TimePoint now)
 {
     auto& group = view.groups[member.listed.group];
-    group.lead = decisions::takeDenial(group.lead, member.listed.id);
+    group.lead = decisions::applyPrimaryDenial(group.lead, member.listed.id);
     group.wasCompared = false; // with the process of before
     member.leavingSince.reset();
     member.troubleAt = {};
@@ -191,7 +191,7 @@
     if (std::ranges::find(group.members, listed.id) == group.members.end())
         group.members.push_back(listed.id);
     if (listed.saysPrimary && !startedAgain) // it has yet to show that it holds what it acknowledged
-        group.lead = decisions::takeListing(group.lead, listed.id);
+        group.lead = decisions::applyPrimaryListing(group.lead, listed.id);
     return startedAgain ? MemberChange::StartedAgain : MemberChange::Taken;
 }
 
@@ -218,7 +218,7 @@
         view.forgottenRevision = std::max(view.forgottenRevision, view.members[id].revision);
         auto& group = view.groups[view.members[id].listed.group];
         std::erase(group.members, id);
-        group.lead = decisions::takeDenial(group.lead, id);
+        group.lead = decisions::applyPrimaryDenial(group.lead, id);
         view.members.erase(id);
         view.rankings.erase(id);
     }
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -44,9 +44,9 @@
     , m_self { m_settings.name, m_settings.peerAddress, m_settings.dataCentre, static_cast<uint64_t>(base::getRandom() * 1e15) + 1 }
     , m_peers(context, m_settings.name, makePeerService())
     , m_quotas({ m_view, m_peers, m_settings.name, m_self.incarnation, getQuotaRule(), m_isDraining, [this](size_t shard, const std::set<std::string>& accounts, std::function<void(bool)> done) { writeNearAccounts(shard, accounts, std::move(done)); } })
-    , m_router({ context, m_view, m_peers, m_settings.name, m_settings.dataCentre, [this](const TargetAddress& it) { return getPool(it); }, [this](const TargetAddress& it) { return isTroubled(it); }, [this](const std::string& group) { raiseAlarm(group, "no primary is known"); }, [this] { return !decisions::mayJudge(m_peers.countInReach()); }, getDrainTime(), m_quotas })
+    , m_router({ context, m_view, m_peers, m_settings.name, m_settings.dataCentre, [this](const TargetAddress& it) { return getPool(it); }, [this](const TargetAddress& it) { return isTroubled(it); }, [this](const std::string& group) { raiseAlarm(group, "no primary is known"); }, [this] { return !decisions::canJudgePrimary(m_peers.countInReach()); }, getDrainTime(), m_quotas })
     , m_directory(context, *m_platform, m_self, { milliseconds(m_settings.callLimitMs), milliseconds(m_settings.watchWaitMs), milliseconds(m_settings.longWatchWaitMs), milliseconds(m_settings.leaseMs) }, makeDirectoryEvents())
-    , m_promoter({ context, m_view, m_peers, *m_platform, { m_self.name, m_self.incarnation }, [this](const TargetAddress& it, std::function<void(const StatusReport&)> done) { inquire(it, std::move(done)); }, [this](const std::string&, const std::string& member, milliseconds time) { holdWrites(member, time); }, [this] { return m_directory.isReachable(); }, [this](const std::string& group, const decisions::Lead& before, std::string_view source) { noteLead(group, before, source); }, m_isDraining })
+    , m_promoter({ context, m_view, m_peers, *m_platform, { m_self.name, m_self.incarnation }, [this](const TargetAddress& it, std::function<void(const StatusReport&)> done) { inquire(it, std::move(done)); }, [this](const std::string&, const std::string& member, milliseconds time) { holdWrites(member, time); }, [this] { return m_directory.isReachable(); }, [this](const std::string& group, const decisions::KnownPrimary& before, std::string_view source) { noteLead(group, before, source); }, m_isDraining })
     , m_acceptor(context)
     , m_timers(timers)
 {
@@ -101,7 +101,7 @@
     for (auto& [name, group] : m_view.groups) {
         base::setTo(Family::Term, { { "group", name } }, static_cast<double>(group.lead.term));
         if (!group.floors.isEmpty())
-            base::setTo(Family::FloorAge, { { "group", name } }, std::chrono::duration<double>(now - group.floors.floors.back().since).count());
+            base::setTo(Family::FloorAge, { { "group", name } }, std::chrono::duration<double>(now - group.floors.floors.back().coveredUntil).count());
         auto primary = m_view.members.find(group.lead.member);
         if (primary != m_view.members.end() && primary->second.leavingSince)
             base::setTo(Family::LeavingPrimary, { { "group", name } }, std::chrono::duration<double>(now - *primary->second.leavingSince).count());
@@ -194,7 +194,7 @@
     observer.getKnown = [this](const TargetAddress& target) { return getKnownMark(m_view.groups[target.group]); };
     observer.onLostLog = [this](const TargetAddress& target, const Mark& position) {
         base::logEvent(LogClass::State, "primary-lost-log", { { "group", std::string_view(target.group) }, { "member", std::string_view(target.member) }, { "term", static_cast<int64_t>(position.term) }, { "position", static_cast<int64_t>(position.position) } });
-        takeLead(target.group, decisions::takeDenial(m_view.groups[target.group].lead, target.member), "denied");
+        takeLead(target.group, decisions::applyPrimaryDenial(m_view.groups[target.group].lead, target.member), "denied");
     };
     observer.leads = [this](const TargetAddress& target) { return m_view.groups[target.group].lead.member == target.member; };
     observer.onLeads = [this](const TargetAddress& target, const Mark& position, TimePoint sentAt) {
@@ -274,7 +274,7 @@
     message.set_is_leaving(m_isDraining);
     auto ability = m_promoter.getAbility();
     message.set_lacks_store(!ability.hasStore);
-    message.set_lacks_orders(!ability.hasOrders);
+    message.set_lacks_orders(!ability.canOrder);
 }
 
 void Gateway::takeStatus(const peer::Pong& message, TimePoint sentAt)
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -45,12 +45,12 @@
     DirectoryEvents makeDirectoryEvents();
     void inquire(const TargetAddress& target, std::function<void(const StatusReport&)> done);
     void holdWrites(const std::string& member, milliseconds time);
-    void takeLead(const std::string& group, const decisions::Lead& lead, std::string_view source);
+    void takeLead(const std::string& group, const decisions::KnownPrimary& lead, std::string_view source);
     void takeShown(const std::string& group, const std::string& member, uint64_t term, TimePoint askedAt, ShownTo shownTo);
     void takeOrdered(const std::string& group, const std::string& member, uint64_t term);
     void takeAssumed(const std::string& group, const std::string& member, uint64_t term);
     // Logs a change and tells the parts that go by it.
-    void noteLead(const std::string& group, const decisions::Lead& before, std::string_view source);
+    void noteLead(const std::string& group, const decisions::KnownPrimary& before, std::string_view source);
     void noteRefusedProof(const std::string& group, const std::string& member, uint64_t term);
     void takeFloor(const std::string& group, const decisions::Floor& floor);
     void raiseAlarm(const std::string& group, const std::string& reason);
@@ -91,7 +91,7 @@
     bool m_hostsDue { false }; // hosts came or went since the parts that talk to them were told
     std::vector<std::string> m_relays {}; // of this host's data centre, as last chosen
     TimePoint m_askedToRelayAt {}; // when another host last asked what this one hears
-    milliseconds m_quietInterval { decisions::kPingIntervalLeast }; // between exchanges that nothing else calls for
+    milliseconds m_quietInterval { decisions::kMinPingInterval }; // between exchanges that nothing else calls for
     TimePoint m_forgottenAt {}; // when unlisted members were last looked for
     TimePoint m_sessionsAt {}; // when sessions were last looked at
     TimePoint m_placedAt {}; // when this host last looked which members it carries to
--- a/src/gateway/peers.cpp
+++ b/src/gateway/peers.cpp
@@ -33,7 +33,7 @@
     Partner partner {};
     bool isUp { true };
     bool isLeaving { false };
-    decisions::Ability ability {};
+    decisions::HostCapabilities ability {};
     TimePoint usedAt {}; // when something other than a ping was last sent
     bool wasHeard { false };
     TimePoint heardAt {}; // on the present connection
@@ -191,10 +191,10 @@
     return it != m_links.end() && it->second->isLeaving;
 }
 
-decisions::Ability Peers::getAbility(const std::string& host) const
+decisions::HostCapabilities Peers::getAbility(const std::string& host) const
 {
     auto it = m_links.find(host);
-    return it == m_links.end() ? decisions::Ability {} : it->second->ability;
+    return it == m_links.end() ? decisions::HostCapabilities {} : it->second->ability;
 }
 
 double Peers::getDistanceMs(const std::string& host) const
@@ -239,15 +239,15 @@
     return names;
 }
 
-decisions::HostsInReach Peers::countInReach() const
+decisions::HostReachability Peers::countInReach() const
 {
-    decisions::HostsInReach hosts;
+    decisions::HostReachability hosts;
     auto now = Clock::now();
     for (auto& [name, link] : m_links) {
         if (!link->isPartner()) // it may have fallen silent long ago
             continue;
         bool isAnswering = link->isUp && link->wasHeard;
-        bool wasAnswering = link->pongAt != TimePoint {} && now - link->pongAt < decisions::kLostCountsFor;
+        bool wasAnswering = link->pongAt != TimePoint {} && now - link->pongAt < decisions::kLostHostRetention;
         if (isAnswering)
             ++hosts.answering;
         else if (wasAnswering && !link->isLeaving)
@@ -450,7 +450,7 @@
         if (link->partner.isRelay && link->isUp && link->wasHeard)
             told.push_back(link->unusable);
     }
-    auto unusable = decisions::findUnusable(told);
+    auto unusable = decisions::findUnreachableHosts(told);
     m_version += unusable == m_unusable ? 0 : 1;
     m_unusable = std::move(unusable);
 }
@@ -483,7 +483,7 @@
     auto passed = now - link.pingedAt;
     if (passed < kPingInterval)
         return false;
-    bool isAwaited = std::ranges::any_of(link.calls, [&](auto& it) { return now - it.second.sentAt > decisions::kOrderUnansweredFor; });
+    bool isAwaited = std::ranges::any_of(link.calls, [&](auto& it) { return now - it.second.sentAt > decisions::kOverdueReplyThreshold; });
     return !link.wasHeard || isAwaited || !link.pings.empty() || (link.isPartner() && passed >= link.partner.interval);
 }
 
--- a/tests/unit/records_test.cpp
+++ b/tests/unit/records_test.cpp
@@ -1,4 +1,4 @@
-// Records and settings: every bad one is refused with its place.
+// Records and settings: invalid ones are refused with the field or line at fault.
 #include "base/settings.h"
 #include "decisions/records.h"
 #include <algorithm>
@@ -38,7 +38,7 @@
 
 BOOST_AUTO_TEST_SUITE(records)
 
-BOOST_AUTO_TEST_CASE(each_bad_field_is_named)
+BOOST_AUTO_TEST_CASE(problems_name_the_invalid_field)
 {
     BOOST_TEST(getField(makeRecord("")) == "good");
     BOOST_TEST(getField(makeRecord(R"(,"slots":0)")) == "slots");
@@ -56,14 +56,14 @@
     BOOST_TEST(getField("[]") == "");
 }
 
-BOOST_AUTO_TEST_CASE(a_fault_of_form_is_given_its_line)
+BOOST_AUTO_TEST_CASE(syntax_errors_name_their_line)
 {
     auto record = parseGroupRecord("g", "{\n \"schema\": 2,\n \"members\": [,]\n}");
     BOOST_TEST(record.error().line == 3u);
     BOOST_TEST(parseGroupRecord("g", makeRecord("") + "}").error().line == 1u);
 }
 
-BOOST_AUTO_TEST_CASE(schema_1_reads_into_the_same_struct)
+BOOST_AUTO_TEST_CASE(schema_1_is_parsed_into_the_current_struct)
 {
     auto record = parseGroupRecord("g", R"({"schema":1,"members":["a=127.0.0.1:1@x"],"staleMs":70,"promote":false})");
     BOOST_REQUIRE(record);
@@ -74,18 +74,18 @@
     BOOST_TEST(getField(R"({"schema":1,"members":["a=127.0.0.1:1@x"],"reads":{}})") == "reads");
 }
 
-BOOST_AUTO_TEST_CASE(envelope_comes_back_and_versions_never_go_back)
+BOOST_AUTO_TEST_CASE(envelopes_survive_formatting_and_older_versions_are_ignored)
 {
     decisions::Envelope envelope { makeRecord(""), { { "id1", "asha", 5, "changed" } } };
     BOOST_TEST((decisions::parseEnvelope(decisions::formatEnvelope(envelope)).value() == envelope));
     BOOST_TEST(!decisions::parseEnvelope("{}"));
     decisions::ValueMap values;
-    BOOST_TEST(decisions::takeValue(values, "k", { 5, "five" }));
-    BOOST_TEST(!decisions::takeValue(values, "k", { 4, "four" }));
-    BOOST_TEST(!decisions::takeValue(values, "k", { 5, "other five" }));
+    BOOST_TEST(decisions::updateIfNewer(values, "k", { 5, "five" }));
+    BOOST_TEST(!decisions::updateIfNewer(values, "k", { 4, "four" }));
+    BOOST_TEST(!decisions::updateIfNewer(values, "k", { 5, "other five" }));
     BOOST_TEST(values["k"].value == "five");
     auto digest = decisions::getDigest(values);
-    decisions::takeValue(values, "k", { 6, "six" });
+    decisions::updateIfNewer(values, "k", { 6, "six" });
     BOOST_TEST(digest != decisions::getDigest(values));
 }
 
@@ -93,27 +93,27 @@
 
 BOOST_AUTO_TEST_SUITE(settings)
 
-// Two hosts that differ in one key tell each other one part of 64.
-BOOST_AUTO_TEST_CASE(one_key_differs_in_one_bucket_only)
+// Guards against exchanging whole sets between hosts that differ in one key.
+BOOST_AUTO_TEST_CASE(a_change_of_one_key_changes_one_bucket_only)
 {
     using namespace decisions;
     ValueMap mine;
     for (int i = 0; i < 1000; ++i)
-        takeValue(mine, "alderward/groups/g" + std::to_string(i), { 1, "{}" });
+        updateIfNewer(mine, "alderward/groups/g" + std::to_string(i), { 1, "{}" });
     auto theirs = mine;
-    BOOST_TEST(std::ranges::count(getDifferences(getBucketDigests(mine), getBucketDigests(theirs)), true) == 0);
-    takeValue(theirs, "alderward/groups/g7", { 2, "{}" });
-    auto differences = getDifferences(getBucketDigests(mine), getBucketDigests(theirs));
+    BOOST_TEST(std::ranges::count(findDifferingBuckets(getBucketDigests(mine), getBucketDigests(theirs)), true) == 0);
+    updateIfNewer(theirs, "alderward/groups/g7", { 2, "{}" });
+    auto differences = findDifferingBuckets(getBucketDigests(mine), getBucketDigests(theirs));
     BOOST_TEST(std::ranges::count(differences, true) == 1);
     BOOST_TEST(differences[getBucket("alderward/groups/g7")]);
     uint64_t sum = 0;
     for (auto it : getBucketDigests(theirs))
         sum ^= it;
     BOOST_TEST(sum == getDigest(theirs));
-    BOOST_TEST(std::ranges::count(getDifferences(getBucketDigests(mine), {}), true) == static_cast<int>(kBuckets)); // not comparable
+    BOOST_TEST(std::ranges::count(findDifferingBuckets(getBucketDigests(mine), {}), true) == static_cast<int>(kBucketCount)); // not comparable
 }
 
-BOOST_AUTO_TEST_CASE(bad_settings_are_refused_with_file_and_line)
+BOOST_AUTO_TEST_CASE(invalid_settings_are_refused_with_file_and_line)
 {
     BOOST_TEST(getProblem(kSettings) == "good");
     BOOST_TEST(getProblem(kSettings + "[health]\nprobe_interval_ms = 5\n").starts_with("f.ini:12: [health] probe_interval_ms"));
@@ -126,7 +126,7 @@
     BOOST_TEST(!base::readSettings("/nowhere/at/all.ini"));
 }
 
-BOOST_AUTO_TEST_CASE(operations_page_lists_every_setting_as_it_is)
+BOOST_AUTO_TEST_CASE(the_operations_page_documents_every_setting)
 {
     std::ifstream file(std::string(ALDERWARD_SOURCE_DIR) + "/docs/OPERATIONS.md");
     std::string page((std::istreambuf_iterator<char>(file)), {});
