--- a/src/decisions/quota.cpp
+++ b/src/decisions/quota.cpp
@@ -85,12 +85,12 @@
     return countUses(told.uses, until - rule.window, now) + static_cast<double>(grants);
 }
 
-size_t countFollowers(const QuotaKeeper& keeper, TimePoint now)
+size_t countFollowers(const QuotaCoordinator& keeper, TimePoint now)
 {
     return static_cast<size_t>(std::ranges::count_if(keeper.hosts, [&](auto& it) { return getStanding(it.second, now) == Standing::Follows; }));
 }
 
-bool hasOtherFollower(const QuotaKeeper& keeper, const std::string& self, TimePoint now)
+bool hasOtherFollower(const QuotaCoordinator& keeper, const std::string& self, TimePoint now)
 {
     return std::ranges::any_of(keeper.hosts, [&](auto& it) { return it.first != self && getStanding(it.second, now) == Standing::Follows; });
 }
@@ -109,7 +109,7 @@
     return kept.nearAt != TimePoint {} && now - kept.nearAt < within;
 }
 
-Allowance getAllowance(const QuotaKeeper& keeper, const QuotaView& view, const std::string& account, const AccountQuota& quota, TimePoint now)
+Allowance getAllowance(const QuotaCoordinator& keeper, const QuotaView& view, const std::string& account, const AccountQuota& quota, TimePoint now)
 {
     auto target = getQuotaLimits(quota, view.rule).target;
     auto share = target / static_cast<double>(std::max({ size_t { 1 }, view.hosts, countFollowers(keeper, now) }));
@@ -140,7 +140,7 @@
 }
 
 // Whether that has changed.
-static bool decideStrict(QuotaKeeper& keeper, const QuotaView& view, const std::string& account, TimePoint now)
+static bool decideStrict(QuotaCoordinator& keeper, const QuotaView& view, const std::string& account, TimePoint now)
 {
     auto& kept = keeper.accounts[account];
     auto* quota = findQuota(view.accounts, account);
@@ -164,7 +164,7 @@
     std::erase_if(told.grants, [&](auto& it) { return it.first <= reported.grantsTaken; });
 }
 
-ReportTaken takeReport(QuotaKeeper& keeper, const QuotaView& view, const QuotaReport& report, TimePoint now)
+ReportTaken takeReport(QuotaCoordinator& keeper, const QuotaView& view, const QuotaReport& report, TimePoint now)
 {
     if (!report.isWhole && !keeper.hosts.contains(report.host))
         return { .isKnown = false };
@@ -180,7 +180,7 @@
     return taken;
 }
 
-bool sweepKeeper(QuotaKeeper& keeper, const QuotaView& view, TimePoint now)
+bool sweepCoordinator(QuotaCoordinator& keeper, const QuotaView& view, TimePoint now)
 {
     bool hasChanged = false;
     std::erase_if(keeper.hosts, [&](auto& it) { return now - it.second.heardAt > kQuotaLostFor + view.rule.window; });
@@ -200,7 +200,7 @@
     return hasChanged;
 }
 
-std::vector<std::string> getStrictAccounts(const QuotaKeeper& keeper)
+std::vector<std::string> getStrictAccounts(const QuotaCoordinator& keeper)
 {
     std::vector<std::string> strict;
     for (auto& [name, kept] : keeper.accounts) {
@@ -210,7 +210,7 @@
     return strict;
 }
 
-std::set<std::string> getAccountsToWrite(const QuotaKeeper& keeper, TimePoint now)
+std::set<std::string> getAccountsToWrite(const QuotaCoordinator& keeper, TimePoint now)
 {
     std::set<std::string> names;
     for (auto& [name, kept] : keeper.accounts) {
@@ -236,7 +236,7 @@
     return std::clamp(left, kClosedLeast, kClosedMost);
 }
 
-QuotaGrant askKeeper(QuotaKeeper& keeper, const QuotaView& view, const std::string& host, const std::string& account, TimePoint now)
+QuotaGrant requestGrant(QuotaCoordinator& keeper, const QuotaView& view, const std::string& host, const std::string& account, TimePoint now)
 {
     auto* quota = findQuota(view.accounts, account);
     auto& kept = keeper.accounts[account];
@@ -274,7 +274,7 @@
     return unseen < unseenMost ? Admission::Begin : Admission::Ask;
 }
 
-bool mayBeginAlone(const QuotaHost& host, const std::string& account, const AccountQuota& quota, const QuotaRule& rule, size_t hosts, TimePoint now)
+bool mayBeginWithoutCoordinator(const QuotaHost& host, const std::string& account, const AccountQuota& quota, const QuotaRule& rule, size_t hosts, TimePoint now)
 {
     if (now - std::max(host.leaseSentAt, host.beganAt) < kQuotaLease)
         return false;
--- a/src/decisions/quota.h
+++ b/src/decisions/quota.h
@@ -90,7 +90,7 @@
     TimePoint coveredSince {}; // what it has begun before this is not known
 };
 
-struct QuotaKeeper {
+struct QuotaCoordinator {
     std::map<std::string, KeptAccount> accounts {};
     std::map<std::string, ReportingHost> hosts {};
     std::set<std::string> lastNear {}; // accounts that came near to their quotas lately, as the shard's keepers have written it down
@@ -124,16 +124,16 @@
     bool isNear { false }; // an account that came near to its quota is not written down as one yet
 };
 
-ReportTaken takeReport(QuotaKeeper& keeper, const QuotaView& view, const QuotaReport& report, TimePoint now);
+ReportTaken takeReport(QuotaCoordinator& keeper, const QuotaView& view, const QuotaReport& report, TimePoint now);
 // Looks at all accounts, and forgets what is too old to matter. Returns whether one has become strict, or is strict no longer. Call it every few hundred ms.
-bool sweepKeeper(QuotaKeeper& keeper, const QuotaView& view, TimePoint now);
-std::vector<std::string> getStrictAccounts(const QuotaKeeper& keeper);
+bool sweepCoordinator(QuotaCoordinator& keeper, const QuotaView& view, TimePoint now);
+std::vector<std::string> getStrictAccounts(const QuotaCoordinator& keeper);
 // What is to be written down where it outlasts all hosts, so that those that start anew know which accounts may have used their quotas up.
-std::set<std::string> getAccountsToWrite(const QuotaKeeper& keeper, TimePoint now);
+std::set<std::string> getAccountsToWrite(const QuotaCoordinator& keeper, TimePoint now);
 // Hosts that follow the keeper and reported lately.
-size_t countFollowers(const QuotaKeeper& keeper, TimePoint now);
+size_t countFollowers(const QuotaCoordinator& keeper, TimePoint now);
 // Whether any host but `self` does.
-bool hasOtherFollower(const QuotaKeeper& keeper, const std::string& self, TimePoint now);
+bool hasOtherFollower(const QuotaCoordinator& keeper, const std::string& self, TimePoint now);
 
 // Of the hosts that follow the keeper.
 struct Allowance {
@@ -142,7 +142,7 @@
     double most { 0 };
 };
 
-Allowance getAllowance(const QuotaKeeper& keeper, const QuotaView& view, const std::string& account, const AccountQuota& quota, TimePoint now);
+Allowance getAllowance(const QuotaCoordinator& keeper, const QuotaView& view, const std::string& account, const AccountQuota& quota, TimePoint now);
 
 struct QuotaGrant {
     bool isGranted { false };
@@ -150,7 +150,7 @@
     milliseconds closedFor { 0 }; // refused: no operation of the account can begin before
 };
 
-QuotaGrant askKeeper(QuotaKeeper& keeper, const QuotaView& view, const std::string& host, const std::string& account, TimePoint now);
+QuotaGrant requestGrant(QuotaCoordinator& keeper, const QuotaView& view, const std::string& host, const std::string& account, TimePoint now);
 
 //-----------------------------------------------------------------------------
 // [SECTION] Host
@@ -180,7 +180,7 @@
 // `hosts`: that there are.
 Admission admitOperation(const QuotaHost& host, const std::string& account, const AccountQuota& quota, const QuotaRule& rule, size_t hosts, TimePoint now);
 // Whether an operation may begin though no keeper answers. None may until the lease has ended: keepers have left it nothing before.
-bool mayBeginAlone(const QuotaHost& host, const std::string& account, const AccountQuota& quota, const QuotaRule& rule, size_t hosts, TimePoint now);
+bool mayBeginWithoutCoordinator(const QuotaHost& host, const std::string& account, const AccountQuota& quota, const QuotaRule& rule, size_t hosts, TimePoint now);
 void noteBegun(QuotaHost& host, const std::string& account, TimePoint now);
 void noteNotBegun(QuotaHost& host, const std::string& account);
 void noteClosed(QuotaHost& host, const std::string& account, milliseconds closedFor, TimePoint now);
--- a/src/gateway/quota_exchange.cpp
+++ b/src/gateway/quota_exchange.cpp
@@ -119,7 +119,7 @@
     if (keeper != m_shards[shard].followed) // a keeper that does not know this host has nothing for it
         report(shard, keeper, now);
     if (keeper == m_context.name) {
-        takeGrant(shard, keeper, account, decisions::askKeeper(m_shards[shard].keeper, makeView(), keeper, account, now), done);
+        takeGrant(shard, keeper, account, decisions::requestGrant(m_shards[shard].keeper, makeView(), keeper, account, now), done);
         return;
     }
     peer::Frame frame;
@@ -136,7 +136,7 @@
     auto now = Clock::now();
     auto& host = m_shards[shard].host;
     auto* quota = findQuota(account);
-    if (quota && !decisions::mayBeginAlone(host, account, *quota, m_context.rule, m_context.view.hosts.size(), now)) {
+    if (quota && !decisions::mayBeginWithoutCoordinator(host, account, *quota, m_context.rule, m_context.view.hosts.size(), now)) {
         refuse(account, "no host that counts for all answers", kAloneComesBack, done);
         return;
     }
@@ -256,7 +256,7 @@
 
 peer::QuotaAnswer QuotaExchange::answerAsk(const peer::QuotaAsk& ask)
 {
-    auto grant = decisions::askKeeper(m_shards[getShard(ask.account())].keeper, makeView(), ask.host(), ask.account(), Clock::now());
+    auto grant = decisions::requestGrant(m_shards[getShard(ask.account())].keeper, makeView(), ask.host(), ask.account(), Clock::now());
     peer::QuotaAnswer answer;
     answer.set_call(ask.call());
     answer.set_is_granted(grant.isGranted);
@@ -377,7 +377,7 @@
         decisions::forgetUses(shard.host, m_context.rule, now);
         std::erase_if(shard.links, [&](auto& it) { return now - it.second.sentAt > decisions::kQuotaLostFor; });
         noteLease(i, now);
-        if (decisions::sweepKeeper(shard.keeper, makeView(), now))
+        if (decisions::sweepCoordinator(shard.keeper, makeView(), now))
             tellStrict(i);
         writeNear(i, now);
     }
--- a/tests/unit/quota_test.cpp
+++ b/tests/unit/quota_test.cpp
@@ -38,7 +38,7 @@
     struct Host {
         std::string name;
         QuotaHost own {};
-        QuotaKeeper keeper {};
+        QuotaCoordinator keeper {};
         TimePoint beganAt {};
         TimePoint aliveFrom {};
         TimePoint cutUntil {}; // from all other hosts
@@ -197,7 +197,7 @@
 
     void decideAlone(Host& host)
     {
-        if (mayBeginAlone(host.own, kAccount, accounts.byName.at(kAccount).quota.value(), rule, m_hosts.size(), m_now))
+        if (mayBeginWithoutCoordinator(host.own, kAccount, accounts.byName.at(kAccount).quota.value(), rule, m_hosts.size(), m_now))
             begin(host);
         else
             ++refused;
@@ -221,7 +221,7 @@
                            *isDecided = true;
                        } });
         send(i, k, [this, i, k, isDecided] {
-            auto grant = askKeeper(m_hosts[k].keeper, getView(), m_hosts[i].name, kAccount, m_now);
+            auto grant = requestGrant(m_hosts[k].keeper, getView(), m_hosts[i].name, kAccount, m_now);
             send(k, i, [this, i, k, grant, isDecided] {
                 if (*isDecided)
                     return;
@@ -250,7 +250,7 @@
         if (m_now.time_since_epoch() % milliseconds(250) != milliseconds(0))
             return;
         forgetUses(host.own, rule, m_now);
-        if (sweepKeeper(host.keeper, getView(), m_now))
+        if (sweepCoordinator(host.keeper, getView(), m_now))
             tellStrict(i);
         writeNear(i);
     }
@@ -386,7 +386,7 @@
 {
     auto accounts = makeAccounts(10, 10);
     QuotaView view { {}, accounts, 2 };
-    QuotaKeeper keeper;
+    QuotaCoordinator keeper;
     takeReport(keeper, view, makeReport("b", kStart, {}), kStart);
     BOOST_TEST(!takeReport(keeper, view, makeReport("a", kStart, { { 1000, 30 } }), kStart).hasChanged);
     BOOST_TEST(takeReport(keeper, view, makeReport("b", kStart, { { 500, 30 } }), kStart).hasChanged);
@@ -398,7 +398,7 @@
         for (auto* host : { "a", "b" })
             takeReport(keeper, view, QuotaReport { host, now - milliseconds(5000), false, {} }, now);
     }
-    BOOST_TEST(sweepKeeper(keeper, view, kStart + milliseconds(5000)));
+    BOOST_TEST(sweepCoordinator(keeper, view, kStart + milliseconds(5000)));
     BOOST_TEST(getStrictAccounts(keeper).empty());
 }
 
@@ -406,11 +406,11 @@
 {
     auto accounts = makeAccounts(10, 10);
     QuotaView view { {}, accounts, 1 };
-    QuotaKeeper keeper;
+    QuotaCoordinator keeper;
     takeReport(keeper, view, makeReport("a", kStart, {}), kStart);
     unsigned granted = 0;
     QuotaGrant last;
-    while ((last = askKeeper(keeper, view, "a", kAccount, kStart)).isGranted)
+    while ((last = requestGrant(keeper, view, "a", kAccount, kStart)).isGranted)
         ++granted;
     auto limits = getQuotaLimits({ 10, 10 }, {});
     BOOST_TEST(granted <= limits.target);
@@ -426,7 +426,7 @@
     auto accounts = makeAccounts(10, 10);
     QuotaView view { {}, accounts, 2 };
     auto target = getQuotaLimits(kQuota, {}).target;
-    QuotaKeeper keeper;
+    QuotaCoordinator keeper;
     takeReport(keeper, view, makeReport("a", kStart, { { 100, 60 } }), kStart);
     takeReport(keeper, view, makeReport("b", kStart, {}), kStart);
     BOOST_TEST(getAllowance(keeper, view, kAccount, kQuota, kStart).used == 60);
@@ -446,7 +446,7 @@
 {
     auto accounts = makeAccounts(10, 10);
     QuotaView view { {}, accounts, 1 };
-    QuotaKeeper keeper;
+    QuotaCoordinator keeper;
     auto report = makeReport("a", kStart, { { 100, 5 } });
     report.isWhole = false;
     BOOST_TEST(!takeReport(keeper, view, report, kStart).isKnown);
@@ -462,7 +462,7 @@
 {
     auto accounts = makeAccounts(10, 10);
     QuotaView view { {}, accounts, 1 };
-    QuotaKeeper keeper;
+    QuotaCoordinator keeper;
     takeReport(keeper, view, makeReport("a", kStart, { { 100, 20 } }), kStart);
     auto later = kStart + milliseconds(1000);
     takeReport(keeper, view, makeReport("a", later, { { 50, 3 } }, 0, milliseconds(400)), later);
@@ -473,7 +473,7 @@
 {
     auto accounts = makeAccounts(10, 10);
     QuotaView view { {}, accounts, 10 };
-    QuotaKeeper keeper;
+    QuotaCoordinator keeper;
     auto target = getQuotaLimits(kQuota, {}).target;
     auto tell = [&](int ms) {
         for (int i = 0; i < 10; ++i)
@@ -506,7 +506,7 @@
     auto alone = kStart + milliseconds(5500);
     BOOST_TEST((admitOperation(host, kAccount, quota, {}, 91, alone) == Admission::Ask));
     unsigned begun = 0;
-    while (begun < 20 && mayBeginAlone(host, kAccount, quota, {}, 91, alone)) {
+    while (begun < 20 && mayBeginWithoutCoordinator(host, kAccount, quota, {}, 91, alone)) {
         noteBegun(host, kAccount, alone);
         ++begun;
     }
