--- a/src/decisions/quota.cpp
+++ b/src/decisions/quota.cpp
@@ -4,7 +4,7 @@
 
 namespace alderward::decisions {
 
-static constexpr milliseconds kUseStep { 100 }; // operations within one such step are told as one slot
+static constexpr milliseconds kUsageBucketWidth { 100 }; // operations within one such step are told as one slot
 static constexpr double kKeptForUnheard = 0.6; // of what may pass besides the quota
 static constexpr double kStrictAt = 0.6; // of the target: what is left lasts for the 0.3 s until all hosts know, at 7.5 times the usual demand
 static constexpr double kUnseenMost = 0.35; // of the target
@@ -14,7 +14,7 @@
 static constexpr milliseconds kNearKept { 6000 }; // an account is written down for this long after it was last near to its quota: a window, and what a write takes
 static constexpr milliseconds kClosedLeast { 20 };
 static constexpr milliseconds kClosedMost { 100 }; // more may be allowed meanwhile: hosts follow the keeper that did not, or the limit is raised
-static constexpr milliseconds kUsesKept { 20000 }; // at the host: its window when it lost its lease is looked at for as long as it has none
+static constexpr milliseconds kUnleasedUsageRetention { 20000 }; // at the host: its window when it lost its lease is looked at for as long as it has none
 
 QuotaLimits getQuotaLimits(const AccountQuota& quota, const QuotaRule& rule)
 {
@@ -27,10 +27,10 @@
 // [SECTION] Uses
 //-----------------------------------------------------------------------------
 
-void addUse(Uses& uses, TimePoint now)
+void addUsage(UsageHistory& uses, TimePoint now)
 {
     // A slot is as old as its last operation: it counts for a little too long rather than too short.
-    auto getStep = [](TimePoint at) { return at.time_since_epoch() / kUseStep; };
+    auto getStep = [](TimePoint at) { return at.time_since_epoch() / kUsageBucketWidth; };
     if (uses.empty() || getStep(uses.back().at) != getStep(now)) {
         uses.push_back({ now, 1 });
         return;
@@ -39,7 +39,7 @@
     ++uses.back().count;
 }
 
-void takeBackUse(Uses& uses)
+void removeLatestUsage(UsageHistory& uses)
 {
     if (uses.empty())
         return;
@@ -47,13 +47,13 @@
         uses.pop_back();
 }
 
-void forgetUses(Uses& uses, TimePoint before)
+void pruneUsage(UsageHistory& uses, TimePoint before)
 {
     while (!uses.empty() && uses.front().at < before)
         uses.pop_front();
 }
 
-unsigned countUses(const Uses& uses, TimePoint after, TimePoint until)
+unsigned countUsage(const UsageHistory& uses, TimePoint after, TimePoint until)
 {
     unsigned n = 0;
     for (auto& it : uses)
@@ -79,10 +79,10 @@
     return silent <= kSilentAfter ? Standing::Follows : Standing::Lost;
 }
 
-static double countTold(const ToldUses& told, const QuotaRule& rule, TimePoint until, TimePoint now)
+static double countTold(const HostUsage& told, const QuotaRule& rule, TimePoint until, TimePoint now)
 {
     auto grants = std::ranges::count_if(told.grants, [&](auto& it) { return it.second > until - rule.window; });
-    return countUses(told.uses, until - rule.window, now) + static_cast<double>(grants);
+    return countUsage(told.uses, until - rule.window, now) + static_cast<double>(grants);
 }
 
 size_t countFollowers(const QuotaCoordinator& keeper, TimePoint now)
@@ -104,7 +104,7 @@
     return wasNear ? share : kUnknownMost * share;
 }
 
-static bool isNear(const KeptAccount& kept, milliseconds within, TimePoint now)
+static bool isNear(const TrackedAccount& kept, milliseconds within, TimePoint now)
 {
     return kept.nearAt != TimePoint {} && now - kept.nearAt < within;
 }
@@ -157,9 +157,9 @@
 }
 
 // The process that reports may have started again within the window: what the one before had told still counts.
-static void takeUses(ToldUses& told, const ReportedUses& reported, TimePoint coveredSince)
+static void takeUses(HostUsage& told, const ReportedUsage& reported, TimePoint coveredSince)
 {
-    std::erase_if(told.uses, [&](const UseSlot& it) { return it.at >= coveredSince; });
+    std::erase_if(told.uses, [&](const UsageBucket& it) { return it.at >= coveredSince; });
     told.uses.insert(told.uses.end(), reported.uses.begin(), reported.uses.end());
     std::erase_if(told.grants, [&](auto& it) { return it.first <= reported.grantsTaken; });
 }
@@ -189,7 +189,7 @@
             auto known = keeper.hosts.find(host);
             bool isLost = known != keeper.hosts.end() && getStanding(known->second, now) == Standing::Lost;
             auto windowBegan = (isLost ? known->second.heardAt : now) - view.rule.window;
-            forgetUses(told.uses, windowBegan);
+            pruneUsage(told.uses, windowBegan);
             std::erase_if(told.grants, [&](auto& it) { return it.second < windowBegan; });
         }
         std::erase_if(kept.hosts, [](auto& it) { return it.second.uses.empty() && it.second.grants.empty(); });
@@ -221,7 +221,7 @@
 }
 
 // When the first operation of the window leaves it.
-static milliseconds getClosedFor(const KeptAccount& kept, const QuotaRule& rule, TimePoint now)
+static milliseconds getClosedFor(const TrackedAccount& kept, const QuotaRule& rule, TimePoint now)
 {
     auto first = now;
     for (auto& [name, told] : kept.hosts) {
@@ -270,7 +270,7 @@
         return Admission::Ask;
     // Keepers may have been lost since: all hosts together begin no more unseen than a calm account has left.
     auto unseenMost = std::max(1.0, kUnseenMost * getQuotaLimits(quota, rule).target / static_cast<double>(std::max<size_t>(1, hosts)));
-    auto unseen = it == host.accounts.end() ? 0 : countUses(it->second.uses, host.leaseSentAt, now);
+    auto unseen = it == host.accounts.end() ? 0 : countUsage(it->second.uses, host.leaseSentAt, now);
     return unseen < unseenMost ? Admission::Begin : Admission::Ask;
 }
 
@@ -285,23 +285,23 @@
         return share > 0;
     auto& uses = it->second.uses;
     bool isCountedFor = host.leaseSentAt != TimePoint {} && now - host.leaseSentAt < kQuotaLostFor;
-    auto told = !isCountedFor ? 0 : countUses(uses, host.leaseSentAt - rule.window, host.leaseSentAt);
-    return countUses(uses, now - rule.window, now) < std::max(told, share);
+    auto told = !isCountedFor ? 0 : countUsage(uses, host.leaseSentAt - rule.window, host.leaseSentAt);
+    return countUsage(uses, now - rule.window, now) < std::max(told, share);
 }
 
-void noteBegun(QuotaHost& host, const std::string& account, TimePoint now)
+void recordOperation(QuotaHost& host, const std::string& account, TimePoint now)
 {
     auto& used = host.accounts[account];
-    addUse(used.uses, now);
+    addUsage(used.uses, now);
     used.isChanged = true;
 }
 
-void noteNotBegun(QuotaHost& host, const std::string& account)
+void revertOperation(QuotaHost& host, const std::string& account)
 {
     auto it = host.accounts.find(account);
     if (it == host.accounts.end())
         return;
-    takeBackUse(it->second.uses);
+    removeLatestUsage(it->second.uses);
     it->second.isChanged = true;
 }
 
@@ -310,11 +310,11 @@
     host.accounts[account].closedUntil = now + closedFor;
 }
 
-void forgetUses(QuotaHost& host, const QuotaRule& rule, TimePoint now)
+void pruneUsage(QuotaHost& host, const QuotaRule& rule, TimePoint now)
 {
-    auto kept = hasLease(host, now) ? rule.window : std::max(kUsesKept, rule.window);
+    auto kept = hasLease(host, now) ? rule.window : std::max(kUnleasedUsageRetention, rule.window);
     for (auto& [account, used] : host.accounts)
-        forgetUses(used.uses, now - kept);
+        pruneUsage(used.uses, now - kept);
     std::erase_if(host.accounts, [&](auto& it) { return it.second.uses.empty() && now >= it.second.closedUntil && !it.second.isChanged; });
 }
 
--- a/src/decisions/quota.h
+++ b/src/decisions/quota.h
@@ -49,20 +49,20 @@
 //-----------------------------------------------------------------------------
 
 // Operations that began close to each other.
-struct UseSlot {
+struct UsageBucket {
     TimePoint at {}; // the last of them
     unsigned count { 0 };
-    friend bool operator==(const UseSlot&, const UseSlot&) = default;
+    friend bool operator==(const UsageBucket&, const UsageBucket&) = default;
 };
 
-using Uses = std::deque<UseSlot>; // oldest first
+using UsageHistory = std::deque<UsageBucket>; // oldest first
 
-void addUse(Uses& uses, TimePoint now);
+void addUsage(UsageHistory& uses, TimePoint now);
 // The newest one did not begin after all.
-void takeBackUse(Uses& uses);
-void forgetUses(Uses& uses, TimePoint before);
+void removeLatestUsage(UsageHistory& uses);
+void pruneUsage(UsageHistory& uses, TimePoint before);
 // Those behind `after`, up to `until`.
-unsigned countUses(const Uses& uses, TimePoint after, TimePoint until);
+unsigned countUsage(const UsageHistory& uses, TimePoint after, TimePoint until);
 
 //-----------------------------------------------------------------------------
 // [SECTION] Keeper
@@ -74,13 +74,13 @@
 inline constexpr milliseconds kQuotaLostFor { 12000 }; // what a silent host may begin is counted this long; its entry in the platform's store lapses after about as much
 
 // What one host says of one account, as a keeper has it.
-struct ToldUses {
-    Uses uses {};
+struct HostUsage {
+    UsageHistory uses {};
     std::map<uint64_t, TimePoint> grants {}; // given, and not in `uses` yet: by number
 };
 
-struct KeptAccount {
-    std::map<std::string, ToldUses> hosts {};
+struct TrackedAccount {
+    std::map<std::string, HostUsage> hosts {};
     bool isStrict { false };
     TimePoint nearAt {}; // when it was last known to have come near to its quota; it can be strict for what is not known, too
 };
@@ -91,16 +91,16 @@
 };
 
 struct QuotaCoordinator {
-    std::map<std::string, KeptAccount> accounts {};
+    std::map<std::string, TrackedAccount> accounts {};
     std::map<std::string, ReportingHost> hosts {};
     std::set<std::string> lastNear {}; // accounts that came near to their quotas lately, as the shard's keepers have written it down
     uint64_t lastGrant { 0 };
 };
 
 // What a host has begun of one account within the window, on the keeper's clock.
-struct ReportedUses {
+struct ReportedUsage {
     std::string account {};
-    Uses uses {};
+    UsageHistory uses {};
     uint64_t grantsTaken { 0 }; // grants up to this number are in `uses`, or were given back
 };
 
@@ -108,7 +108,7 @@
     std::string host {};
     TimePoint coveredSince {}; // the host's process has begun nothing before this that it knows of
     bool isWhole { false }; // it names all accounts of which the host has begun something in the window, not only what has changed
-    std::vector<ReportedUses> uses {};
+    std::vector<ReportedUsage> uses {};
 };
 
 // What a keeper goes by besides what it was told.
@@ -162,8 +162,8 @@
     Refuse,
 };
 
-struct UsedAccount {
-    Uses uses {};
+struct AccountUsage {
+    UsageHistory uses {};
     TimePoint closedUntil {}; // as a keeper said
     bool isChanged { false }; // since it was last told
 };
@@ -171,7 +171,7 @@
 // What a host knows of quotas, for the accounts of one shard.
 struct QuotaHost {
     TimePoint beganAt {}; // when its process began
-    std::map<std::string, UsedAccount> accounts {};
+    std::map<std::string, AccountUsage> accounts {};
     std::set<std::string> strict {};
     TimePoint leaseSentAt {}; // when the newest report was sent that a keeper answered
 };
@@ -181,9 +181,9 @@
 Admission admitOperation(const QuotaHost& host, const std::string& account, const AccountQuota& quota, const QuotaRule& rule, size_t hosts, TimePoint now);
 // Whether an operation may begin though no keeper answers. None may until the lease has ended: keepers have left it nothing before.
 bool mayBeginWithoutCoordinator(const QuotaHost& host, const std::string& account, const AccountQuota& quota, const QuotaRule& rule, size_t hosts, TimePoint now);
-void noteBegun(QuotaHost& host, const std::string& account, TimePoint now);
-void noteNotBegun(QuotaHost& host, const std::string& account);
+void recordOperation(QuotaHost& host, const std::string& account, TimePoint now);
+void revertOperation(QuotaHost& host, const std::string& account);
 void noteClosed(QuotaHost& host, const std::string& account, milliseconds closedFor, TimePoint now);
-void forgetUses(QuotaHost& host, const QuotaRule& rule, TimePoint now);
+void pruneUsage(QuotaHost& host, const QuotaRule& rule, TimePoint now);
 
 }
--- a/src/gateway/quota_exchange.cpp
+++ b/src/gateway/quota_exchange.cpp
@@ -86,7 +86,7 @@
     auto& host = m_shards[shard].host;
     switch (decisions::admitOperation(host, account, *quota, m_context.rule, m_context.view.hosts.size(), now)) {
     case decisions::Admission::Begin:
-        decisions::noteBegun(host, account, now);
+        decisions::recordOperation(host, account, now);
         m_shards[shard].isChanged = true;
         done(std::nullopt);
         return;
@@ -104,7 +104,7 @@
     if (!findQuota(account))
         return;
     auto& shard = m_shards[getShard(account)];
-    decisions::noteNotBegun(shard.host, account);
+    decisions::revertOperation(shard.host, account);
     shard.isChanged = true;
 }
 
@@ -140,7 +140,7 @@
         refuse(account, "no host that counts for all answers", kAloneComesBack, done);
         return;
     }
-    decisions::noteBegun(host, account, now);
+    decisions::recordOperation(host, account, now);
     m_shards[shard].isChanged = true;
     done(std::nullopt);
 }
@@ -154,7 +154,7 @@
         refuse(account, "the quota is used up", grant.closedFor, done);
         return;
     }
-    decisions::noteBegun(host, account, now);
+    decisions::recordOperation(host, account, now);
     auto& taken = m_shards[shard].links[keeper].grantsTaken[account];
     taken = std::max(taken, grant.number);
     m_shards[shard].isChanged = true;
@@ -236,7 +236,7 @@
     auto shard = wire.shard() % kShards;
     decisions::QuotaReport report { wire.host(), now - milliseconds(wire.covered_ms()), wire.is_whole(), {} };
     for (auto& it : wire.uses()) {
-        decisions::ReportedUses uses { it.account(), {}, it.grants_taken() };
+        decisions::ReportedUsage uses { it.account(), {}, it.grants_taken() };
         for (int i = 0; i < std::min(it.age_ms_size(), it.count_size()); ++i)
             uses.uses.push_back({ now - milliseconds(it.age_ms(i)), it.count(i) });
         report.uses.push_back(std::move(uses));
@@ -374,7 +374,7 @@
     m_sweptAt = now;
     for (size_t i = 0; i < m_shards.size(); ++i) {
         auto& shard = m_shards[i];
-        decisions::forgetUses(shard.host, m_context.rule, now);
+        decisions::pruneUsage(shard.host, m_context.rule, now);
         std::erase_if(shard.links, [&](auto& it) { return now - it.second.sentAt > decisions::kQuotaLostFor; });
         noteLease(i, now);
         if (decisions::sweepCoordinator(shard.keeper, makeView(), now))
--- a/tests/unit/quota_test.cpp
+++ b/tests/unit/quota_test.cpp
@@ -191,7 +191,7 @@
 
     void begin(Host& host)
     {
-        noteBegun(host.own, kAccount, m_now);
+        recordOperation(host.own, kAccount, m_now);
         begun.push_back(m_now);
     }
 
@@ -249,7 +249,7 @@
             report(i);
         if (m_now.time_since_epoch() % milliseconds(250) != milliseconds(0))
             return;
-        forgetUses(host.own, rule, m_now);
+        pruneUsage(host.own, rule, m_now);
         if (sweepCoordinator(host.keeper, getView(), m_now))
             tellStrict(i);
         writeNear(i);
@@ -368,18 +368,18 @@
 
 BOOST_AUTO_TEST_CASE(uses_are_told_in_slots_and_count_for_a_little_too_long_at_most)
 {
-    Uses uses;
+    UsageHistory uses;
     for (int ms = 0; ms < 1000; ++ms)
-        addUse(uses, kStart + milliseconds(ms));
+        addUsage(uses, kStart + milliseconds(ms));
     BOOST_TEST(uses.size() <= 20u);
-    BOOST_TEST(countUses(uses, kStart - milliseconds(1), kStart + milliseconds(1000)) == 1000u);
+    BOOST_TEST(countUsage(uses, kStart - milliseconds(1), kStart + milliseconds(1000)) == 1000u);
     for (int ms = 0; ms < 1000; ms += 37) {
-        auto counted = countUses(uses, kStart + milliseconds(ms), kStart + milliseconds(1000));
+        auto counted = countUsage(uses, kStart + milliseconds(ms), kStart + milliseconds(1000));
         BOOST_TEST(counted >= 1000u - static_cast<unsigned>(ms) - 1);
         BOOST_TEST(counted <= 1000u - static_cast<unsigned>(ms) + 200);
     }
-    takeBackUse(uses);
-    BOOST_TEST(countUses(uses, kStart - milliseconds(1), kStart + milliseconds(1000)) == 999u);
+    removeLatestUsage(uses);
+    BOOST_TEST(countUsage(uses, kStart - milliseconds(1), kStart + milliseconds(1000)) == 999u);
 }
 
 BOOST_AUTO_TEST_CASE(an_account_near_its_quota_is_strict_and_calm_again_later)
@@ -502,12 +502,12 @@
     BOOST_TEST((admitOperation(host, kAccount, quota, {}, 91, kStart) == Admission::Ask));
     host.strict = {};
     for (int i = 0; i < 4; ++i)
-        noteBegun(host, kAccount, kStart - milliseconds(100));
+        recordOperation(host, kAccount, kStart - milliseconds(100));
     auto alone = kStart + milliseconds(5500);
     BOOST_TEST((admitOperation(host, kAccount, quota, {}, 91, alone) == Admission::Ask));
     unsigned begun = 0;
     while (begun < 20 && mayBeginWithoutCoordinator(host, kAccount, quota, {}, 91, alone)) {
-        noteBegun(host, kAccount, alone);
+        recordOperation(host, kAccount, alone);
         ++begun;
     }
     BOOST_TEST(begun == 4u);
