--- a/src/decisions/quota.cpp
+++ b/src/decisions/quota.cpp
@@ -12,8 +12,8 @@
 static constexpr milliseconds kSilentAfter { 750 }; // a host reports each half second at least; one that has not may have lost its lease
 static constexpr double kUnknownMost = 0.5; // of the target, where nothing at all is known of the window and the account was not near to its quota: as much is left to it as it usually needs
 static constexpr milliseconds kNearKept { 6000 }; // an account is written down for this long after it was last near to its quota: a window, and what a write takes
-static constexpr milliseconds kClosedLeast { 20 };
-static constexpr milliseconds kClosedMost { 100 }; // more may be allowed meanwhile: hosts follow the keeper that did not, or the limit is raised
+static constexpr milliseconds kMinBlockTime { 20 };
+static constexpr milliseconds kMaxBlockTime { 100 }; // more may be allowed meanwhile: hosts follow the keeper that did not, or the limit is raised
 static constexpr milliseconds kUnleasedUsageRetention { 20000 }; // at the host: its window when it lost its lease is looked at for as long as it has none
 
 QuotaLimits getQuotaLimits(const AccountQuota& quota, const QuotaRule& rule)
@@ -221,7 +221,7 @@
 }
 
 // When the first operation of the window leaves it.
-static milliseconds getClosedFor(const TrackedAccount& kept, const QuotaRule& rule, TimePoint now)
+static milliseconds getBlockTime(const TrackedAccount& kept, const QuotaRule& rule, TimePoint now)
 {
     auto first = now;
     for (auto& [name, told] : kept.hosts) {
@@ -233,7 +233,7 @@
         }
     }
     auto left = std::chrono::duration_cast<milliseconds>(first + rule.window - now);
-    return std::clamp(left, kClosedLeast, kClosedMost);
+    return std::clamp(left, kMinBlockTime, kMaxBlockTime);
 }
 
 QuotaGrant requestGrant(QuotaCoordinator& keeper, const QuotaView& view, const std::string& host, const std::string& account, TimePoint now)
@@ -247,7 +247,7 @@
         isGranted = allowance.used + 1 <= allowance.most;
     }
     if (!isGranted)
-        return { false, 0, getClosedFor(kept, view.rule, now) };
+        return { false, 0, getBlockTime(kept, view.rule, now) };
     told.grants[++keeper.lastGrant] = now;
     return { true, keeper.lastGrant, {} };
 }
@@ -264,7 +264,7 @@
 Admission admitOperation(const QuotaHost& host, const std::string& account, const AccountQuota& quota, const QuotaRule& rule, size_t hosts, TimePoint now)
 {
     auto it = host.accounts.find(account);
-    if (it != host.accounts.end() && now < it->second.closedUntil)
+    if (it != host.accounts.end() && now < it->second.blockedUntil)
         return Admission::Refuse;
     if (!hasLease(host, now) || host.strict.contains(account))
         return Admission::Ask;
@@ -305,9 +305,9 @@
     it->second.isChanged = true;
 }
 
-void noteClosed(QuotaHost& host, const std::string& account, milliseconds closedFor, TimePoint now)
+void blockAccount(QuotaHost& host, const std::string& account, milliseconds blockedFor, TimePoint now)
 {
-    host.accounts[account].closedUntil = now + closedFor;
+    host.accounts[account].blockedUntil = now + blockedFor;
 }
 
 void pruneUsage(QuotaHost& host, const QuotaRule& rule, TimePoint now)
@@ -315,7 +315,7 @@
     auto kept = hasLease(host, now) ? rule.window : std::max(kUnleasedUsageRetention, rule.window);
     for (auto& [account, used] : host.accounts)
         pruneUsage(used.uses, now - kept);
-    std::erase_if(host.accounts, [&](auto& it) { return it.second.uses.empty() && now >= it.second.closedUntil && !it.second.isChanged; });
+    std::erase_if(host.accounts, [&](auto& it) { return it.second.uses.empty() && now >= it.second.blockedUntil && !it.second.isChanged; });
 }
 
 }
--- a/src/decisions/quota.h
+++ b/src/decisions/quota.h
@@ -147,7 +147,7 @@
 struct QuotaGrant {
     bool isGranted { false };
     uint64_t number { 0 }; // of the grant, for the host's report
-    milliseconds closedFor { 0 }; // refused: no operation of the account can begin before
+    milliseconds blockedFor { 0 }; // refused: no operation of the account can begin before
 };
 
 QuotaGrant requestGrant(QuotaCoordinator& keeper, const QuotaView& view, const std::string& host, const std::string& account, TimePoint now);
@@ -164,7 +164,7 @@
 
 struct AccountUsage {
     UsageHistory uses {};
-    TimePoint closedUntil {}; // as a keeper said
+    TimePoint blockedUntil {}; // as a keeper said
     bool isChanged { false }; // since it was last told
 };
 
@@ -183,7 +183,7 @@
 bool mayBeginWithoutCoordinator(const QuotaHost& host, const std::string& account, const AccountQuota& quota, const QuotaRule& rule, size_t hosts, TimePoint now);
 void recordOperation(QuotaHost& host, const std::string& account, TimePoint now);
 void revertOperation(QuotaHost& host, const std::string& account);
-void noteClosed(QuotaHost& host, const std::string& account, milliseconds closedFor, TimePoint now);
+void blockAccount(QuotaHost& host, const std::string& account, milliseconds blockedFor, TimePoint now);
 void pruneUsage(QuotaHost& host, const QuotaRule& rule, TimePoint now);
 
 }
--- a/src/gateway/quota_exchange.cpp
+++ b/src/gateway/quota_exchange.cpp
@@ -91,7 +91,7 @@
         done(std::nullopt);
         return;
     case decisions::Admission::Refuse:
-        refuse(account, "the quota is used up", duration_cast<milliseconds>(host.accounts[account].closedUntil - now), done);
+        refuse(account, "the quota is used up", duration_cast<milliseconds>(host.accounts[account].blockedUntil - now), done);
         return;
     case decisions::Admission::Ask:
         ask(shard, account, std::move(done));
@@ -150,8 +150,8 @@
     auto now = Clock::now();
     auto& host = m_shards[shard].host;
     if (!grant.isGranted) {
-        decisions::noteClosed(host, account, grant.closedFor, now);
-        refuse(account, "the quota is used up", grant.closedFor, done);
+        decisions::blockAccount(host, account, grant.blockedFor, now);
+        refuse(account, "the quota is used up", grant.blockedFor, done);
         return;
     }
     decisions::recordOperation(host, account, now);
@@ -261,7 +261,7 @@
     answer.set_call(ask.call());
     answer.set_is_granted(grant.isGranted);
     answer.set_grant(grant.number);
-    answer.set_closed_ms(static_cast<uint32_t>(grant.closedFor.count()));
+    answer.set_closed_ms(static_cast<uint32_t>(grant.blockedFor.count()));
     return answer;
 }
 
--- a/tests/unit/quota_test.cpp
+++ b/tests/unit/quota_test.cpp
@@ -228,7 +228,7 @@
                 *isDecided = true;
                 auto& host = m_hosts[i];
                 if (!grant.isGranted) {
-                    noteClosed(host.own, kAccount, grant.closedFor, m_now);
+                    blockAccount(host.own, kAccount, grant.blockedFor, m_now);
                     ++refused;
                     return;
                 }
@@ -415,7 +415,7 @@
     auto limits = getQuotaLimits({ 10, 10 }, {});
     BOOST_TEST(granted <= limits.target);
     BOOST_TEST(granted + 1 > limits.target);
-    BOOST_TEST(last.closedFor.count() > 0);
+    BOOST_TEST(last.blockedFor.count() > 0);
     takeReport(keeper, view, makeReport("a", kStart, { { 0, granted } }, granted), kStart);
     BOOST_TEST(getAllowance(keeper, view, kAccount, kQuota, kStart).used == granted);
 }
@@ -511,7 +511,7 @@
         ++begun;
     }
     BOOST_TEST(begun == 4u);
-    noteClosed(host, kAccount, milliseconds(100), alone);
+    blockAccount(host, kAccount, milliseconds(100), alone);
     BOOST_TEST((admitOperation(host, kAccount, quota, {}, 91, alone) == Admission::Refuse));
 }
 
