--- a/src/decisions/quota.h
+++ b/src/decisions/quota.h
@@ -68,10 +68,10 @@
 // [SECTION] Keeper
 //-----------------------------------------------------------------------------
 
-inline constexpr milliseconds kQuotaLease { 1250 }; // from the moment at which a report was sent that a keeper answered: two answers may be lost
+inline constexpr milliseconds kQuotaLeaseTime { 1250 }; // from the moment at which a report was sent that a keeper answered: two answers may be lost
 inline constexpr milliseconds kQuotaReportInterval { 250 }; // at most, between an operation's begin and the word of it
-inline constexpr milliseconds kQuotaLeaseInterval { 500 }; // between two reports where nothing began
-inline constexpr milliseconds kQuotaLostFor { 12000 }; // what a silent host may begin is counted this long; its entry in the platform's store lapses after about as much
+inline constexpr milliseconds kQuotaIdleReportInterval { 500 }; // between two reports where nothing began
+inline constexpr milliseconds kQuotaSilentHostTimeout { 12000 }; // what a silent host may begin is counted this long; its entry in the platform's store lapses after about as much
 
 // What one host says of one account, as a keeper has it.
 struct HostUsage {
@@ -82,19 +82,19 @@
 struct TrackedAccount {
     std::map<std::string, HostUsage> hosts {};
     bool isStrict { false };
-    TimePoint nearAt {}; // when it was last known to have come near to its quota; it can be strict for what is not known, too
+    TimePoint nearQuotaAt {}; // when it was last known to have come near to its quota; it can be strict for what is not known, too
 };
 
 struct ReportingHost {
-    TimePoint heardAt {};
-    TimePoint coveredSince {}; // what it has begun before this is not known
+    TimePoint lastReportAt {};
+    TimePoint historyStartsAt {}; // what it has begun before this is not known
 };
 
 struct QuotaCoordinator {
     std::map<std::string, TrackedAccount> accounts {};
     std::map<std::string, ReportingHost> hosts {};
-    std::set<std::string> lastNear {}; // accounts that came near to their quotas lately, as the shard's keepers have written it down
-    uint64_t lastGrant { 0 };
+    std::set<std::string> storedNearQuota {}; // accounts that came near to their quotas lately, as the shard's keepers have written it down
+    uint64_t lastGrantNumber { 0 };
 };
 
 // What a host has begun of one account within the window, on the keeper's clock.
@@ -106,7 +106,7 @@
 
 struct QuotaReport {
     std::string host {};
-    TimePoint coveredSince {}; // the host's process has begun nothing before this that it knows of
+    TimePoint historyStartsAt {}; // the host's process has begun nothing before this that it knows of
     bool isWhole { false }; // it names all accounts of which the host has begun something in the window, not only what has changed
     std::vector<ReportedUsage> uses {};
 };
@@ -118,22 +118,22 @@
     size_t hosts { 1 }; // that there are, this one included
 };
 
-struct ReportTaken {
-    bool isKnown { true }; // false: the keeper lacks what the host told before, and takes only a whole report
-    bool hasChanged { false }; // an account has become strict, or is strict no longer
-    bool isNear { false }; // an account that came near to its quota is not written down as one yet
+struct ReportResult {
+    bool isAccepted { true }; // false: the keeper lacks what the host told before, and takes only a whole report
+    bool hasStrictChanged { false }; // an account has become strict, or is strict no longer
+    bool hasNewNearQuota { false }; // an account that came near to its quota is not written down as one yet
 };
 
-ReportTaken takeReport(QuotaCoordinator& keeper, const QuotaView& view, const QuotaReport& report, TimePoint now);
+ReportResult applyReport(QuotaCoordinator& keeper, const QuotaView& view, const QuotaReport& report, TimePoint now);
 // Looks at all accounts, and forgets what is too old to matter. Returns whether one has become strict, or is strict no longer. Call it every few hundred ms.
 bool sweepCoordinator(QuotaCoordinator& keeper, const QuotaView& view, TimePoint now);
 std::vector<std::string> getStrictAccounts(const QuotaCoordinator& keeper);
 // What is to be written down where it outlasts all hosts, so that those that start anew know which accounts may have used their quotas up.
-std::set<std::string> getAccountsToWrite(const QuotaCoordinator& keeper, TimePoint now);
+std::set<std::string> getNearQuotaAccounts(const QuotaCoordinator& keeper, TimePoint now);
 // Hosts that follow the keeper and reported lately.
-size_t countFollowers(const QuotaCoordinator& keeper, TimePoint now);
+size_t countReportingHosts(const QuotaCoordinator& keeper, TimePoint now);
 // Whether any host but `self` does.
-bool hasOtherFollower(const QuotaCoordinator& keeper, const std::string& self, TimePoint now);
+bool hasOtherReportingHost(const QuotaCoordinator& keeper, const std::string& self, TimePoint now);
 
 // Of the hosts that follow the keeper.
 struct Allowance {
@@ -173,7 +173,7 @@
     TimePoint beganAt {}; // when its process began
     std::map<std::string, AccountUsage> accounts {};
     std::set<std::string> strict {};
-    TimePoint leaseSentAt {}; // when the newest report was sent that a keeper answered
+    TimePoint leaseStartedAt {}; // when the newest report was sent that a keeper answered
 };
 
 bool hasLease(const QuotaHost& host, TimePoint now);
--- a/src/gateway/quota_exchange.cpp
+++ b/src/gateway/quota_exchange.cpp
@@ -55,7 +55,7 @@
 // A host that hears no other would count for itself alone: it may begin what the others' keepers leave it, and no more.
 bool QuotaExchange::isAlone(size_t shard, TimePoint now) const
 {
-    return m_context.view.hosts.size() > 1 && !decisions::hasOtherFollower(m_shards[shard].keeper, m_context.name, now);
+    return m_context.view.hosts.size() > 1 && !decisions::hasOtherReportingHost(m_shards[shard].keeper, m_context.name, now);
 }
 
 // The host that keeps count for a shard, as this one sees it; empty: none does.
@@ -241,13 +241,13 @@
             uses.uses.push_back({ now - milliseconds(it.age_ms(i)), it.count(i) });
         report.uses.push_back(std::move(uses));
     }
-    auto taken = decisions::takeReport(m_shards[shard].keeper, makeView(), report, now);
-    if (taken.hasChanged)
+    auto taken = decisions::applyReport(m_shards[shard].keeper, makeView(), report, now);
+    if (taken.hasStrictChanged)
         tellStrict(shard);
-    if (taken.isNear)
+    if (taken.hasNewNearQuota)
         writeNear(shard, now);
     auto state = makeState(shard);
-    if (taken.isKnown)
+    if (taken.isAccepted)
         state.set_number(wire.number());
     else
         state.set_needs_whole(true);
@@ -277,17 +277,17 @@
 void QuotaExchange::takeWritten(size_t shard, const std::set<std::string>& accounts)
 {
     if (shard < m_shards.size())
-        m_shards[shard].keeper.lastNear = accounts;
+        m_shards[shard].keeper.storedNearQuota = accounts;
 }
 
 // A host that has just started knows too little to strike names off.
 void QuotaExchange::writeNear(size_t index, TimePoint now)
 {
     auto& shard = m_shards[index];
-    auto accounts = decisions::getAccountsToWrite(shard.keeper, now);
-    bool isNew = !std::ranges::includes(shard.keeper.lastNear, accounts);
+    auto accounts = decisions::getNearQuotaAccounts(shard.keeper, now);
+    bool isNew = !std::ranges::includes(shard.keeper.storedNearQuota, accounts);
     bool mayForget = shard.followed == m_context.name && now - m_beganAt > m_context.rule.window + kForgetAfter;
-    bool isDue = isNew || (mayForget && accounts != shard.keeper.lastNear);
+    bool isDue = isNew || (mayForget && accounts != shard.keeper.storedNearQuota);
     if (!isDue || shard.isWriting || now - shard.writtenAt < kWriteInterval)
         return;
     shard.isWriting = true;
@@ -318,7 +318,7 @@
     if (keeper == shard.followed) {
         shard.host.strict = { state.strict().begin(), state.strict().end() };
         if (state.number() == link.sent)
-            shard.host.leaseSentAt = std::max(shard.host.leaseSentAt, link.sentAt);
+            shard.host.leaseStartedAt = std::max(shard.host.leaseStartedAt, link.sentAt);
     }
     noteLease(index, now);
 }
@@ -364,7 +364,7 @@
     endLateAsks(now);
     for (size_t i = 0; i < m_shards.size(); ++i) {
         auto passed = now - m_shards[i].reportedAt;
-        auto interval = m_shards[i].isChanged ? decisions::kQuotaReportInterval : decisions::kQuotaLeaseInterval;
+        auto interval = m_shards[i].isChanged ? decisions::kQuotaReportInterval : decisions::kQuotaIdleReportInterval;
         auto keeper = findKeeper(i, now);
         if (passed >= interval || keeper != m_shards[i].followed)
             report(i, keeper, now);
@@ -375,7 +375,7 @@
     for (size_t i = 0; i < m_shards.size(); ++i) {
         auto& shard = m_shards[i];
         decisions::pruneUsage(shard.host, m_context.rule, now);
-        std::erase_if(shard.links, [&](auto& it) { return now - it.second.sentAt > decisions::kQuotaLostFor; });
+        std::erase_if(shard.links, [&](auto& it) { return now - it.second.sentAt > decisions::kQuotaSilentHostTimeout; });
         noteLease(i, now);
         if (decisions::sweepCoordinator(shard.keeper, makeView(), now))
             tellStrict(i);
--- a/tests/unit/quota_test.cpp
+++ b/tests/unit/quota_test.cpp
@@ -153,7 +153,7 @@
         host.beganAt = at;
         host.aliveFrom = at;
         host.own.beganAt = at;
-        host.keeper.lastNear = m_written;
+        host.keeper.storedNearQuota = m_written;
     }
 
     bool isUp(size_t i) const { return m_now >= m_hosts[i].aliveFrom; }
@@ -182,7 +182,7 @@
             auto unanswered = host.unansweredSince.find(k);
             bool isLate = unanswered != host.unansweredSince.end() && m_now - unanswered->second > milliseconds(600);
             bool isPassedOver = isLate && m_now - host.sentAt.at(k) < milliseconds(2000);
-            bool isAlone = k == i && m_hosts.size() > 1 && !hasOtherFollower(host.keeper, host.name, m_now);
+            bool isAlone = k == i && m_hosts.size() > 1 && !hasOtherReportingHost(host.keeper, host.name, m_now);
             if (!isPassedOver && !isAlone)
                 return k;
         }
@@ -245,7 +245,7 @@
             return;
         auto used = host.own.accounts.find(kAccount);
         bool isChanged = used != host.own.accounts.end() && used->second.isChanged;
-        if (findKeeper(i) != host.followed || m_now - host.reportedAt >= (isChanged ? kQuotaReportInterval : kQuotaLeaseInterval))
+        if (findKeeper(i) != host.followed || m_now - host.reportedAt >= (isChanged ? kQuotaReportInterval : kQuotaIdleReportInterval))
             report(i);
         if (m_now.time_since_epoch() % milliseconds(250) != milliseconds(0))
             return;
@@ -257,13 +257,13 @@
 
     void writeNear(size_t i)
     {
-        auto near = getAccountsToWrite(m_hosts[i].keeper, m_now);
+        auto near = getNearQuotaAccounts(m_hosts[i].keeper, m_now);
         bool mayForget = m_hosts[i].followed == i && m_now - m_hosts[i].beganAt > rule.window + milliseconds(1000);
         if (std::ranges::includes(m_written, near) && !mayForget)
             return;
         m_written = near;
         for (auto& it : m_hosts)
-            it.keeper.lastNear = m_written;
+            it.keeper.storedNearQuota = m_written;
     }
 
     void report(size_t i)
@@ -290,13 +290,13 @@
         host.unansweredSince.try_emplace(k, m_now);
         host.sentAt[k] = m_now;
         send(i, k, [this, i, k, sentAt = m_now, report] {
-            auto taken = takeReport(m_hosts[k].keeper, getView(), report, m_now);
-            if (taken.hasChanged)
+            auto taken = applyReport(m_hosts[k].keeper, getView(), report, m_now);
+            if (taken.hasStrictChanged)
                 tellStrict(k);
-            if (taken.isNear)
+            if (taken.hasNewNearQuota)
                 writeNear(k);
             auto strict = getStrictAccounts(m_hosts[k].keeper);
-            send(k, i, [this, i, k, sentAt, strict, isKnown = taken.isKnown] {
+            send(k, i, [this, i, k, sentAt, strict, isKnown = taken.isAccepted] {
                 if (!isKnown)
                     m_hosts[i].toldWhole.erase(k);
                 takeState(i, k, isKnown ? std::optional(sentAt) : std::nullopt, strict);
@@ -315,7 +315,7 @@
             return;
         host.own.strict = { strict.begin(), strict.end() };
         if (sentAt)
-            host.own.leaseSentAt = std::max(host.own.leaseSentAt, *sentAt);
+            host.own.leaseStartedAt = std::max(host.own.leaseStartedAt, *sentAt);
     }
 
     void tellStrict(size_t k)
@@ -387,16 +387,16 @@
     auto accounts = makeAccounts(10, 10);
     QuotaView view { {}, accounts, 2 };
     QuotaCoordinator keeper;
-    takeReport(keeper, view, makeReport("b", kStart, {}), kStart);
-    BOOST_TEST(!takeReport(keeper, view, makeReport("a", kStart, { { 1000, 30 } }), kStart).hasChanged);
-    BOOST_TEST(takeReport(keeper, view, makeReport("b", kStart, { { 500, 30 } }), kStart).hasChanged);
+    applyReport(keeper, view, makeReport("b", kStart, {}), kStart);
+    BOOST_TEST(!applyReport(keeper, view, makeReport("a", kStart, { { 1000, 30 } }), kStart).hasStrictChanged);
+    BOOST_TEST(applyReport(keeper, view, makeReport("b", kStart, { { 500, 30 } }), kStart).hasStrictChanged);
     BOOST_TEST(getStrictAccounts(keeper) == std::vector<std::string>({ kAccount }), boost::test_tools::per_element());
-    takeReport(keeper, view, makeReport("b", kStart, { { 500, 30 } }), kStart); // told twice, counted once
+    applyReport(keeper, view, makeReport("b", kStart, { { 500, 30 } }), kStart); // told twice, counted once
     BOOST_TEST(getAllowance(keeper, view, kAccount, kQuota, kStart).used == 60);
     for (int i = 1; i <= 50; ++i) { // both go on reporting
         auto now = kStart + milliseconds(100 * i);
         for (auto* host : { "a", "b" })
-            takeReport(keeper, view, QuotaReport { host, now - milliseconds(5000), false, {} }, now);
+            applyReport(keeper, view, QuotaReport { host, now - milliseconds(5000), false, {} }, now);
     }
     BOOST_TEST(sweepCoordinator(keeper, view, kStart + milliseconds(5000)));
     BOOST_TEST(getStrictAccounts(keeper).empty());
@@ -407,7 +407,7 @@
     auto accounts = makeAccounts(10, 10);
     QuotaView view { {}, accounts, 1 };
     QuotaCoordinator keeper;
-    takeReport(keeper, view, makeReport("a", kStart, {}), kStart);
+    applyReport(keeper, view, makeReport("a", kStart, {}), kStart);
     unsigned granted = 0;
     QuotaGrant last;
     while ((last = requestGrant(keeper, view, "a", kAccount, kStart)).isGranted)
@@ -416,7 +416,7 @@
     BOOST_TEST(granted <= limits.target);
     BOOST_TEST(granted + 1 > limits.target);
     BOOST_TEST(last.blockedFor.count() > 0);
-    takeReport(keeper, view, makeReport("a", kStart, { { 0, granted } }, granted), kStart);
+    applyReport(keeper, view, makeReport("a", kStart, { { 0, granted } }, granted), kStart);
     BOOST_TEST(getAllowance(keeper, view, kAccount, kQuota, kStart).used == granted);
 }
 
@@ -427,16 +427,16 @@
     QuotaView view { {}, accounts, 2 };
     auto target = getQuotaLimits(kQuota, {}).target;
     QuotaCoordinator keeper;
-    takeReport(keeper, view, makeReport("a", kStart, { { 100, 60 } }), kStart);
-    takeReport(keeper, view, makeReport("b", kStart, {}), kStart);
+    applyReport(keeper, view, makeReport("a", kStart, { { 100, 60 } }), kStart);
+    applyReport(keeper, view, makeReport("b", kStart, {}), kStart);
     BOOST_TEST(getAllowance(keeper, view, kAccount, kQuota, kStart).used == 60);
     BOOST_TEST(getAllowance(keeper, view, kAccount, kQuota, kStart).most == target);
     auto later = kStart + milliseconds(6000);
-    takeReport(keeper, view, makeReport("b", later, {}), later);
+    applyReport(keeper, view, makeReport("b", later, {}), later);
     BOOST_TEST(getAllowance(keeper, view, kAccount, kQuota, later).used == 0);
     BOOST_TEST(getAllowance(keeper, view, kAccount, kQuota, later).most == target - 60);
-    later = kStart + kQuotaLostFor;
-    takeReport(keeper, view, makeReport("b", later, {}), later);
+    later = kStart + kQuotaSilentHostTimeout;
+    applyReport(keeper, view, makeReport("b", later, {}), later);
     BOOST_TEST(getAllowance(keeper, view, kAccount, kQuota, later).most == target / 2);
     view.hosts = 1;
     BOOST_TEST(getAllowance(keeper, view, kAccount, kQuota, later).most == target);
@@ -449,13 +449,13 @@
     QuotaCoordinator keeper;
     auto report = makeReport("a", kStart, { { 100, 5 } });
     report.isWhole = false;
-    BOOST_TEST(!takeReport(keeper, view, report, kStart).isKnown);
-    BOOST_TEST(countFollowers(keeper, kStart) == 0u);
+    BOOST_TEST(!applyReport(keeper, view, report, kStart).isAccepted);
+    BOOST_TEST(countReportingHosts(keeper, kStart) == 0u);
     report.isWhole = true;
-    BOOST_TEST(takeReport(keeper, view, report, kStart).isKnown);
+    BOOST_TEST(applyReport(keeper, view, report, kStart).isAccepted);
     report.isWhole = false;
-    BOOST_TEST(takeReport(keeper, view, report, kStart).isKnown);
-    BOOST_TEST(countFollowers(keeper, kStart) == 1u);
+    BOOST_TEST(applyReport(keeper, view, report, kStart).isAccepted);
+    BOOST_TEST(countReportingHosts(keeper, kStart) == 1u);
 }
 
 BOOST_AUTO_TEST_CASE(a_host_that_started_again_has_forgotten_what_its_keeper_has_not)
@@ -463,9 +463,9 @@
     auto accounts = makeAccounts(10, 10);
     QuotaView view { {}, accounts, 1 };
     QuotaCoordinator keeper;
-    takeReport(keeper, view, makeReport("a", kStart, { { 100, 20 } }), kStart);
+    applyReport(keeper, view, makeReport("a", kStart, { { 100, 20 } }), kStart);
     auto later = kStart + milliseconds(1000);
-    takeReport(keeper, view, makeReport("a", later, { { 50, 3 } }, 0, milliseconds(400)), later);
+    applyReport(keeper, view, makeReport("a", later, { { 50, 3 } }, 0, milliseconds(400)), later);
     BOOST_TEST(getAllowance(keeper, view, kAccount, kQuota, later).used == 23);
 }
 
@@ -477,7 +477,7 @@
     auto target = getQuotaLimits(kQuota, {}).target;
     auto tell = [&](int ms) {
         for (int i = 0; i < 10; ++i)
-            takeReport(keeper, view, makeReport("h" + std::to_string(i), kStart + milliseconds(ms), {}, 0, milliseconds(ms)), kStart + milliseconds(ms));
+            applyReport(keeper, view, makeReport("h" + std::to_string(i), kStart + milliseconds(ms), {}, 0, milliseconds(ms)), kStart + milliseconds(ms));
         return getAllowance(keeper, view, kAccount, kQuota, kStart + milliseconds(ms)).used;
     };
     BOOST_TEST(tell(0) > 0.45 * target);
@@ -485,7 +485,7 @@
     BOOST_TEST(tell(4900) == tell(0));
     BOOST_TEST(tell(5000) == 0);
     keeper.hosts.clear();
-    keeper.lastNear = { kAccount }; // all of it may have been used at the last moment
+    keeper.storedNearQuota = { kAccount }; // all of it may have been used at the last moment
     BOOST_TEST(tell(0) > 0.99 * target);
     BOOST_TEST(tell(4900) > 0.99 * target);
     BOOST_TEST(tell(5000) == 0);
@@ -496,7 +496,7 @@
     QuotaHost host;
     AccountQuota quota { 10, 10 };
     BOOST_TEST((admitOperation(host, kAccount, quota, {}, 91, kStart) == Admission::Ask));
-    host.leaseSentAt = kStart;
+    host.leaseStartedAt = kStart;
     BOOST_TEST((admitOperation(host, kAccount, quota, {}, 91, kStart) == Admission::Begin));
     host.strict = { kAccount };
     BOOST_TEST((admitOperation(host, kAccount, quota, {}, 91, kStart) == Admission::Ask));
