--- a/src/decisions/quota.cpp
+++ b/src/decisions/quota.cpp
@@ -19,8 +19,8 @@
 QuotaLimits getQuotaLimits(const AccountQuota& quota, const QuotaRule& rule)
 {
     auto allowed = quota.perSecond * std::chrono::duration<double>(rule.window).count() + quota.burst;
-    auto besides = allowed * rule.over + rule.slack;
-    return { allowed + besides, allowed + besides * (1 - kSilentHostReserve) };
+    auto tolerance = allowed * rule.toleranceShare + rule.toleranceCount;
+    return { allowed + tolerance, allowed + tolerance * (1 - kSilentHostReserve) };
 }
 
 //-----------------------------------------------------------------------------
@@ -79,20 +79,20 @@
     return silent <= kReportTimeout ? ReportingStatus::Reporting : ReportingStatus::Silent;
 }
 
-static double countReported(const HostUsage& told, const QuotaRule& rule, TimePoint until, TimePoint now)
+static double countReported(const HostUsage& usage, const QuotaRule& rule, TimePoint until, TimePoint now)
 {
-    auto grants = std::ranges::count_if(told.grants, [&](auto& it) { return it.second > until - rule.window; });
-    return countUsage(told.uses, until - rule.window, now) + static_cast<double>(grants);
+    auto grants = std::ranges::count_if(usage.grants, [&](auto& it) { return it.second > until - rule.window; });
+    return countUsage(usage.uses, until - rule.window, now) + static_cast<double>(grants);
 }
 
-size_t countReportingHosts(const QuotaCoordinator& keeper, TimePoint now)
+size_t countReportingHosts(const QuotaCoordinator& coordinator, TimePoint now)
 {
-    return static_cast<size_t>(std::ranges::count_if(keeper.hosts, [&](auto& it) { return getReportingStatus(it.second, now) == ReportingStatus::Reporting; }));
+    return static_cast<size_t>(std::ranges::count_if(coordinator.hosts, [&](auto& it) { return getReportingStatus(it.second, now) == ReportingStatus::Reporting; }));
 }
 
-bool hasOtherReportingHost(const QuotaCoordinator& keeper, const std::string& self, TimePoint now)
+bool hasOtherReportingHost(const QuotaCoordinator& coordinator, const std::string& self, TimePoint now)
 {
-    return std::ranges::any_of(keeper.hosts, [&](auto& it) { return it.first != self && getReportingStatus(it.second, now) == ReportingStatus::Reporting; });
+    return std::ranges::any_of(coordinator.hosts, [&](auto& it) { return it.first != self && getReportingStatus(it.second, now) == ReportingStatus::Reporting; });
 }
 
 // A host that started within the window may have begun something just before that it has forgotten: its part of what a calm account uses at most, or all of its
@@ -104,128 +104,128 @@
     return wasNearQuota ? share : kMaxUnknownRatio * share;
 }
 
-static bool isNearQuota(const TrackedAccount& kept, milliseconds within, TimePoint now)
+static bool isNearQuota(const TrackedAccount& tracked, milliseconds within, TimePoint now)
 {
-    return kept.nearQuotaAt != TimePoint {} && now - kept.nearQuotaAt < within;
+    return tracked.nearQuotaAt != TimePoint {} && now - tracked.nearQuotaAt < within;
 }
 
-Allowance getAllowance(const QuotaCoordinator& keeper, const QuotaView& view, const std::string& account, const AccountQuota& quota, TimePoint now)
+QuotaBudget getQuotaBudget(const QuotaCoordinator& coordinator, const QuotaView& view, const std::string& account, const AccountQuota& quota, TimePoint now)
 {
-    auto target = getQuotaLimits(quota, view.rule).target;
-    auto share = target / static_cast<double>(std::max({ size_t { 1 }, view.hosts, countReportingHosts(keeper, now) }));
-    auto kept = keeper.accounts.find(account);
-    bool wasNearQuota = keeper.storedNearQuota.contains(account) || (kept != keeper.accounts.end() && isNearQuota(kept->second, view.rule.window, now));
-    Allowance allowance;
-    for (auto& [name, host] : keeper.hosts) {
+    auto admissionLimit = getQuotaLimits(quota, view.rule).admissionLimit;
+    auto share = admissionLimit / static_cast<double>(std::max({ size_t { 1 }, view.hostCount, countReportingHosts(coordinator, now) }));
+    auto tracked = coordinator.accounts.find(account);
+    bool wasNearQuota = coordinator.storedNearQuota.contains(account) || (tracked != coordinator.accounts.end() && isNearQuota(tracked->second, view.rule.window, now));
+    QuotaBudget budget;
+    for (auto& [name, host] : coordinator.hosts) {
         auto status = getReportingStatus(host, now);
         if (status == ReportingStatus::Expired)
             continue;
         bool isSilent = status == ReportingStatus::Silent;
         auto until = isSilent ? host.lastReportAt : now; // what a lost one had told is left to it
         double uses = 0;
-        if (kept != keeper.accounts.end()) {
-            auto told = kept->second.hosts.find(name);
-            uses = told == kept->second.hosts.end() ? 0 : countReported(told->second, view.rule, until, now);
+        if (tracked != coordinator.accounts.end()) {
+            auto usage = tracked->second.hosts.find(name);
+            uses = usage == tracked->second.hosts.end() ? 0 : countReported(usage->second, view.rule, until, now);
         }
         if (isSilent) {
-            allowance.most -= std::max(0.0, uses - share);
+            budget.limit -= std::max(0.0, uses - share);
             continue;
         }
-        allowance.most += share;
-        auto unknown = estimateUnknown(host, view.rule, wasNearQuota, share, now);
-        allowance.used += uses + unknown;
-        allowance.unknown += unknown;
+        budget.limit += share;
+        auto estimated = estimateUnknown(host, view.rule, wasNearQuota, share, now);
+        budget.used += uses + estimated;
+        budget.estimated += estimated;
     }
-    return allowance;
+    return budget;
 }
 
 // Whether that has changed.
-static bool updateStrict(QuotaCoordinator& keeper, const QuotaView& view, const std::string& account, TimePoint now)
+static bool updateStrict(QuotaCoordinator& coordinator, const QuotaView& view, const std::string& account, TimePoint now)
 {
-    auto& kept = keeper.accounts[account];
+    auto& tracked = coordinator.accounts[account];
     auto* quota = findQuota(view.accounts, account);
     bool isStrict = false;
     if (quota) {
-        auto allowance = getAllowance(keeper, view, account, *quota, now);
-        isStrict = allowance.used >= allowance.most * (kept.isStrict ? kStrictLeaveRatio : kStrictEnterRatio);
-        if (allowance.used - allowance.unknown >= kStrictEnterRatio * getQuotaLimits(*quota, view.rule).target)
-            kept.nearQuotaAt = now;
+        auto budget = getQuotaBudget(coordinator, view, account, *quota, now);
+        isStrict = budget.used >= budget.limit * (tracked.isStrict ? kStrictLeaveRatio : kStrictEnterRatio);
+        if (budget.used - budget.estimated >= kStrictEnterRatio * getQuotaLimits(*quota, view.rule).admissionLimit)
+            tracked.nearQuotaAt = now;
     }
-    bool hasChanged = isStrict != kept.isStrict;
-    kept.isStrict = isStrict;
+    bool hasChanged = isStrict != tracked.isStrict;
+    tracked.isStrict = isStrict;
     return hasChanged;
 }
 
 // The process that reports may have started again within the window: what the one before had told still counts.
-static void applyUsage(HostUsage& told, const ReportedUsage& reported, TimePoint historyStartsAt)
+static void applyUsage(HostUsage& usage, const ReportedUsage& reported, TimePoint historyStartsAt)
 {
-    std::erase_if(told.uses, [&](const UsageBucket& it) { return it.at >= historyStartsAt; });
-    told.uses.insert(told.uses.end(), reported.uses.begin(), reported.uses.end());
-    std::erase_if(told.grants, [&](auto& it) { return it.first <= reported.grantsTaken; });
+    std::erase_if(usage.uses, [&](const UsageBucket& it) { return it.at >= historyStartsAt; });
+    usage.uses.insert(usage.uses.end(), reported.uses.begin(), reported.uses.end());
+    std::erase_if(usage.grants, [&](auto& it) { return it.first <= reported.grantsTaken; });
 }
 
-ReportResult applyReport(QuotaCoordinator& keeper, const QuotaView& view, const QuotaReport& report, TimePoint now)
+ReportResult applyReport(QuotaCoordinator& coordinator, const QuotaView& view, const QuotaReport& report, TimePoint now)
 {
-    if (!report.isWhole && !keeper.hosts.contains(report.host))
+    if (!report.isWhole && !coordinator.hosts.contains(report.host))
         return { .isAccepted = false };
-    auto& host = keeper.hosts.try_emplace(report.host, ReportingHost { now, report.historyStartsAt }).first->second;
+    auto& host = coordinator.hosts.try_emplace(report.host, ReportingHost { now, report.historyStartsAt }).first->second;
     host.lastReportAt = now;
     ReportResult result;
-    for (auto& reported : report.uses) {
-        applyUsage(keeper.accounts[reported.account].hosts[report.host], reported, report.historyStartsAt);
-        result.hasStrictChanged = updateStrict(keeper, view, reported.account, now) || result.hasStrictChanged;
-        bool isNewNearQuota = keeper.accounts[reported.account].nearQuotaAt == now && !keeper.storedNearQuota.contains(reported.account);
+    for (auto& reported : report.accounts) {
+        applyUsage(coordinator.accounts[reported.account].hosts[report.host], reported, report.historyStartsAt);
+        result.hasStrictChanged = updateStrict(coordinator, view, reported.account, now) || result.hasStrictChanged;
+        bool isNewNearQuota = coordinator.accounts[reported.account].nearQuotaAt == now && !coordinator.storedNearQuota.contains(reported.account);
         result.hasNewNearQuota = result.hasNewNearQuota || isNewNearQuota;
     }
     return result;
 }
 
-bool sweepCoordinator(QuotaCoordinator& keeper, const QuotaView& view, TimePoint now)
+bool sweepCoordinator(QuotaCoordinator& coordinator, const QuotaView& view, TimePoint now)
 {
     bool hasChanged = false;
-    std::erase_if(keeper.hosts, [&](auto& it) { return now - it.second.lastReportAt > kQuotaSilentHostTimeout + view.rule.window; });
-    for (auto& [account, kept] : keeper.accounts) {
-        for (auto& [host, told] : kept.hosts) {
-            auto known = keeper.hosts.find(host);
-            bool isSilent = known != keeper.hosts.end() && getReportingStatus(known->second, now) == ReportingStatus::Silent;
-            auto windowBegan = (isSilent ? known->second.lastReportAt : now) - view.rule.window;
-            pruneUsage(told.uses, windowBegan);
-            std::erase_if(told.grants, [&](auto& it) { return it.second < windowBegan; });
+    std::erase_if(coordinator.hosts, [&](auto& it) { return now - it.second.lastReportAt > kQuotaSilentHostTimeout + view.rule.window; });
+    for (auto& [account, tracked] : coordinator.accounts) {
+        for (auto& [host, usage] : tracked.hosts) {
+            auto known = coordinator.hosts.find(host);
+            bool isSilent = known != coordinator.hosts.end() && getReportingStatus(known->second, now) == ReportingStatus::Silent;
+            auto windowStart = (isSilent ? known->second.lastReportAt : now) - view.rule.window;
+            pruneUsage(usage.uses, windowStart);
+            std::erase_if(usage.grants, [&](auto& it) { return it.second < windowStart; });
         }
-        std::erase_if(kept.hosts, [](auto& it) { return it.second.uses.empty() && it.second.grants.empty(); });
+        std::erase_if(tracked.hosts, [](auto& it) { return it.second.uses.empty() && it.second.grants.empty(); });
     }
-    std::erase_if(keeper.accounts, [&](auto& it) { return it.second.hosts.empty() && !it.second.isStrict && !isNearQuota(it.second, kNearQuotaRetention, now); });
-    for (auto& [name, kept] : keeper.accounts) // all of them: hosts that are not heard any more take allowance away
-        hasChanged = updateStrict(keeper, view, name, now) || hasChanged;
+    std::erase_if(coordinator.accounts, [&](auto& it) { return it.second.hosts.empty() && !it.second.isStrict && !isNearQuota(it.second, kNearQuotaRetention, now); });
+    for (auto& [name, tracked] : coordinator.accounts) // all of them: hosts that are not heard any more take allowance away
+        hasChanged = updateStrict(coordinator, view, name, now) || hasChanged;
     return hasChanged;
 }
 
-std::vector<std::string> getStrictAccounts(const QuotaCoordinator& keeper)
+std::vector<std::string> getStrictAccounts(const QuotaCoordinator& coordinator)
 {
     std::vector<std::string> strict;
-    for (auto& [name, kept] : keeper.accounts) {
-        if (kept.isStrict)
+    for (auto& [name, tracked] : coordinator.accounts) {
+        if (tracked.isStrict)
             strict.push_back(name);
     }
     return strict;
 }
 
-std::set<std::string> getNearQuotaAccounts(const QuotaCoordinator& keeper, TimePoint now)
+std::set<std::string> getNearQuotaAccounts(const QuotaCoordinator& coordinator, TimePoint now)
 {
     std::set<std::string> names;
-    for (auto& [name, kept] : keeper.accounts) {
-        if (isNearQuota(kept, kNearQuotaRetention, now))
+    for (auto& [name, tracked] : coordinator.accounts) {
+        if (isNearQuota(tracked, kNearQuotaRetention, now))
             names.insert(name);
     }
     return names;
 }
 
 // When the first operation of the window leaves it.
-static milliseconds getBlockTime(const TrackedAccount& kept, const QuotaRule& rule, TimePoint now)
+static milliseconds getBlockTime(const TrackedAccount& tracked, const QuotaRule& rule, TimePoint now)
 {
     auto first = now;
-    for (auto& [name, told] : kept.hosts) {
-        for (auto& it : told.uses) {
+    for (auto& [name, usage] : tracked.hosts) {
+        for (auto& it : usage.uses) {
             if (it.at > now - rule.window) {
                 first = std::min(first, it.at);
                 break;
@@ -236,20 +236,20 @@
     return std::clamp(left, kMinBlockTime, kMaxBlockTime);
 }
 
-QuotaGrant requestGrant(QuotaCoordinator& keeper, const QuotaView& view, const std::string& host, const std::string& account, TimePoint now)
+QuotaGrant requestGrant(QuotaCoordinator& coordinator, const QuotaView& view, const std::string& host, const std::string& account, TimePoint now)
 {
     auto* quota = findQuota(view.accounts, account);
-    auto& kept = keeper.accounts[account];
-    auto& told = kept.hosts[host];
+    auto& tracked = coordinator.accounts[account];
+    auto& usage = tracked.hosts[host];
     bool isGranted = true;
     if (quota) {
-        auto allowance = getAllowance(keeper, view, account, *quota, now);
-        isGranted = allowance.used + 1 <= allowance.most;
+        auto budget = getQuotaBudget(coordinator, view, account, *quota, now);
+        isGranted = budget.used + 1 <= budget.limit;
     }
     if (!isGranted)
-        return { false, 0, getBlockTime(kept, view.rule, now) };
-    told.grants[++keeper.lastGrantNumber] = now;
-    return { true, keeper.lastGrantNumber, {} };
+        return { false, 0, getBlockTime(tracked, view.rule, now) };
+    usage.grants[++coordinator.lastGrantNumber] = now;
+    return { true, coordinator.lastGrantNumber, {} };
 }
 
 //-----------------------------------------------------------------------------
@@ -261,39 +261,39 @@
     return host.leaseStartedAt != TimePoint {} && now - host.leaseStartedAt < kQuotaLeaseTime;
 }
 
-Admission admitOperation(const QuotaHost& host, const std::string& account, const AccountQuota& quota, const QuotaRule& rule, size_t hosts, TimePoint now)
+Admission admitOperation(const QuotaHost& host, const std::string& account, const AccountQuota& quota, const QuotaRule& rule, size_t hostCount, TimePoint now)
 {
     auto it = host.accounts.find(account);
     if (it != host.accounts.end() && now < it->second.blockedUntil)
         return Admission::Refuse;
-    if (!hasLease(host, now) || host.strict.contains(account))
+    if (!hasLease(host, now) || host.strictAccounts.contains(account))
         return Admission::Ask;
     // Keepers may have been lost since: all hosts together begin no more unseen than a calm account has left.
-    auto maxUnreported = std::max(1.0, kMaxUnreportedRatio * getQuotaLimits(quota, rule).target / static_cast<double>(std::max<size_t>(1, hosts)));
+    auto maxUnreported = std::max(1.0, kMaxUnreportedRatio * getQuotaLimits(quota, rule).admissionLimit / static_cast<double>(std::max<size_t>(1, hostCount)));
     auto unreported = it == host.accounts.end() ? 0 : countUsage(it->second.uses, host.leaseStartedAt, now);
     return unreported < maxUnreported ? Admission::Begin : Admission::Ask;
 }
 
-bool mayBeginWithoutCoordinator(const QuotaHost& host, const std::string& account, const AccountQuota& quota, const QuotaRule& rule, size_t hosts, TimePoint now)
+bool mayBeginWithoutCoordinator(const QuotaHost& host, const std::string& account, const AccountQuota& quota, const QuotaRule& rule, size_t hostCount, TimePoint now)
 {
-    if (now - std::max(host.leaseStartedAt, host.beganAt) < kQuotaLeaseTime)
+    if (now - std::max(host.leaseStartedAt, host.startedAt) < kQuotaLeaseTime)
         return false;
     auto it = host.accounts.find(account);
     auto limits = getQuotaLimits(quota, rule);
-    auto share = static_cast<unsigned>(limits.target / static_cast<double>(std::max<size_t>(1, hosts)));
+    auto share = static_cast<unsigned>(limits.admissionLimit / static_cast<double>(std::max<size_t>(1, hostCount)));
     if (it == host.accounts.end())
         return share > 0;
     auto& uses = it->second.uses;
     bool isUsageReserved = host.leaseStartedAt != TimePoint {} && now - host.leaseStartedAt < kQuotaSilentHostTimeout;
-    auto told = !isUsageReserved ? 0 : countUsage(uses, host.leaseStartedAt - rule.window, host.leaseStartedAt);
-    return countUsage(uses, now - rule.window, now) < std::max(told, share);
+    auto lastReported = !isUsageReserved ? 0 : countUsage(uses, host.leaseStartedAt - rule.window, host.leaseStartedAt);
+    return countUsage(uses, now - rule.window, now) < std::max(lastReported, share);
 }
 
 void recordOperation(QuotaHost& host, const std::string& account, TimePoint now)
 {
     auto& used = host.accounts[account];
     addUsage(used.uses, now);
-    used.isChanged = true;
+    used.isUnreported = true;
 }
 
 void revertOperation(QuotaHost& host, const std::string& account)
@@ -302,7 +302,7 @@
     if (it == host.accounts.end())
         return;
     removeLatestUsage(it->second.uses);
-    it->second.isChanged = true;
+    it->second.isUnreported = true;
 }
 
 void blockAccount(QuotaHost& host, const std::string& account, milliseconds blockedFor, TimePoint now)
@@ -312,10 +312,10 @@
 
 void pruneUsage(QuotaHost& host, const QuotaRule& rule, TimePoint now)
 {
-    auto kept = hasLease(host, now) ? rule.window : std::max(kUnleasedUsageRetention, rule.window);
+    auto retention = hasLease(host, now) ? rule.window : std::max(kUnleasedUsageRetention, rule.window);
     for (auto& [account, used] : host.accounts)
-        pruneUsage(used.uses, now - kept);
-    std::erase_if(host.accounts, [&](auto& it) { return it.second.uses.empty() && now >= it.second.blockedUntil && !it.second.isChanged; });
+        pruneUsage(used.uses, now - retention);
+    std::erase_if(host.accounts, [&](auto& it) { return it.second.uses.empty() && now >= it.second.blockedUntil && !it.second.isUnreported; });
 }
 
 }
--- a/src/decisions/quota.h
+++ b/src/decisions/quota.h
@@ -32,14 +32,14 @@
 // How strictly operators hold quotas, the same for all accounts.
 struct QuotaRule {
     milliseconds window { 5000 };
-    double over { 0.1 }; // share of the quota that may pass besides
-    double slack { 20 }; // operations that may pass besides
+    double toleranceShare { 0.1 }; // share of the quota that may pass besides
+    double toleranceCount { 20 }; // operations that may pass besides
     friend bool operator==(const QuotaRule&, const QuotaRule&) = default;
 };
 
 struct QuotaLimits {
-    double bound { 0 }; // operations in any window; more breaks the promise
-    double target { 0 }; // that keepers let begin; what lies between is for hosts that they do not hear and for what is under way
+    double hardLimit { 0 }; // operations in any window; more breaks the promise
+    double admissionLimit { 0 }; // that keepers let begin; what lies between is for hosts that they do not hear and for what is under way
 };
 
 QuotaLimits getQuotaLimits(const AccountQuota& quota, const QuotaRule& rule);
@@ -108,14 +108,14 @@
     std::string host {};
     TimePoint historyStartsAt {}; // the host's process has begun nothing before this that it knows of
     bool isWhole { false }; // it names all accounts of which the host has begun something in the window, not only what has changed
-    std::vector<ReportedUsage> uses {};
+    std::vector<ReportedUsage> accounts {};
 };
 
 // What a keeper goes by besides what it was told.
 struct QuotaView {
     QuotaRule rule {};
     const Accounts& accounts;
-    size_t hosts { 1 }; // that there are, this one included
+    size_t hostCount { 1 }; // that there are, this one included
 };
 
 struct ReportResult {
@@ -124,25 +124,25 @@
     bool hasNewNearQuota { false }; // an account that came near to its quota is not written down as one yet
 };
 
-ReportResult applyReport(QuotaCoordinator& keeper, const QuotaView& view, const QuotaReport& report, TimePoint now);
+ReportResult applyReport(QuotaCoordinator& coordinator, const QuotaView& view, const QuotaReport& report, TimePoint now);
 // Looks at all accounts, and forgets what is too old to matter. Returns whether one has become strict, or is strict no longer. Call it every few hundred ms.
-bool sweepCoordinator(QuotaCoordinator& keeper, const QuotaView& view, TimePoint now);
-std::vector<std::string> getStrictAccounts(const QuotaCoordinator& keeper);
+bool sweepCoordinator(QuotaCoordinator& coordinator, const QuotaView& view, TimePoint now);
+std::vector<std::string> getStrictAccounts(const QuotaCoordinator& coordinator);
 // What is to be written down where it outlasts all hosts, so that those that start anew know which accounts may have used their quotas up.
-std::set<std::string> getNearQuotaAccounts(const QuotaCoordinator& keeper, TimePoint now);
+std::set<std::string> getNearQuotaAccounts(const QuotaCoordinator& coordinator, TimePoint now);
 // Hosts that follow the keeper and reported lately.
-size_t countReportingHosts(const QuotaCoordinator& keeper, TimePoint now);
+size_t countReportingHosts(const QuotaCoordinator& coordinator, TimePoint now);
 // Whether any host but `self` does.
-bool hasOtherReportingHost(const QuotaCoordinator& keeper, const std::string& self, TimePoint now);
+bool hasOtherReportingHost(const QuotaCoordinator& coordinator, const std::string& self, TimePoint now);
 
 // Of the hosts that follow the keeper.
-struct Allowance {
+struct QuotaBudget {
     double used { 0 }; // operations of the window, and what may have begun unseen
-    double unknown { 0 }; // of these, the latter
-    double most { 0 };
+    double estimated { 0 }; // of these, the latter
+    double limit { 0 };
 };
 
-Allowance getAllowance(const QuotaCoordinator& keeper, const QuotaView& view, const std::string& account, const AccountQuota& quota, TimePoint now);
+QuotaBudget getQuotaBudget(const QuotaCoordinator& coordinator, const QuotaView& view, const std::string& account, const AccountQuota& quota, TimePoint now);
 
 struct QuotaGrant {
     bool isGranted { false };
@@ -150,7 +150,7 @@
     milliseconds blockedFor { 0 }; // refused: no operation of the account can begin before
 };
 
-QuotaGrant requestGrant(QuotaCoordinator& keeper, const QuotaView& view, const std::string& host, const std::string& account, TimePoint now);
+QuotaGrant requestGrant(QuotaCoordinator& coordinator, const QuotaView& view, const std::string& host, const std::string& account, TimePoint now);
 
 //-----------------------------------------------------------------------------
 // [SECTION] Host
@@ -165,22 +165,22 @@
 struct AccountUsage {
     UsageHistory uses {};
     TimePoint blockedUntil {}; // as a keeper said
-    bool isChanged { false }; // since it was last told
+    bool isUnreported { false }; // since it was last told
 };
 
 // What a host knows of quotas, for the accounts of one shard.
 struct QuotaHost {
-    TimePoint beganAt {}; // when its process began
+    TimePoint startedAt {}; // when its process began
     std::map<std::string, AccountUsage> accounts {};
-    std::set<std::string> strict {};
+    std::set<std::string> strictAccounts {};
     TimePoint leaseStartedAt {}; // when the newest report was sent that a keeper answered
 };
 
 bool hasLease(const QuotaHost& host, TimePoint now);
 // `hosts`: that there are.
-Admission admitOperation(const QuotaHost& host, const std::string& account, const AccountQuota& quota, const QuotaRule& rule, size_t hosts, TimePoint now);
+Admission admitOperation(const QuotaHost& host, const std::string& account, const AccountQuota& quota, const QuotaRule& rule, size_t hostCount, TimePoint now);
 // Whether an operation may begin though no keeper answers. None may until the lease has ended: keepers have left it nothing before.
-bool mayBeginWithoutCoordinator(const QuotaHost& host, const std::string& account, const AccountQuota& quota, const QuotaRule& rule, size_t hosts, TimePoint now);
+bool mayBeginWithoutCoordinator(const QuotaHost& host, const std::string& account, const AccountQuota& quota, const QuotaRule& rule, size_t hostCount, TimePoint now);
 void recordOperation(QuotaHost& host, const std::string& account, TimePoint now);
 void revertOperation(QuotaHost& host, const std::string& account);
 void blockAccount(QuotaHost& host, const std::string& account, milliseconds blockedFor, TimePoint now);
--- a/src/gateway/quota_exchange.cpp
+++ b/src/gateway/quota_exchange.cpp
@@ -35,7 +35,7 @@
 {
     for (size_t i = 0; i < m_shards.size(); ++i) {
         m_shards[i].rankingKey = fmt::format("quota/{}", i);
-        m_shards[i].host.beganAt = m_beganAt;
+        m_shards[i].host.startedAt = m_beganAt;
     }
 }
 
@@ -177,7 +177,7 @@
     wire.set_is_whole(link.needsWhole);
     wire.set_covered_ms(static_cast<uint64_t>(duration_cast<milliseconds>(std::min<TimePoint::duration>(now - m_beganAt, m_context.rule.window)).count()));
     for (auto& [account, used] : m_shards[shard].host.accounts) {
-        if (!link.needsWhole && !used.isChanged)
+        if (!link.needsWhole && !used.isUnreported)
             continue;
         auto& uses = *wire.add_uses();
         uses.set_account(account);
@@ -209,7 +209,7 @@
     *frame.mutable_quota_report() = makeReport(index, link, now);
     link.needsWhole = false;
     for (auto& [account, used] : shard.host.accounts)
-        used.isChanged = false;
+        used.isUnreported = false;
     shard.isChanged = false;
     if (keeper == m_context.name) {
         takeState(keeper, takeReport(frame.quota_report()));
@@ -239,7 +239,7 @@
         decisions::ReportedUsage uses { it.account(), {}, it.grants_taken() };
         for (int i = 0; i < std::min(it.age_ms_size(), it.count_size()); ++i)
             uses.uses.push_back({ now - milliseconds(it.age_ms(i)), it.count(i) });
-        report.uses.push_back(std::move(uses));
+        report.accounts.push_back(std::move(uses));
     }
     auto taken = decisions::applyReport(m_shards[shard].keeper, makeView(), report, now);
     if (taken.hasStrictChanged)
@@ -316,7 +316,7 @@
     if (state.number() == link.sent)
         link.unansweredSince = {};
     if (keeper == shard.followed) {
-        shard.host.strict = { state.strict().begin(), state.strict().end() };
+        shard.host.strictAccounts = { state.strict().begin(), state.strict().end() };
         if (state.number() == link.sent)
             shard.host.leaseStartedAt = std::max(shard.host.leaseStartedAt, link.sentAt);
     }
--- a/tests/unit/quota_test.cpp
+++ b/tests/unit/quota_test.cpp
@@ -28,7 +28,7 @@
 {
     QuotaReport report { host, now - covered, true, { { kAccount, {}, grantsTaken } } };
     for (auto& [ageMs, count] : slots)
-        report.uses[0].uses.push_back({ now - milliseconds(ageMs), count });
+        report.accounts[0].uses.push_back({ now - milliseconds(ageMs), count });
     return report;
 }
 
@@ -38,7 +38,7 @@
     struct Host {
         std::string name;
         QuotaHost own {};
-        QuotaCoordinator keeper {};
+        QuotaCoordinator coordinator {};
         TimePoint beganAt {};
         TimePoint aliveFrom {};
         TimePoint cutUntil {}; // from all other hosts
@@ -152,8 +152,8 @@
         host.cutUntil = cutUntil;
         host.beganAt = at;
         host.aliveFrom = at;
-        host.own.beganAt = at;
-        host.keeper.storedNearQuota = m_written;
+        host.own.startedAt = at;
+        host.coordinator.storedNearQuota = m_written;
     }
 
     bool isUp(size_t i) const { return m_now >= m_hosts[i].aliveFrom; }
@@ -175,14 +175,14 @@
                        } });
     }
 
-    std::optional<size_t> findKeeper(size_t i) const
+    std::optional<size_t> findCoordinator(size_t i) const
     {
         auto& host = m_hosts[i];
         for (size_t k = 0; k < m_hosts.size(); ++k) {
             auto unanswered = host.unansweredSince.find(k);
             bool isLate = unanswered != host.unansweredSince.end() && m_now - unanswered->second > milliseconds(600);
             bool isPassedOver = isLate && m_now - host.sentAt.at(k) < milliseconds(2000);
-            bool isAlone = k == i && m_hosts.size() > 1 && !hasOtherReportingHost(host.keeper, host.name, m_now);
+            bool isAlone = k == i && m_hosts.size() > 1 && !hasOtherReportingHost(host.coordinator, host.name, m_now);
             if (!isPassedOver && !isAlone)
                 return k;
         }
@@ -205,12 +205,12 @@
 
     void ask(size_t i)
     {
-        auto keeper = findKeeper(i);
-        if (!keeper) {
+        auto coordinator = findCoordinator(i);
+        if (!coordinator) {
             decideAlone(m_hosts[i]);
             return;
         }
-        auto k = *keeper;
+        auto k = *coordinator;
         if (k != m_hosts[i].followed)
             report(i);
         auto isDecided = std::make_shared<bool>(false);
@@ -221,7 +221,7 @@
                            *isDecided = true;
                        } });
         send(i, k, [this, i, k, isDecided] {
-            auto grant = requestGrant(m_hosts[k].keeper, getView(), m_hosts[i].name, kAccount, m_now);
+            auto grant = requestGrant(m_hosts[k].coordinator, getView(), m_hosts[i].name, kAccount, m_now);
             send(k, i, [this, i, k, grant, isDecided] {
                 if (*isDecided)
                     return;
@@ -244,26 +244,26 @@
         if (!isUp(i))
             return;
         auto used = host.own.accounts.find(kAccount);
-        bool isChanged = used != host.own.accounts.end() && used->second.isChanged;
-        if (findKeeper(i) != host.followed || m_now - host.reportedAt >= (isChanged ? kQuotaReportInterval : kQuotaIdleReportInterval))
+        bool isChanged = used != host.own.accounts.end() && used->second.isUnreported;
+        if (findCoordinator(i) != host.followed || m_now - host.reportedAt >= (isChanged ? kQuotaReportInterval : kQuotaIdleReportInterval))
             report(i);
         if (m_now.time_since_epoch() % milliseconds(250) != milliseconds(0))
             return;
         pruneUsage(host.own, rule, m_now);
-        if (sweepCoordinator(host.keeper, getView(), m_now))
+        if (sweepCoordinator(host.coordinator, getView(), m_now))
             tellStrict(i);
         writeNear(i);
     }
 
     void writeNear(size_t i)
     {
-        auto near = getNearQuotaAccounts(m_hosts[i].keeper, m_now);
+        auto near = getNearQuotaAccounts(m_hosts[i].coordinator, m_now);
         bool mayForget = m_hosts[i].followed == i && m_now - m_hosts[i].beganAt > rule.window + milliseconds(1000);
         if (std::ranges::includes(m_written, near) && !mayForget)
             return;
         m_written = near;
         for (auto& it : m_hosts)
-            it.keeper.storedNearQuota = m_written;
+            it.coordinator.storedNearQuota = m_written;
     }
 
     void report(size_t i)
@@ -271,31 +271,31 @@
         auto& host = m_hosts[i];
         host.reportedAt = m_now;
         auto used = host.own.accounts.find(kAccount);
-        auto keeper = findKeeper(i);
-        bool isNew = keeper != host.followed;
-        host.followed = keeper;
-        if (!keeper)
+        auto coordinator = findCoordinator(i);
+        bool isNew = coordinator != host.followed;
+        host.followed = coordinator;
+        if (!coordinator)
             return;
-        auto k = *keeper;
+        auto k = *coordinator;
         bool isWhole = isNew || !host.toldWhole.contains(k) || host.unansweredSince.contains(k);
         QuotaReport report { host.name, std::max(host.beganAt, m_now - rule.window), isWhole, {} };
-        if (used != host.own.accounts.end() && (used->second.isChanged || isWhole)) {
-            report.uses.push_back({ kAccount, {}, host.grantsTaken[k] });
+        if (used != host.own.accounts.end() && (used->second.isUnreported || isWhole)) {
+            report.accounts.push_back({ kAccount, {}, host.grantsTaken[k] });
             for (auto& it : used->second.uses) {
                 if (m_now - it.at <= rule.window)
-                    report.uses[0].uses.push_back(it);
+                    report.accounts[0].uses.push_back(it);
             }
         }
         host.toldWhole.insert(k);
         host.unansweredSince.try_emplace(k, m_now);
         host.sentAt[k] = m_now;
         send(i, k, [this, i, k, sentAt = m_now, report] {
-            auto taken = applyReport(m_hosts[k].keeper, getView(), report, m_now);
+            auto taken = applyReport(m_hosts[k].coordinator, getView(), report, m_now);
             if (taken.hasStrictChanged)
                 tellStrict(k);
             if (taken.hasNewNearQuota)
                 writeNear(k);
-            auto strict = getStrictAccounts(m_hosts[k].keeper);
+            auto strict = getStrictAccounts(m_hosts[k].coordinator);
             send(k, i, [this, i, k, sentAt, strict, isKnown = taken.isAccepted] {
                 if (!isKnown)
                     m_hosts[i].toldWhole.erase(k);
@@ -303,7 +303,7 @@
             });
         });
         if (used != host.own.accounts.end())
-            used->second.isChanged = false;
+            used->second.isUnreported = false;
     }
 
     void takeState(size_t i, size_t k, std::optional<TimePoint> sentAt, const std::vector<std::string>& strict)
@@ -313,14 +313,14 @@
             host.unansweredSince.erase(k);
         if (host.followed != k)
             return;
-        host.own.strict = { strict.begin(), strict.end() };
+        host.own.strictAccounts = { strict.begin(), strict.end() };
         if (sentAt)
             host.own.leaseStartedAt = std::max(host.own.leaseStartedAt, *sentAt);
     }
 
     void tellStrict(size_t k)
     {
-        auto strict = getStrictAccounts(m_hosts[k].keeper);
+        auto strict = getStrictAccounts(m_hosts[k].coordinator);
         for (size_t i = 0; i < m_hosts.size(); ++i) {
             if (m_hosts[i].sentAt.contains(k))
                 send(k, i, [this, i, k, strict] { takeState(i, k, std::nullopt, strict); });
@@ -350,7 +350,7 @@
 
 double getBound(const Fleet& fleet)
 {
-    return getQuotaLimits(*findQuota(fleet.accounts, kAccount), fleet.rule).bound;
+    return getQuotaLimits(*findQuota(fleet.accounts, kAccount), fleet.rule).hardLimit;
 }
 
 }
@@ -360,10 +360,10 @@
 BOOST_AUTO_TEST_CASE(a_bound_follows_from_rate_burst_and_what_may_pass_besides)
 {
     auto limits = getQuotaLimits({ 24, 24 }, {});
-    BOOST_TEST(limits.bound == 24 * 6 * 1.1 + 20);
-    BOOST_TEST(limits.target < limits.bound);
-    BOOST_TEST(limits.target >= 24 * 6);
-    BOOST_TEST(getQuotaLimits({ 0, 0 }, {}).bound == 20);
+    BOOST_TEST(limits.hardLimit == 24 * 6 * 1.1 + 20);
+    BOOST_TEST(limits.admissionLimit < limits.hardLimit);
+    BOOST_TEST(limits.admissionLimit >= 24 * 6);
+    BOOST_TEST(getQuotaLimits({ 0, 0 }, {}).hardLimit == 20);
 }
 
 BOOST_AUTO_TEST_CASE(uses_are_told_in_slots_and_count_for_a_little_too_long_at_most)
@@ -386,38 +386,38 @@
 {
     auto accounts = makeAccounts(10, 10);
     QuotaView view { {}, accounts, 2 };
-    QuotaCoordinator keeper;
-    applyReport(keeper, view, makeReport("b", kStart, {}), kStart);
-    BOOST_TEST(!applyReport(keeper, view, makeReport("a", kStart, { { 1000, 30 } }), kStart).hasStrictChanged);
-    BOOST_TEST(applyReport(keeper, view, makeReport("b", kStart, { { 500, 30 } }), kStart).hasStrictChanged);
-    BOOST_TEST(getStrictAccounts(keeper) == std::vector<std::string>({ kAccount }), boost::test_tools::per_element());
-    applyReport(keeper, view, makeReport("b", kStart, { { 500, 30 } }), kStart); // told twice, counted once
-    BOOST_TEST(getAllowance(keeper, view, kAccount, kQuota, kStart).used == 60);
+    QuotaCoordinator coordinator;
+    applyReport(coordinator, view, makeReport("b", kStart, {}), kStart);
+    BOOST_TEST(!applyReport(coordinator, view, makeReport("a", kStart, { { 1000, 30 } }), kStart).hasStrictChanged);
+    BOOST_TEST(applyReport(coordinator, view, makeReport("b", kStart, { { 500, 30 } }), kStart).hasStrictChanged);
+    BOOST_TEST(getStrictAccounts(coordinator) == std::vector<std::string>({ kAccount }), boost::test_tools::per_element());
+    applyReport(coordinator, view, makeReport("b", kStart, { { 500, 30 } }), kStart); // told twice, counted once
+    BOOST_TEST(getQuotaBudget(coordinator, view, kAccount, kQuota, kStart).used == 60);
     for (int i = 1; i <= 50; ++i) { // both go on reporting
         auto now = kStart + milliseconds(100 * i);
         for (auto* host : { "a", "b" })
-            applyReport(keeper, view, QuotaReport { host, now - milliseconds(5000), false, {} }, now);
+            applyReport(coordinator, view, QuotaReport { host, now - milliseconds(5000), false, {} }, now);
     }
-    BOOST_TEST(sweepCoordinator(keeper, view, kStart + milliseconds(5000)));
-    BOOST_TEST(getStrictAccounts(keeper).empty());
+    BOOST_TEST(sweepCoordinator(coordinator, view, kStart + milliseconds(5000)));
+    BOOST_TEST(getStrictAccounts(coordinator).empty());
 }
 
 BOOST_AUTO_TEST_CASE(grants_end_where_the_target_is_reached_and_are_counted_once)
 {
     auto accounts = makeAccounts(10, 10);
     QuotaView view { {}, accounts, 1 };
-    QuotaCoordinator keeper;
-    applyReport(keeper, view, makeReport("a", kStart, {}), kStart);
+    QuotaCoordinator coordinator;
+    applyReport(coordinator, view, makeReport("a", kStart, {}), kStart);
     unsigned granted = 0;
     QuotaGrant last;
-    while ((last = requestGrant(keeper, view, "a", kAccount, kStart)).isGranted)
+    while ((last = requestGrant(coordinator, view, "a", kAccount, kStart)).isGranted)
         ++granted;
     auto limits = getQuotaLimits({ 10, 10 }, {});
-    BOOST_TEST(granted <= limits.target);
-    BOOST_TEST(granted + 1 > limits.target);
+    BOOST_TEST(granted <= limits.admissionLimit);
+    BOOST_TEST(granted + 1 > limits.admissionLimit);
     BOOST_TEST(last.blockedFor.count() > 0);
-    applyReport(keeper, view, makeReport("a", kStart, { { 0, granted } }, granted), kStart);
-    BOOST_TEST(getAllowance(keeper, view, kAccount, kQuota, kStart).used == granted);
+    applyReport(coordinator, view, makeReport("a", kStart, { { 0, granted } }, granted), kStart);
+    BOOST_TEST(getQuotaBudget(coordinator, view, kAccount, kQuota, kStart).used == granted);
 }
 
 // Of two hosts one falls silent: what it had told is left to it, and half of the target at least, until its entry is gone.
@@ -425,69 +425,69 @@
 {
     auto accounts = makeAccounts(10, 10);
     QuotaView view { {}, accounts, 2 };
-    auto target = getQuotaLimits(kQuota, {}).target;
-    QuotaCoordinator keeper;
-    applyReport(keeper, view, makeReport("a", kStart, { { 100, 60 } }), kStart);
-    applyReport(keeper, view, makeReport("b", kStart, {}), kStart);
-    BOOST_TEST(getAllowance(keeper, view, kAccount, kQuota, kStart).used == 60);
-    BOOST_TEST(getAllowance(keeper, view, kAccount, kQuota, kStart).most == target);
+    auto admissionLimit = getQuotaLimits(kQuota, {}).admissionLimit;
+    QuotaCoordinator coordinator;
+    applyReport(coordinator, view, makeReport("a", kStart, { { 100, 60 } }), kStart);
+    applyReport(coordinator, view, makeReport("b", kStart, {}), kStart);
+    BOOST_TEST(getQuotaBudget(coordinator, view, kAccount, kQuota, kStart).used == 60);
+    BOOST_TEST(getQuotaBudget(coordinator, view, kAccount, kQuota, kStart).limit == admissionLimit);
     auto later = kStart + milliseconds(6000);
-    applyReport(keeper, view, makeReport("b", later, {}), later);
-    BOOST_TEST(getAllowance(keeper, view, kAccount, kQuota, later).used == 0);
-    BOOST_TEST(getAllowance(keeper, view, kAccount, kQuota, later).most == target - 60);
+    applyReport(coordinator, view, makeReport("b", later, {}), later);
+    BOOST_TEST(getQuotaBudget(coordinator, view, kAccount, kQuota, later).used == 0);
+    BOOST_TEST(getQuotaBudget(coordinator, view, kAccount, kQuota, later).limit == admissionLimit - 60);
     later = kStart + kQuotaSilentHostTimeout;
-    applyReport(keeper, view, makeReport("b", later, {}), later);
-    BOOST_TEST(getAllowance(keeper, view, kAccount, kQuota, later).most == target / 2);
-    view.hosts = 1;
-    BOOST_TEST(getAllowance(keeper, view, kAccount, kQuota, later).most == target);
+    applyReport(coordinator, view, makeReport("b", later, {}), later);
+    BOOST_TEST(getQuotaBudget(coordinator, view, kAccount, kQuota, later).limit == admissionLimit / 2);
+    view.hostCount = 1;
+    BOOST_TEST(getQuotaBudget(coordinator, view, kAccount, kQuota, later).limit == admissionLimit);
 }
 
 BOOST_AUTO_TEST_CASE(a_keeper_takes_a_host_that_it_does_not_know_by_a_whole_report_only)
 {
     auto accounts = makeAccounts(10, 10);
     QuotaView view { {}, accounts, 1 };
-    QuotaCoordinator keeper;
+    QuotaCoordinator coordinator;
     auto report = makeReport("a", kStart, { { 100, 5 } });
     report.isWhole = false;
-    BOOST_TEST(!applyReport(keeper, view, report, kStart).isAccepted);
-    BOOST_TEST(countReportingHosts(keeper, kStart) == 0u);
+    BOOST_TEST(!applyReport(coordinator, view, report, kStart).isAccepted);
+    BOOST_TEST(countReportingHosts(coordinator, kStart) == 0u);
     report.isWhole = true;
-    BOOST_TEST(applyReport(keeper, view, report, kStart).isAccepted);
+    BOOST_TEST(applyReport(coordinator, view, report, kStart).isAccepted);
     report.isWhole = false;
-    BOOST_TEST(applyReport(keeper, view, report, kStart).isAccepted);
-    BOOST_TEST(countReportingHosts(keeper, kStart) == 1u);
+    BOOST_TEST(applyReport(coordinator, view, report, kStart).isAccepted);
+    BOOST_TEST(countReportingHosts(coordinator, kStart) == 1u);
 }
 
 BOOST_AUTO_TEST_CASE(a_host_that_started_again_has_forgotten_what_its_keeper_has_not)
 {
     auto accounts = makeAccounts(10, 10);
     QuotaView view { {}, accounts, 1 };
-    QuotaCoordinator keeper;
-    applyReport(keeper, view, makeReport("a", kStart, { { 100, 20 } }), kStart);
+    QuotaCoordinator coordinator;
+    applyReport(coordinator, view, makeReport("a", kStart, { { 100, 20 } }), kStart);
     auto later = kStart + milliseconds(1000);
-    applyReport(keeper, view, makeReport("a", later, { { 50, 3 } }, 0, milliseconds(400)), later);
-    BOOST_TEST(getAllowance(keeper, view, kAccount, kQuota, later).used == 23);
+    applyReport(coordinator, view, makeReport("a", later, { { 50, 3 } }, 0, milliseconds(400)), later);
+    BOOST_TEST(getQuotaBudget(coordinator, view, kAccount, kQuota, later).used == 23);
 }
 
 BOOST_AUTO_TEST_CASE(what_hosts_did_before_they_started_counts_for_a_window)
 {
     auto accounts = makeAccounts(10, 10);
     QuotaView view { {}, accounts, 10 };
-    QuotaCoordinator keeper;
-    auto target = getQuotaLimits(kQuota, {}).target;
+    QuotaCoordinator coordinator;
+    auto admissionLimit = getQuotaLimits(kQuota, {}).admissionLimit;
     auto tell = [&](int ms) {
         for (int i = 0; i < 10; ++i)
-            applyReport(keeper, view, makeReport("h" + std::to_string(i), kStart + milliseconds(ms), {}, 0, milliseconds(ms)), kStart + milliseconds(ms));
-        return getAllowance(keeper, view, kAccount, kQuota, kStart + milliseconds(ms)).used;
+            applyReport(coordinator, view, makeReport("h" + std::to_string(i), kStart + milliseconds(ms), {}, 0, milliseconds(ms)), kStart + milliseconds(ms));
+        return getQuotaBudget(coordinator, view, kAccount, kQuota, kStart + milliseconds(ms)).used;
     };
-    BOOST_TEST(tell(0) > 0.45 * target);
-    BOOST_TEST(tell(0) < 0.7 * target); // or nobody would be served
+    BOOST_TEST(tell(0) > 0.45 * admissionLimit);
+    BOOST_TEST(tell(0) < 0.7 * admissionLimit); // or nobody would be served
     BOOST_TEST(tell(4900) == tell(0));
     BOOST_TEST(tell(5000) == 0);
-    keeper.hosts.clear();
-    keeper.storedNearQuota = { kAccount }; // all of it may have been used at the last moment
-    BOOST_TEST(tell(0) > 0.99 * target);
-    BOOST_TEST(tell(4900) > 0.99 * target);
+    coordinator.hosts.clear();
+    coordinator.storedNearQuota = { kAccount }; // all of it may have been used at the last moment
+    BOOST_TEST(tell(0) > 0.99 * admissionLimit);
+    BOOST_TEST(tell(4900) > 0.99 * admissionLimit);
     BOOST_TEST(tell(5000) == 0);
 }
 
@@ -498,9 +498,9 @@
     BOOST_TEST((admitOperation(host, kAccount, quota, {}, 91, kStart) == Admission::Ask));
     host.leaseStartedAt = kStart;
     BOOST_TEST((admitOperation(host, kAccount, quota, {}, 91, kStart) == Admission::Begin));
-    host.strict = { kAccount };
+    host.strictAccounts = { kAccount };
     BOOST_TEST((admitOperation(host, kAccount, quota, {}, 91, kStart) == Admission::Ask));
-    host.strict = {};
+    host.strictAccounts = {};
     for (int i = 0; i < 4; ++i)
         recordOperation(host, kAccount, kStart - milliseconds(100));
     auto alone = kStart + milliseconds(5500);
