--- a/src/decisions/quota.cpp
+++ b/src/decisions/quota.cpp
@@ -4,17 +4,17 @@
 
 namespace alderward::decisions {
 
-static constexpr milliseconds kUsageBucketWidth { 100 }; // operations within one such step are told as one slot
-static constexpr double kSilentHostReserve = 0.6; // of what may pass besides the quota
-static constexpr double kStrictEnterRatio = 0.6; // of the target: what is left lasts for the 0.3 s until all hosts know, at 7.5 times the usual demand
-static constexpr double kMaxUnreportedRatio = 0.35; // of the target
-static constexpr double kStrictLeaveRatio = 0.5;
-static constexpr milliseconds kReportTimeout { 750 }; // a host reports each half second at least; one that has not may have lost its lease
-static constexpr double kMaxUnknownRatio = 0.5; // of the target, where nothing at all is known of the window and the account was not near to its quota: as much is left to it as it usually needs
-static constexpr milliseconds kNearQuotaRetention { 6000 }; // an account is written down for this long after it was last near to its quota: a window, and what a write takes
+static constexpr milliseconds kUsageBucketWidth { 100 };
+static constexpr double kSilentHostReserve = 0.6; // of the tolerance
+static constexpr double kStrictEnterRatio = 0.6; // of the budget's limit; the rest absorbs operations that begin before all hosts know that the account is strict
+static constexpr double kMaxUnreportedRatio = 0.35; // of the admission limit
+static constexpr double kStrictLeaveRatio = 0.5; // below kStrictEnterRatio, so that accounts do not alternate
+static constexpr milliseconds kReportTimeout { 750 }; // longer than the report interval, shorter than the lease
+static constexpr double kMaxUnknownRatio = 0.5; // of a host's share, assumed used where its history is unknown and the account was not near its quota
+static constexpr milliseconds kNearQuotaRetention { 6000 }; // longer than the default window by the time that a write takes
 static constexpr milliseconds kMinBlockTime { 20 };
-static constexpr milliseconds kMaxBlockTime { 100 }; // more may be allowed meanwhile: hosts follow the keeper that did not, or the limit is raised
-static constexpr milliseconds kUnleasedUsageRetention { 20000 }; // at the host: its window when it lost its lease is looked at for as long as it has none
+static constexpr milliseconds kMaxBlockTime { 100 }; // kept short because the budget can grow in the meantime
+static constexpr milliseconds kUnleasedUsageRetention { 20000 }; // on a host without a lease, which is limited by its usage in the window before the lease was lost
 
 QuotaLimits getQuotaLimits(const AccountQuota& quota, const QuotaRule& rule)
 {
@@ -24,12 +24,12 @@
 }
 
 //-----------------------------------------------------------------------------
-// [SECTION] Uses
+// [SECTION] Usage
 //-----------------------------------------------------------------------------
 
 void addUsage(UsageHistory& uses, TimePoint now)
 {
-    // A slot is as old as its last operation: it counts for a little too long rather than too short.
+    // A bucket carries the time of its last operation, so it expires slightly late rather than early.
     auto getStep = [](TimePoint at) { return at.time_since_epoch() / kUsageBucketWidth; };
     if (uses.empty() || getStep(uses.back().at) != getStep(now)) {
         uses.push_back({ now, 1 });
@@ -62,13 +62,13 @@
 }
 
 //-----------------------------------------------------------------------------
-// [SECTION] Keeper
+// [SECTION] Coordinator
 //-----------------------------------------------------------------------------
 
 enum class ReportingStatus {
     Reporting,
-    Silent, // it followed, and may go on to begin what is left to it
-    Expired, // silent for so long that it is gone, or follows another keeper
+    Silent, // may have lost its lease; its reserved usage still counts
+    Expired, // is down or reports to another coordinator; nothing is reserved for it
 };
 
 static ReportingStatus getReportingStatus(const ReportingHost& host, TimePoint now)
@@ -95,8 +95,8 @@
     return std::ranges::any_of(coordinator.hosts, [&](auto& it) { return it.first != self && getReportingStatus(it.second, now) == ReportingStatus::Reporting; });
 }
 
-// A host that started within the window may have begun something just before that it has forgotten: its part of what a calm account uses at most, or all of its
-// share if the account came near to its quota.
+// Estimates the operations that a host began before its history starts, if that is within the window: its whole share if the account was near its
+// quota, else the part that an account far below its quota uses at most.
 static double estimateUnknown(const ReportingHost& host, const QuotaRule& rule, bool wasNearQuota, double share, TimePoint now)
 {
     if (host.historyStartsAt <= now - rule.window)
@@ -121,7 +121,7 @@
         if (status == ReportingStatus::Expired)
             continue;
         bool isSilent = status == ReportingStatus::Silent;
-        auto until = isSilent ? host.lastReportAt : now; // what a lost one had told is left to it
+        auto until = isSilent ? host.lastReportAt : now; // a silent host keeps the usage it had reported
         double uses = 0;
         if (tracked != coordinator.accounts.end()) {
             auto usage = tracked->second.hosts.find(name);
@@ -139,7 +139,7 @@
     return budget;
 }
 
-// Whether that has changed.
+// Returns whether the account became strict or stopped being strict.
 static bool updateStrict(QuotaCoordinator& coordinator, const QuotaView& view, const std::string& account, TimePoint now)
 {
     auto& tracked = coordinator.accounts[account];
@@ -156,7 +156,7 @@
     return hasChanged;
 }
 
-// The process that reports may have started again within the window: what the one before had told still counts.
+// Replaces the usage that the report covers. Earlier usage stays: a previous process of the host reported it before a restart.
 static void applyUsage(HostUsage& usage, const ReportedUsage& reported, TimePoint historyStartsAt)
 {
     std::erase_if(usage.uses, [&](const UsageBucket& it) { return it.at >= historyStartsAt; });
@@ -195,7 +195,7 @@
         std::erase_if(tracked.hosts, [](auto& it) { return it.second.uses.empty() && it.second.grants.empty(); });
     }
     std::erase_if(coordinator.accounts, [&](auto& it) { return it.second.hosts.empty() && !it.second.isStrict && !isNearQuota(it.second, kNearQuotaRetention, now); });
-    for (auto& [name, tracked] : coordinator.accounts) // all of them: hosts that are not heard any more take allowance away
+    for (auto& [name, tracked] : coordinator.accounts) // all accounts, because silent hosts reduce the budget of each
         hasChanged = updateStrict(coordinator, view, name, now) || hasChanged;
     return hasChanged;
 }
@@ -220,7 +220,7 @@
     return names;
 }
 
-// When the first operation of the window leaves it.
+// The time until the oldest operation in the window expires, clamped.
 static milliseconds getBlockTime(const TrackedAccount& tracked, const QuotaRule& rule, TimePoint now)
 {
     auto first = now;
@@ -268,7 +268,7 @@
         return Admission::Refuse;
     if (!hasLease(host, now) || host.strictAccounts.contains(account))
         return Admission::Ask;
-    // Keepers may have been lost since: all hosts together begin no more unseen than a calm account has left.
+    // The coordinator may have failed since the lease was renewed, so unreported operations of all hosts together must fit into the rest of the budget.
     auto maxUnreported = std::max(1.0, kMaxUnreportedRatio * getQuotaLimits(quota, rule).admissionLimit / static_cast<double>(std::max<size_t>(1, hostCount)));
     auto unreported = it == host.accounts.end() ? 0 : countUsage(it->second.uses, host.leaseStartedAt, now);
     return unreported < maxUnreported ? Admission::Begin : Admission::Ask;
--- a/src/decisions/quota.h
+++ b/src/decisions/quota.h
@@ -1,19 +1,17 @@
-// Quotas of client accounts over all hosts: how many operations of an account may begin in any window of time, wherever they come in.
+// Distributed rate limiting: bounds the operations of a client account that begin on all hosts together within any time window.
 //
-// The load that this answers: an account that sends several times its quota from one moment to the next, through all hosts, each of which sees little of it.
-// A few hosts, the keepers, count for all. Each host follows one keeper, tells it what it has begun, and holds a lease while it answers: under it,
-// operations of accounts that are far below their quota begin at once. An account that comes near to its quota is strict: each of its operations is
-// asked for before it begins. A keeper may give out the equal shares of the hosts that follow it. A host without a lease begins no more than its own share, or what it
-// had told when its lease was renewed last, and keepers leave it that.
-// docs/design/0011-accounts.md has the bound and its proof.
+// A few hosts act as coordinators. Each host reports the operations it has begun to one coordinator and holds a lease while its reports are answered.
+// Under a lease, operations begin without a request unless the account is strict, that is, near its quota: then each operation needs a grant.
+// A host without a lease is limited to its equal share of the quota or to the usage it had last reported, whichever is more; coordinators reserve that much.
+// docs/design/0011-accounts.md states the bound and its proof.
 //
 // COMMON MISTAKES
-//   - Telling what was begun since the last time. A report that is lost or comes twice would be lost or counted twice: a host tells all of its window.
+//   - Reporting increments. A lost or duplicated report would be missed or counted twice; each report holds the whole window.
 //
-// [SECTION] Limits   what a quota allows
-// [SECTION] Uses     operations that began
-// [SECTION] Keeper   counts for all hosts
-// [SECTION] Host     decides what begins here
+// [SECTION] Limits        what a quota allows
+// [SECTION] Usage         operations that have begun
+// [SECTION] Coordinator   counts for all hosts
+// [SECTION] Host          admits operations on this host
 #pragma once
 #include "decisions/accounts.h"
 #include "decisions/freshness.h"
@@ -29,28 +27,28 @@
 // [SECTION] Limits
 //-----------------------------------------------------------------------------
 
-// How strictly operators hold quotas, the same for all accounts.
+// Settings for enforcing quotas, common to all accounts.
 struct QuotaRule {
     milliseconds window { 5000 };
-    double toleranceShare { 0.1 }; // share of the quota that may pass besides
-    double toleranceCount { 20 }; // operations that may pass besides
+    double toleranceShare { 0.1 }; // of the quota, allowed in excess of it
+    double toleranceCount { 20 }; // operations allowed in excess of the quota, in addition to toleranceShare
     friend bool operator==(const QuotaRule&, const QuotaRule&) = default;
 };
 
 struct QuotaLimits {
-    double hardLimit { 0 }; // operations in any window; more breaks the promise
-    double admissionLimit { 0 }; // that keepers let begin; what lies between is for hosts that they do not hear and for what is under way
+    double hardLimit { 0 }; // guaranteed maximum of operations in any window
+    double admissionLimit { 0 }; // operations that coordinators admit per window; the rest is reserved for unreachable hosts and for unreported operations
 };
 
 QuotaLimits getQuotaLimits(const AccountQuota& quota, const QuotaRule& rule);
 
 //-----------------------------------------------------------------------------
-// [SECTION] Uses
+// [SECTION] Usage
 //-----------------------------------------------------------------------------
 
-// Operations that began close to each other.
+// Operations that began within the same short interval.
 struct UsageBucket {
-    TimePoint at {}; // the last of them
+    TimePoint at {}; // when the last one began
     unsigned count { 0 };
     friend bool operator==(const UsageBucket&, const UsageBucket&) = default;
 };
@@ -58,87 +56,87 @@
 using UsageHistory = std::deque<UsageBucket>; // oldest first
 
 void addUsage(UsageHistory& uses, TimePoint now);
-// The newest one did not begin after all.
+// Removes the latest operation, which was counted but did not begin.
 void removeLatestUsage(UsageHistory& uses);
 void pruneUsage(UsageHistory& uses, TimePoint before);
-// Those behind `after`, up to `until`.
+// Counts the operations in (after, until].
 unsigned countUsage(const UsageHistory& uses, TimePoint after, TimePoint until);
 
 //-----------------------------------------------------------------------------
-// [SECTION] Keeper
+// [SECTION] Coordinator
 //-----------------------------------------------------------------------------
 
-inline constexpr milliseconds kQuotaLeaseTime { 1250 }; // from the moment at which a report was sent that a keeper answered: two answers may be lost
-inline constexpr milliseconds kQuotaReportInterval { 250 }; // at most, between an operation's begin and the word of it
-inline constexpr milliseconds kQuotaIdleReportInterval { 500 }; // between two reports where nothing began
-inline constexpr milliseconds kQuotaSilentHostTimeout { 12000 }; // what a silent host may begin is counted this long; its entry in the platform's store lapses after about as much
+inline constexpr milliseconds kQuotaLeaseTime { 1250 }; // from the sending of an answered report; long enough to survive two lost answers
+inline constexpr milliseconds kQuotaReportInterval { 250 }; // maximum delay before an operation is reported
+inline constexpr milliseconds kQuotaIdleReportInterval { 500 }; // between reports while no operations begin
+inline constexpr milliseconds kQuotaSilentHostTimeout { 12000 }; // how long usage stays reserved for a silent host; similar to the lifetime of its entry in the platform's store
 
-// What one host says of one account, as a keeper has it.
+// The usage of one account by one host, as known to a coordinator.
 struct HostUsage {
     UsageHistory uses {};
-    std::map<uint64_t, TimePoint> grants {}; // given, and not in `uses` yet: by number
+    std::map<uint64_t, TimePoint> grants {}; // by number: granted and not yet reported in `uses`
 };
 
 struct TrackedAccount {
     std::map<std::string, HostUsage> hosts {};
     bool isStrict { false };
-    TimePoint nearQuotaAt {}; // when it was last known to have come near to its quota; it can be strict for what is not known, too
+    TimePoint nearQuotaAt {}; // when reported usage was last near the quota; estimates can make an account strict without it
 };
 
 struct ReportingHost {
     TimePoint lastReportAt {};
-    TimePoint historyStartsAt {}; // what it has begun before this is not known
+    TimePoint historyStartsAt {}; // its earlier operations are unknown
 };
 
 struct QuotaCoordinator {
     std::map<std::string, TrackedAccount> accounts {};
     std::map<std::string, ReportingHost> hosts {};
-    std::set<std::string> storedNearQuota {}; // accounts that came near to their quotas lately, as the shard's keepers have written it down
+    std::set<std::string> storedNearQuota {}; // accounts recently near their quotas, as persisted by the shard's coordinators
     uint64_t lastGrantNumber { 0 };
 };
 
-// What a host has begun of one account within the window, on the keeper's clock.
+// The operations of one account that a host has begun within the window, in the coordinator's time.
 struct ReportedUsage {
     std::string account {};
     UsageHistory uses {};
-    uint64_t grantsTaken { 0 }; // grants up to this number are in `uses`, or were given back
+    uint64_t grantsTaken { 0 }; // grants up to this number are included in `uses` or were returned
 };
 
 struct QuotaReport {
     std::string host {};
-    TimePoint historyStartsAt {}; // the host's process has begun nothing before this that it knows of
-    bool isWhole { false }; // it names all accounts of which the host has begun something in the window, not only what has changed
+    TimePoint historyStartsAt {}; // the report covers operations since then
+    bool isWhole { false }; // lists all accounts used within the window, not just those that changed
     std::vector<ReportedUsage> accounts {};
 };
 
-// What a keeper goes by besides what it was told.
+// Configuration that a coordinator applies.
 struct QuotaView {
     QuotaRule rule {};
     const Accounts& accounts;
-    size_t hostCount { 1 }; // that there are, this one included
+    size_t hostCount { 1 }; // in the system, this one included
 };
 
 struct ReportResult {
-    bool isAccepted { true }; // false: the keeper lacks what the host told before, and takes only a whole report
-    bool hasStrictChanged { false }; // an account has become strict, or is strict no longer
-    bool hasNewNearQuota { false }; // an account that came near to its quota is not written down as one yet
+    bool isAccepted { true }; // false: the coordinator does not know the host and needs a whole report
+    bool hasStrictChanged { false }; // an account became strict or stopped being strict
+    bool hasNewNearQuota { false }; // an account near its quota is not persisted as such yet
 };
 
 ReportResult applyReport(QuotaCoordinator& coordinator, const QuotaView& view, const QuotaReport& report, TimePoint now);
-// Looks at all accounts, and forgets what is too old to matter. Returns whether one has become strict, or is strict no longer. Call it every few hundred ms.
+// Re-evaluates all accounts and drops expired records. Returns whether an account became strict or stopped being strict. Call it every few hundred ms.
 bool sweepCoordinator(QuotaCoordinator& coordinator, const QuotaView& view, TimePoint now);
 std::vector<std::string> getStrictAccounts(const QuotaCoordinator& coordinator);
-// What is to be written down where it outlasts all hosts, so that those that start anew know which accounts may have used their quotas up.
+// The accounts to persist, so that coordinators know after a restart of all hosts which accounts may have exhausted their quotas.
 std::set<std::string> getNearQuotaAccounts(const QuotaCoordinator& coordinator, TimePoint now);
-// Hosts that follow the keeper and reported lately.
+// Hosts whose last report is recent.
 size_t countReportingHosts(const QuotaCoordinator& coordinator, TimePoint now);
-// Whether any host but `self` does.
+// Whether any host other than `self` has reported recently.
 bool hasOtherReportingHost(const QuotaCoordinator& coordinator, const std::string& self, TimePoint now);
 
-// Of the hosts that follow the keeper.
+// Usage and limit of one account in a window, over the hosts that report to the coordinator.
 struct QuotaBudget {
-    double used { 0 }; // operations of the window, and what may have begun unseen
-    double estimated { 0 }; // of these, the latter
+    double used { 0 }; // operations, including `estimated`
+    double estimated { 0 }; // allowance for unknown operations of hosts that started within the window
     double limit { 0 };
 };
 
@@ -146,8 +144,8 @@
 
 struct QuotaGrant {
     bool isGranted { false };
-    uint64_t number { 0 }; // of the grant, for the host's report
-    milliseconds blockedFor { 0 }; // refused: no operation of the account can begin before
+    uint64_t number { 0 }; // identifies the grant in the host's reports
+    milliseconds blockedFor { 0 }; // if refused: no operation of the account is admitted for this long
 };
 
 QuotaGrant requestGrant(QuotaCoordinator& coordinator, const QuotaView& view, const std::string& host, const std::string& account, TimePoint now);
@@ -157,29 +155,28 @@
 //-----------------------------------------------------------------------------
 
 enum class Admission {
-    Begin, // at once
-    Ask, // a keeper decides
+    Begin, // without a grant
+    Ask, // needs a grant from the coordinator
     Refuse,
 };
 
 struct AccountUsage {
     UsageHistory uses {};
-    TimePoint blockedUntil {}; // as a keeper said
-    bool isUnreported { false }; // since it was last told
+    TimePoint blockedUntil {}; // as the coordinator requested
+    bool isUnreported { false }; // changed since the last report
 };
 
-// What a host knows of quotas, for the accounts of one shard.
+// The quota state of a host for the accounts of one shard.
 struct QuotaHost {
-    TimePoint startedAt {}; // when its process began
+    TimePoint startedAt {}; // of the host's process
     std::map<std::string, AccountUsage> accounts {};
     std::set<std::string> strictAccounts {};
-    TimePoint leaseStartedAt {}; // when the newest report was sent that a keeper answered
+    TimePoint leaseStartedAt {}; // when the latest answered report was sent
 };
 
 bool hasLease(const QuotaHost& host, TimePoint now);
-// `hosts`: that there are.
 Admission admitOperation(const QuotaHost& host, const std::string& account, const AccountQuota& quota, const QuotaRule& rule, size_t hostCount, TimePoint now);
-// Whether an operation may begin though no keeper answers. None may until the lease has ended: keepers have left it nothing before.
+// Whether an operation may begin while no coordinator answers. None may before the lease has expired, because coordinators reserve nothing for the host until then.
 bool mayBeginWithoutCoordinator(const QuotaHost& host, const std::string& account, const AccountQuota& quota, const QuotaRule& rule, size_t hostCount, TimePoint now);
 void recordOperation(QuotaHost& host, const std::string& account, TimePoint now);
 void revertOperation(QuotaHost& host, const std::string& account);
