--- a/src/controllers/group_statements.cpp
+++ b/src/controllers/group_statements.cpp
@@ -110,7 +110,7 @@
         bool isWorthRetrying = !outcome && (outcome.error().kind == ErrorKind::NoPrimary || outcome.error().kind == ErrorKind::NotCaughtUp || outcome.error().kind == ErrorKind::OutcomeUnknown);
         if (!isWorthRetrying || isDue(order.deadline)) {
             if (outcome)
-                m_retryBudget = decisions::earnRetry(m_retryBudget);
+                m_retryBudget = decisions::depositRetry(m_retryBudget);
             co_return outcome;
         }
         bool wasBehind = outcome.error().kind == ErrorKind::NotCaughtUp;
@@ -231,7 +231,7 @@
             co_return tl::make_unexpected(primary.error());
         auto outcome = co_await tryWrite(order, *primary, m_state.health.term);
         if (outcome) {
-            m_retryBudget = decisions::earnRetry(m_retryBudget);
+            m_retryBudget = decisions::depositRetry(m_retryBudget);
             co_return outcome;
         }
         auto kind = outcome.error().kind;
@@ -324,7 +324,7 @@
     case links::RefusalKind::KeyClosed:
         return fail(ErrorKind::KeyClosed, "the request key was settled as not run");
     case links::RefusalKind::Connections:
-        return fail(ErrorKind::Overloaded, "the member takes no more connections", decisions::spreadRetryAfter(kComeBack, base::getRandom()));
+        return fail(ErrorKind::Overloaded, "the member takes no more connections", decisions::jitterRetryAfter(kComeBack, base::getRandom()));
     case links::RefusalKind::Transaction:
         return fail(ErrorKind::TransactionUnknown, refusal.message);
     default:
--- a/src/controllers/pool.cpp
+++ b/src/controllers/pool.cpp
@@ -73,10 +73,10 @@
 void Pool::setLimits(const PoolLimits& limits)
 {
     m_limits = limits;
-    m_limit.most = limits.share.slots;
-    if (m_limit.smoothed == 0)
+    m_limit.maximum = limits.share.slots;
+    if (m_limit.meanLatency == 0)
         m_limit.limit = limits.share.slots;
-    m_limit.limit = std::min(m_limit.limit, m_limit.most);
+    m_limit.limit = std::min(m_limit.limit, m_limit.maximum);
     while (m_open > m_limits.share.connections && !m_idle.empty()) {
         m_idle.pop_back();
         --m_open;
@@ -99,7 +99,7 @@
 
 void Pool::noteLatency(std::chrono::duration<double, std::milli> latency)
 {
-    m_limit = decisions::takeLatency(m_limit, latency);
+    m_limit = decisions::updateLimit(m_limit, latency);
     m_perStatement += kSmoothing * (latency.count() - m_perStatement);
 }
 
--- a/src/decisions/limits.h
+++ b/src/decisions/limits.h
@@ -11,28 +11,28 @@
 // Statements in flight at one member from this home: grows while latency stays near the best seen, shrinks when it rises.
 struct AdaptiveLimit {
     double limit { 1 }; // statements; kept in [1, most]
-    double most { 1 }; // the slots' worth
-    double best { 0 }; // ms; slowly forgotten minimum of latency
-    double smoothed { 0 }; // ms; running mean of latency
+    double maximum { 1 }; // the slots' worth
+    double baseline { 0 }; // ms; slowly forgotten minimum of latency
+    double meanLatency { 0 }; // ms; running mean of latency
     friend bool operator==(const AdaptiveLimit&, const AdaptiveLimit&) = default;
 
     unsigned getLimit() const { return static_cast<unsigned>(limit); }
 };
 
-AdaptiveLimit takeLatency(AdaptiveLimit limit, std::chrono::duration<double, std::milli> latency);
+AdaptiveLimit updateLimit(AdaptiveLimit limit, std::chrono::duration<double, std::milli> latency);
 
 // ---- admission ----
 
 // The queue of one group's statements at a home, as it is now.
 struct QueueState {
     size_t waiting { 0 }; // statements ahead
-    double perStatement { 0 }; // ms; smoothed time a statement holds its place
-    unsigned places { 1 }; // statements served at a time
+    double serviceTime { 0 }; // ms; smoothed time a statement holds its place
+    unsigned concurrency { 1 }; // statements served at a time
     friend bool operator==(const QueueState&, const QueueState&) = default;
 };
 
 // How long a new statement would wait.
-milliseconds getExpectedWait(const QueueState& queue);
+milliseconds estimateWait(const QueueState& queue);
 
 // Whether a statement with this much time left is worth queueing.
 bool isAdmitted(const QueueState& queue, milliseconds remaining);
@@ -47,7 +47,7 @@
 
 // A time to come back that is not the queue's, spread over half to one and a half of itself by `random` in [0, 1): callers
 // that were refused in one moment would return in one moment. 0 stays 0.
-milliseconds spreadRetryAfter(milliseconds mean, double random);
+milliseconds jitterRetryAfter(milliseconds mean, double random);
 
 // ---- retry budget ----
 
@@ -57,10 +57,10 @@
     friend bool operator==(const RetryBudget&, const RetryBudget&) = default;
 };
 
-inline constexpr double kRetryShare = 0.1; // retries earned by one success
-inline constexpr double kRetryMost = 20; // retries that can be saved up
+inline constexpr double kRetriesPerSuccess = 0.1; // retries earned by one success
+inline constexpr double kMaxRetryTokens = 20; // retries that can be saved up
 
-RetryBudget earnRetry(RetryBudget budget);
+RetryBudget depositRetry(RetryBudget budget);
 // Takes one retry if there is one.
 bool tryTakeRetry(RetryBudget& budget);
 
--- a/src/filters/chain.cpp
+++ b/src/filters/chain.cpp
@@ -26,7 +26,7 @@
 // The queue's own times are spread where they are made; all others are here, once: relays pass the reply on as it is.
 static milliseconds getRetryAfter(const Error& error)
 {
-    return error.kind == ErrorKind::Overloaded ? error.retryAfter : decisions::spreadRetryAfter(error.retryAfter, base::getRandom());
+    return error.kind == ErrorKind::Overloaded ? error.retryAfter : decisions::jitterRetryAfter(error.retryAfter, base::getRandom());
 }
 
 Reply replyWithError(const Error& error, const std::string& session)
--- a/src/gateway/directory.cpp
+++ b/src/gateway/directory.cpp
@@ -202,7 +202,7 @@
 {
     auto began = Clock::now();
     bool wasLeft = leavesStoreToRelays();
-    auto spread = decisions::spreadRetryAfter(kLostPause, base::getRandom());
+    auto spread = decisions::jitterRetryAfter(kLostPause, base::getRandom());
     while (leavesStoreToRelays() && !m_mustReread && Clock::now() - began < spread && !m_isEnding)
         co_await base::sleepFor(kToldCheck);
     co_await base::sleepFor(wasLeft ? decisions::getRetryPause(kSpreadFailures, base::getRandom()) : pause);
--- a/tests/unit/hosts_test.cpp
+++ b/tests/unit/hosts_test.cpp
@@ -259,33 +259,33 @@
 BOOST_AUTO_TEST_CASE(adaptive_limit_stays_within_its_slots_and_finds_back)
 {
     AdaptiveLimit it;
-    it.most = 5;
+    it.maximum = 5;
     it.limit = 5;
     for (int i = 0; i < 100; ++i)
-        it = takeLatency(it, milliseconds(2));
+        it = updateLimit(it, milliseconds(2));
     BOOST_TEST(it.getLimit() == 5u);
     for (int i = 0; i < 200; ++i)
-        it = takeLatency(it, milliseconds(40));
+        it = updateLimit(it, milliseconds(40));
     BOOST_TEST(it.getLimit() == 1u);
     for (int i = 0; i < 500; ++i)
-        it = takeLatency(it, milliseconds(2));
+        it = updateLimit(it, milliseconds(2));
     BOOST_TEST(it.getLimit() == 5u);
 }
 
 BOOST_AUTO_TEST_CASE(adaptive_limit_does_not_take_jitter_of_short_statements_for_a_queue)
 {
     AdaptiveLimit it;
-    it.most = 200;
+    it.maximum = 200;
     it.limit = 200;
     for (int i = 0; i < 1000; ++i)
-        it = takeLatency(it, std::chrono::duration<double, std::milli>(i % 3 == 0 ? 0.03 : 0.4));
+        it = updateLimit(it, std::chrono::duration<double, std::milli>(i % 3 == 0 ? 0.03 : 0.4));
     BOOST_TEST(it.getLimit() == 200u);
 }
 
 BOOST_AUTO_TEST_CASE(admission_follows_the_queue_as_it_is)
 {
     QueueState queue { 100, 4.0, 2 };
-    BOOST_TEST(getExpectedWait(queue).count() == 200);
+    BOOST_TEST(estimateWait(queue).count() == 200);
     BOOST_TEST(isAdmitted(queue, milliseconds(400)));
     BOOST_TEST(!isAdmitted(queue, milliseconds(200)));
     BOOST_TEST(isWorthSending(queue, milliseconds(8)));
@@ -296,11 +296,11 @@
 
 BOOST_AUTO_TEST_CASE(callers_refused_together_come_back_apart)
 {
-    BOOST_TEST(spreadRetryAfter(milliseconds(2000), 0).count() == 1000);
-    BOOST_TEST(spreadRetryAfter(milliseconds(2000), 0.5).count() == 2000);
-    BOOST_TEST(spreadRetryAfter(milliseconds(2000), 0.999).count() == 2998);
-    BOOST_TEST(spreadRetryAfter(milliseconds(0), 0.7).count() == 0);
-    BOOST_TEST(spreadRetryAfter(milliseconds(1), 0).count() == 1); // never "at once"
+    BOOST_TEST(jitterRetryAfter(milliseconds(2000), 0).count() == 1000);
+    BOOST_TEST(jitterRetryAfter(milliseconds(2000), 0.5).count() == 2000);
+    BOOST_TEST(jitterRetryAfter(milliseconds(2000), 0.999).count() == 2998);
+    BOOST_TEST(jitterRetryAfter(milliseconds(0), 0.7).count() == 0);
+    BOOST_TEST(jitterRetryAfter(milliseconds(1), 0).count() == 1); // never "at once"
 }
 
 BOOST_AUTO_TEST_CASE(retries_are_a_share_of_successes)
@@ -311,7 +311,7 @@
         ++taken;
     BOOST_TEST(taken == 10);
     for (int i = 0; i < 100; ++i)
-        budget = earnRetry(budget);
+        budget = depositRetry(budget);
     taken = 0;
     while (tryTakeRetry(budget))
         ++taken;
