--- a/src/decisions/limits.cpp
+++ b/src/decisions/limits.cpp
@@ -5,15 +5,15 @@
 namespace alderward::decisions {
 
 static constexpr double kSmoothing = 0.1; // weight of the newest latency
-static constexpr double kBaselineGrowth = 1.001; // the best latency rises by this with every answer
-static constexpr double kMaxLatencyRatio = 2.0; // latency above this multiple of the best means a queue at the member
-static constexpr double kLatencyMarginMs = 2; // and this much more: scheduling alone moves short latencies by a multiple
+static constexpr double kBaselineGrowth = 1.001; // factor per answer
+static constexpr double kMaxLatencyRatio = 2.0; // mean latency above this multiple of the baseline indicates queueing at the member
+static constexpr double kLatencyMarginMs = 2; // added to the threshold, because scheduling jitter can multiply short latencies
 static constexpr double kLimitDecrease = 0.95;
 static constexpr double kLimitIncrease = 0.1;
 static constexpr double kMinRetryAfterMs = 20;
 static constexpr double kMaxRetryAfterMs = 10000;
-static constexpr double kServiceTimeMargin = 2; // a statement may take this many times the usual
-static constexpr double kMaxWaitShare = 0.6; // of the time left; the rest is for running, and for estimates that were too good
+static constexpr double kServiceTimeMargin = 2; // multiple of the mean service time that must remain before the deadline
+static constexpr double kMaxWaitShare = 0.6; // of the remaining time; the rest covers execution and estimation errors
 
 AdaptiveLimit updateLimit(AdaptiveLimit it, std::chrono::duration<double, std::milli> latency)
 {
--- a/src/decisions/limits.h
+++ b/src/decisions/limits.h
@@ -1,4 +1,4 @@
-// Admission by deadline, the adaptive limit on statements in flight, retry budget, and when to come back.
+// Admission by deadline, the adaptive concurrency limit, the retry budget and retry-after times.
 #pragma once
 #include "decisions/errors.h"
 #include <chrono>
@@ -6,14 +6,14 @@
 
 namespace alderward::decisions {
 
-// ---- adaptive limit of one member ----
+// ---- adaptive concurrency limit of one member ----
 
-// Statements in flight at one member from this home: grows while latency stays near the best seen, shrinks when it rises.
+// Limits the statements that this host has in flight at one member: grows while latency stays near its baseline, shrinks when latency rises.
 struct AdaptiveLimit {
-    double limit { 1 }; // statements; kept in [1, most]
-    double maximum { 1 }; // the slots' worth
-    double baseline { 0 }; // ms; slowly forgotten minimum of latency
-    double meanLatency { 0 }; // ms; running mean of latency
+    double limit { 1 }; // statements; in [1, maximum]
+    double maximum { 1 }; // the slots of the member that this host may use
+    double baseline { 0 }; // ms; minimum latency, with slow upward decay
+    double meanLatency { 0 }; // ms; exponentially weighted
     friend bool operator==(const AdaptiveLimit&, const AdaptiveLimit&) = default;
 
     unsigned getLimit() const { return static_cast<unsigned>(limit); }
@@ -23,45 +23,42 @@
 
 // ---- admission ----
 
-// The queue of one group's statements at a home, as it is now.
+// A snapshot of the queue of statements for one member.
 struct QueueState {
     size_t waiting { 0 }; // statements ahead
-    double serviceTime { 0 }; // ms; smoothed time a statement holds its place
+    double serviceTime { 0 }; // ms; smoothed, per statement
     unsigned concurrency { 1 }; // statements served at a time
     friend bool operator==(const QueueState&, const QueueState&) = default;
 };
 
-// How long a new statement would wait.
+// The queueing delay of a new statement.
 milliseconds estimateWait(const QueueState& queue);
 
-// Whether a statement with this much time left is worth queueing.
+// Whether a statement with this much time before its deadline should be queued.
 bool isAdmitted(const QueueState& queue, milliseconds remaining);
 
-// Whether a statement that has waited its turn can still be run in time. One that cannot is refused unsent: sent, it would
-// use a slot for an answer that comes too late, and cost its connection as well.
+// Whether a dequeued statement can still finish before its deadline. Sending one that cannot would waste a slot and its connection on a late answer.
 bool isWorthSending(const QueueState& queue, milliseconds remaining);
 
-// When a refused caller should come back: after the queue as it is, spread by `random` in [0, 1) so that callers do not
-// return together.
+// The retry-after time of a refused caller: the current queueing delay with jitter from `random` in [0, 1).
 milliseconds getRetryAfter(const QueueState& queue, double random);
 
-// A time to come back that is not the queue's, spread over half to one and a half of itself by `random` in [0, 1): callers
-// that were refused in one moment would return in one moment. 0 stays 0.
+// Spreads a retry-after time over 50 % to 150 % of `mean` by `random` in [0, 1), so that callers refused together do not retry together. 0 stays 0.
 milliseconds jitterRetryAfter(milliseconds mean, double random);
 
 // ---- retry budget ----
 
-// Retries as a share of recent successes.
+// Token bucket that limits retries to a share of recent successes.
 struct RetryBudget {
-    double tokens { 10 }; // retries that may be made now
+    double tokens { 10 }; // retries available now
     friend bool operator==(const RetryBudget&, const RetryBudget&) = default;
 };
 
-inline constexpr double kRetriesPerSuccess = 0.1; // retries earned by one success
-inline constexpr double kMaxRetryTokens = 20; // retries that can be saved up
+inline constexpr double kRetriesPerSuccess = 0.1;
+inline constexpr double kMaxRetryTokens = 20;
 
 RetryBudget depositRetry(RetryBudget budget);
-// Takes one retry if there is one.
+// Consumes a token; false if none is left.
 bool tryTakeRetry(RetryBudget& budget);
 
 }
