--- a/src/decisions/accounts.h
+++ b/src/decisions/accounts.h
@@ -1,7 +1,7 @@
-// Client accounts: on whose behalf a caller speaks, by the key that it brings.
+// Client accounts and the API keys that authenticate their callers.
 //
 // COMMON MISTAKES
-//   - Keeping a key. Only its digest is kept, and a digest goes into no log, metric or error either.
+//   - Storing a key. Only its digest is stored, and neither appears in logs, metrics or errors.
 #pragma once
 #include <array>
 #include <cstdint>
@@ -12,35 +12,38 @@
 
 namespace alderward::decisions {
 
-// The first half of a key's SHA-256: short enough to be told to other hosts by the hundred. Whoever presents a key cannot choose its digest, so the time that a look-up takes tells nothing about other keys.
+// The first half of a key's SHA-256, truncated to keep messages between hosts short. Callers cannot choose digests, so the lookup time reveals nothing about
+// other keys.
 using KeyDigest = std::array<uint8_t, 16>;
 
 KeyDigest digestKey(std::string_view key);
-// As hexadecimal digits, and back; nullopt for all else.
+// Formats a digest as hexadecimal digits.
 std::string formatDigest(const KeyDigest& digest);
+// Returns nullopt unless the text has the exact form that formatDigest() writes.
 std::optional<KeyDigest> parseDigest(std::string_view text);
 
-// How many operations an account may begin, over all hosts.
+// The rate limit of an account, over all hosts.
 struct AccountQuota {
     double perSecond { 0 }; // operations
-    double burst { 0 }; // operations at once, on top of that
+    double burst { 0 }; // operations in excess of the rate
     friend bool operator==(const AccountQuota&, const AccountQuota&) = default;
 };
 
 struct ClientAccount {
-    std::string name {}; // as targets are told it
-    std::optional<AccountQuota> quota {}; // empty: it may begin as many as it likes
+    std::string name {}; // as sent to targets
+    std::optional<AccountQuota> quota {}; // nullopt: unlimited
     friend bool operator==(const ClientAccount&, const ClientAccount&) = default;
 };
 
 struct Accounts {
     std::map<std::string, ClientAccount> byName {};
-    std::map<KeyDigest, std::string> keys {}; // the name of the account that holds each
+    std::map<KeyDigest, std::string> keys {}; // account names by key
     friend bool operator==(const Accounts&, const Accounts&) = default;
 };
 
-// The account that holds the key; nullptr if none does.
+// Returns the account that owns the key, or nullptr.
 const ClientAccount* findAccount(const Accounts& accounts, const KeyDigest& key);
+// Returns nullptr if the account is unknown or unlimited.
 const AccountQuota* findQuota(const Accounts& accounts, const std::string& account);
 
 }
--- a/tests/unit/accounts_test.cpp
+++ b/tests/unit/accounts_test.cpp
@@ -1,4 +1,4 @@
-// Client accounts and their keys: as operators write them, as hosts tell them to each other, as callers and targets see them.
+// Tests how client accounts and keys are read from the configuration, passed between hosts, and used in the session protocol.
 #include "decisions/accounts.h"
 #include "platform/entries.h"
 #include "platform/wire.h"
@@ -41,7 +41,7 @@
 
 BOOST_AUTO_TEST_SUITE(accounts)
 
-BOOST_AUTO_TEST_CASE(keys_lead_to_accounts_and_nothing_else_does)
+BOOST_AUTO_TEST_CASE(only_configured_keys_find_their_account)
 {
     auto read = platform::readConfiguration(makeConfiguration(std::vector<json::object> { makeAccount("mill", { "k1", "k2" }), makeAccount("shop", { "k3" }), makeAccount("closed", {}) }));
     BOOST_REQUIRE(read.has_value());
@@ -52,13 +52,13 @@
     BOOST_TEST(getOwner(accounts, "k3") == "shop");
     for (auto* stranger : { "", "k", "k11", "K1", "mill" })
         BOOST_TEST(getOwner(accounts, stranger).empty(), stranger);
-    BOOST_TEST(accounts.byName.contains("closed")); // it may still be counted for, and nobody speaks for it
+    BOOST_TEST(accounts.byName.contains("closed")); // an account without keys keeps its quota
     BOOST_TEST(findQuota(accounts, "mill")->perSecond == 128);
     BOOST_TEST(findQuota(accounts, "mill")->burst == 64);
     BOOST_TEST(read->routes.at("bookings").isPublic);
 }
 
-BOOST_AUTO_TEST_CASE(a_platform_without_accounts_is_told_apart_from_one_with_none)
+BOOST_AUTO_TEST_CASE(a_missing_account_list_differs_from_an_empty_one)
 {
     auto without = platform::readConfiguration(R"({"Version":1,"Routes":[],"Services":[]})");
     BOOST_REQUIRE(without.has_value());
@@ -68,18 +68,18 @@
     BOOST_TEST(none->accounts.has_value());
 }
 
-BOOST_AUTO_TEST_CASE(a_key_of_two_accounts_opens_neither)
+BOOST_AUTO_TEST_CASE(a_key_shared_by_two_accounts_is_rejected)
 {
     auto read = platform::readConfiguration(makeConfiguration(std::vector<json::object> { makeAccount("mill", { "k1", "both", "both" }), makeAccount("shop", { "both" }) }));
     BOOST_REQUIRE(read.has_value());
     BOOST_TEST(getOwner(*read->accounts, "both").empty());
     BOOST_TEST(getOwner(*read->accounts, "k1") == "mill");
-    auto twice = platform::readConfiguration(makeConfiguration(std::vector<json::object> { makeAccount("mill", { "k1", "k1" }) })); // named twice by its own account
+    auto twice = platform::readConfiguration(makeConfiguration(std::vector<json::object> { makeAccount("mill", { "k1", "k1" }) })); // duplicate within one account
     BOOST_REQUIRE(twice.has_value());
     BOOST_TEST(getOwner(*twice->accounts, "k1") == "mill");
 }
 
-BOOST_AUTO_TEST_CASE(accounts_are_read_whole_or_the_configuration_is_not_taken)
+BOOST_AUTO_TEST_CASE(a_malformed_account_rejects_the_configuration)
 {
     auto isTaken = [](json::object account) { return platform::readConfiguration(makeConfiguration(std::vector<json::object> { std::move(account) })).has_value(); };
     auto with = [](const char* name, json::value value) {
@@ -106,8 +106,8 @@
     BOOST_TEST(findQuota(*read->accounts, "mill") == nullptr);
 }
 
-// Hosts tell each other the configuration; keys stay where they came in.
-BOOST_AUTO_TEST_CASE(other_hosts_are_told_no_key_and_know_every_key)
+// Guards against sending plain keys to other hosts with the configuration.
+BOOST_AUTO_TEST_CASE(hidden_keys_are_still_recognized_by_their_digests)
 {
     auto value = makeConfiguration(std::vector<json::object> { makeAccount("mill", { "key-one-of-mill", "key-two-of-mill" }), makeAccount("shop", { "key-of-shop" }) });
     auto hidden = platform::hideKeys(value);
@@ -125,7 +125,7 @@
     BOOST_TEST(platform::hideKeys(plain) == plain);
 }
 
-BOOST_AUTO_TEST_CASE(digests_are_read_as_they_are_written)
+BOOST_AUTO_TEST_CASE(digests_survive_formatting_and_parsing)
 {
     auto digest = digestKey("k1");
     BOOST_TEST((digest != digestKey("k2")));
@@ -135,7 +135,7 @@
         BOOST_TEST(!parseDigest(text).has_value(), text);
 }
 
-BOOST_AUTO_TEST_CASE(many_accounts_of_many_keys)
+BOOST_AUTO_TEST_CASE(many_accounts_with_many_keys_are_read)
 {
     json::array list;
     for (int i = 0; i < 10000; ++i) {
@@ -151,7 +151,7 @@
     BOOST_TEST(getOwner(*read->accounts, "key-9999-10").empty());
 }
 
-BOOST_AUTO_TEST_CASE(a_caller_brings_a_key_and_targets_are_told_a_name)
+BOOST_AUTO_TEST_CASE(callers_send_a_key_and_targets_receive_the_account_name)
 {
     auto codec = platform::makeLineCodec();
     auto hello = std::get<links::OpenSession>(codec->parseCaller("CONNECT bookings a key with blanks"));
@@ -159,7 +159,7 @@
     BOOST_TEST((hello.key == digestKey("a key with blanks")));
     BOOST_TEST(codec->formatHello("ledger", "mill", "m1") == "CONNECT ledger mill m1\r\n");
     BOOST_TEST(codec->formatError({ ErrorKind::UnknownKey, "x" }).starts_with("ERROR UNAUTH "));
-    BOOST_TEST(codec->formatError({ ErrorKind::QuotaExceeded, "x" }).starts_with("ERROR BUSY ")); // not run: it may be sent again
+    BOOST_TEST(codec->formatError({ ErrorKind::QuotaExceeded, "x" }).starts_with("ERROR BUSY ")); // not executed, so the caller may retry
 }
 
 BOOST_AUTO_TEST_SUITE_END()
