--- a/src/decisions/quota.cpp
+++ b/src/decisions/quota.cpp
@@ -62,13 +62,13 @@
 }
 
 //-----------------------------------------------------------------------------
-// [SECTION] Coordinator
+// [SECTION] Server
 //-----------------------------------------------------------------------------
 
 enum class ReportingStatus {
     Reporting,
     Silent, // may have lost its lease; its reserved usage still counts
-    Expired, // is down or reports to another coordinator; nothing is reserved for it
+    Expired, // is down or reports to another quota server; nothing is reserved for it
 };
 
 static ReportingStatus getReportingStatus(const ReportingHost& host, TimePoint now)
@@ -85,14 +85,14 @@
     return countUsage(usage.uses, until - rule.window, now) + static_cast<double>(grants);
 }
 
-size_t countReportingHosts(const QuotaCoordinator& coordinator, TimePoint now)
+size_t countReportingHosts(const QuotaServer& server, TimePoint now)
 {
-    return static_cast<size_t>(std::ranges::count_if(coordinator.hosts, [&](auto& it) { return getReportingStatus(it.second, now) == ReportingStatus::Reporting; }));
+    return static_cast<size_t>(std::ranges::count_if(server.hosts, [&](auto& it) { return getReportingStatus(it.second, now) == ReportingStatus::Reporting; }));
 }
 
-bool hasOtherReportingHost(const QuotaCoordinator& coordinator, const std::string& self, TimePoint now)
+bool hasOtherReportingHost(const QuotaServer& server, const std::string& self, TimePoint now)
 {
-    return std::ranges::any_of(coordinator.hosts, [&](auto& it) { return it.first != self && getReportingStatus(it.second, now) == ReportingStatus::Reporting; });
+    return std::ranges::any_of(server.hosts, [&](auto& it) { return it.first != self && getReportingStatus(it.second, now) == ReportingStatus::Reporting; });
 }
 
 // Estimates the operations that a host began before its history starts, if that is within the window: its whole share if the account was near its
@@ -109,21 +109,21 @@
     return tracked.nearQuotaAt != TimePoint {} && now - tracked.nearQuotaAt < within;
 }
 
-QuotaBudget getQuotaBudget(const QuotaCoordinator& coordinator, const QuotaView& view, const std::string& account, const AccountQuota& quota, TimePoint now)
+QuotaBudget getQuotaBudget(const QuotaServer& server, const QuotaView& view, const std::string& account, const AccountQuota& quota, TimePoint now)
 {
     auto admissionLimit = getQuotaLimits(quota, view.rule).admissionLimit;
-    auto share = admissionLimit / static_cast<double>(std::max({ size_t { 1 }, view.hostCount, countReportingHosts(coordinator, now) }));
-    auto tracked = coordinator.accounts.find(account);
-    bool wasNearQuota = coordinator.storedNearQuota.contains(account) || (tracked != coordinator.accounts.end() && isNearQuota(tracked->second, view.rule.window, now));
+    auto share = admissionLimit / static_cast<double>(std::max({ size_t { 1 }, view.hostCount, countReportingHosts(server, now) }));
+    auto tracked = server.accounts.find(account);
+    bool wasNearQuota = server.storedNearQuota.contains(account) || (tracked != server.accounts.end() && isNearQuota(tracked->second, view.rule.window, now));
     QuotaBudget budget;
-    for (auto& [name, host] : coordinator.hosts) {
+    for (auto& [name, host] : server.hosts) {
         auto status = getReportingStatus(host, now);
         if (status == ReportingStatus::Expired)
             continue;
         bool isSilent = status == ReportingStatus::Silent;
         auto until = isSilent ? host.lastReportAt : now; // a silent host keeps the usage it had reported
         double uses = 0;
-        if (tracked != coordinator.accounts.end()) {
+        if (tracked != server.accounts.end()) {
             auto usage = tracked->second.hosts.find(name);
             uses = usage == tracked->second.hosts.end() ? 0 : countReported(usage->second, view.rule, until, now);
         }
@@ -140,13 +140,13 @@
 }
 
 // Returns whether the account became strict or stopped being strict.
-static bool updateStrict(QuotaCoordinator& coordinator, const QuotaView& view, const std::string& account, TimePoint now)
+static bool updateStrict(QuotaServer& server, const QuotaView& view, const std::string& account, TimePoint now)
 {
-    auto& tracked = coordinator.accounts[account];
+    auto& tracked = server.accounts[account];
     auto* quota = findQuota(view.accounts, account);
     bool isStrict = false;
     if (quota) {
-        auto budget = getQuotaBudget(coordinator, view, account, *quota, now);
+        auto budget = getQuotaBudget(server, view, account, *quota, now);
         isStrict = budget.used >= budget.limit * (tracked.isStrict ? kStrictLeaveRatio : kStrictEnterRatio);
         if (budget.used - budget.estimated >= kStrictEnterRatio * getQuotaLimits(*quota, view.rule).admissionLimit)
             tracked.nearQuotaAt = now;
@@ -164,56 +164,56 @@
     std::erase_if(usage.grants, [&](auto& it) { return it.first <= reported.grantsTaken; });
 }
 
-ReportResult applyReport(QuotaCoordinator& coordinator, const QuotaView& view, const QuotaReport& report, TimePoint now)
+ReportResult applyReport(QuotaServer& server, const QuotaView& view, const QuotaReport& report, TimePoint now)
 {
-    if (!report.isWhole && !coordinator.hosts.contains(report.host))
+    if (!report.isWhole && !server.hosts.contains(report.host))
         return { .isAccepted = false };
-    auto& host = coordinator.hosts.try_emplace(report.host, ReportingHost { now, report.historyStartsAt }).first->second;
+    auto& host = server.hosts.try_emplace(report.host, ReportingHost { now, report.historyStartsAt }).first->second;
     host.lastReportAt = now;
     ReportResult result;
     for (auto& reported : report.accounts) {
-        applyUsage(coordinator.accounts[reported.account].hosts[report.host], reported, report.historyStartsAt);
-        result.hasStrictChanged = updateStrict(coordinator, view, reported.account, now) || result.hasStrictChanged;
-        bool isNewNearQuota = coordinator.accounts[reported.account].nearQuotaAt == now && !coordinator.storedNearQuota.contains(reported.account);
+        applyUsage(server.accounts[reported.account].hosts[report.host], reported, report.historyStartsAt);
+        result.hasStrictChanged = updateStrict(server, view, reported.account, now) || result.hasStrictChanged;
+        bool isNewNearQuota = server.accounts[reported.account].nearQuotaAt == now && !server.storedNearQuota.contains(reported.account);
         result.hasNewNearQuota = result.hasNewNearQuota || isNewNearQuota;
     }
     return result;
 }
 
-bool sweepCoordinator(QuotaCoordinator& coordinator, const QuotaView& view, TimePoint now)
+bool sweepQuotaServer(QuotaServer& server, const QuotaView& view, TimePoint now)
 {
     bool hasChanged = false;
-    std::erase_if(coordinator.hosts, [&](auto& it) { return now - it.second.lastReportAt > kQuotaSilentHostTimeout + view.rule.window; });
-    for (auto& [account, tracked] : coordinator.accounts) {
+    std::erase_if(server.hosts, [&](auto& it) { return now - it.second.lastReportAt > kQuotaSilentHostTimeout + view.rule.window; });
+    for (auto& [account, tracked] : server.accounts) {
         for (auto& [host, usage] : tracked.hosts) {
-            auto known = coordinator.hosts.find(host);
-            bool isSilent = known != coordinator.hosts.end() && getReportingStatus(known->second, now) == ReportingStatus::Silent;
+            auto known = server.hosts.find(host);
+            bool isSilent = known != server.hosts.end() && getReportingStatus(known->second, now) == ReportingStatus::Silent;
             auto windowStart = (isSilent ? known->second.lastReportAt : now) - view.rule.window;
             pruneUsage(usage.uses, windowStart);
             std::erase_if(usage.grants, [&](auto& it) { return it.second < windowStart; });
         }
         std::erase_if(tracked.hosts, [](auto& it) { return it.second.uses.empty() && it.second.grants.empty(); });
     }
-    std::erase_if(coordinator.accounts, [&](auto& it) { return it.second.hosts.empty() && !it.second.isStrict && !isNearQuota(it.second, kNearQuotaRetention, now); });
-    for (auto& [name, tracked] : coordinator.accounts) // all accounts, because silent hosts reduce the budget of each
-        hasChanged = updateStrict(coordinator, view, name, now) || hasChanged;
+    std::erase_if(server.accounts, [&](auto& it) { return it.second.hosts.empty() && !it.second.isStrict && !isNearQuota(it.second, kNearQuotaRetention, now); });
+    for (auto& [name, tracked] : server.accounts) // all accounts, because silent hosts reduce the budget of each
+        hasChanged = updateStrict(server, view, name, now) || hasChanged;
     return hasChanged;
 }
 
-std::vector<std::string> getStrictAccounts(const QuotaCoordinator& coordinator)
+std::vector<std::string> getStrictAccounts(const QuotaServer& server)
 {
     std::vector<std::string> strict;
-    for (auto& [name, tracked] : coordinator.accounts) {
+    for (auto& [name, tracked] : server.accounts) {
         if (tracked.isStrict)
             strict.push_back(name);
     }
     return strict;
 }
 
-std::set<std::string> getNearQuotaAccounts(const QuotaCoordinator& coordinator, TimePoint now)
+std::set<std::string> getNearQuotaAccounts(const QuotaServer& server, TimePoint now)
 {
     std::set<std::string> names;
-    for (auto& [name, tracked] : coordinator.accounts) {
+    for (auto& [name, tracked] : server.accounts) {
         if (isNearQuota(tracked, kNearQuotaRetention, now))
             names.insert(name);
     }
@@ -236,20 +236,20 @@
     return std::clamp(left, kMinBlockTime, kMaxBlockTime);
 }
 
-QuotaGrant requestGrant(QuotaCoordinator& coordinator, const QuotaView& view, const std::string& host, const std::string& account, TimePoint now)
+QuotaGrant requestGrant(QuotaServer& server, const QuotaView& view, const std::string& host, const std::string& account, TimePoint now)
 {
     auto* quota = findQuota(view.accounts, account);
-    auto& tracked = coordinator.accounts[account];
+    auto& tracked = server.accounts[account];
     auto& usage = tracked.hosts[host];
     bool isGranted = true;
     if (quota) {
-        auto budget = getQuotaBudget(coordinator, view, account, *quota, now);
+        auto budget = getQuotaBudget(server, view, account, *quota, now);
         isGranted = budget.used + 1 <= budget.limit;
     }
     if (!isGranted)
         return { false, 0, getBlockTime(tracked, view.rule, now) };
-    usage.grants[++coordinator.lastGrantNumber] = now;
-    return { true, coordinator.lastGrantNumber, {} };
+    usage.grants[++server.lastGrantNumber] = now;
+    return { true, server.lastGrantNumber, {} };
 }
 
 //-----------------------------------------------------------------------------
@@ -268,13 +268,13 @@
         return Admission::Refuse;
     if (!hasLease(host, now) || host.strictAccounts.contains(account))
         return Admission::Ask;
-    // The coordinator may have failed since the lease was renewed, so unreported operations of all hosts together must fit into the rest of the budget.
+    // The quota server may have failed since the lease was renewed, so unreported operations of all hosts together must fit into the rest of the budget.
     auto maxUnreported = std::max(1.0, kMaxUnreportedRatio * getQuotaLimits(quota, rule).admissionLimit / static_cast<double>(std::max<size_t>(1, hostCount)));
     auto unreported = it == host.accounts.end() ? 0 : countUsage(it->second.uses, host.leaseStartedAt, now);
     return unreported < maxUnreported ? Admission::Begin : Admission::Ask;
 }
 
-bool mayBeginWithoutCoordinator(const QuotaHost& host, const std::string& account, const AccountQuota& quota, const QuotaRule& rule, size_t hostCount, TimePoint now)
+bool mayBeginWithoutQuotaServer(const QuotaHost& host, const std::string& account, const AccountQuota& quota, const QuotaRule& rule, size_t hostCount, TimePoint now)
 {
     if (now - std::max(host.leaseStartedAt, host.startedAt) < kQuotaLeaseTime)
         return false;
--- a/src/decisions/quota.h
+++ b/src/decisions/quota.h
@@ -1,8 +1,8 @@
 // Distributed rate limiting: bounds the operations of a client account that begin on all hosts together within any time window.
 //
-// A few hosts act as coordinators. Each host reports the operations it has begun to one coordinator and holds a lease while its reports are answered.
+// A few hosts act as quota servers. Each host reports the operations it has begun to one quota server and holds a lease while its reports are answered.
 // Under a lease, operations begin without a request unless the account is strict, that is, near its quota: then each operation needs a grant.
-// A host without a lease is limited to its equal share of the quota or to the usage it had last reported, whichever is more; coordinators reserve that much.
+// A host without a lease is limited to its equal share of the quota or to the usage it had last reported, whichever is more; quota servers reserve that much.
 // docs/design/0011-accounts.md states the bound and its proof.
 //
 // COMMON MISTAKES
@@ -10,7 +10,7 @@
 //
 // [SECTION] Limits        what a quota allows
 // [SECTION] Usage         operations that have begun
-// [SECTION] Coordinator   counts for all hosts
+// [SECTION] Server        counts for all hosts
 // [SECTION] Host          admits operations on this host
 #pragma once
 #include "decisions/accounts.h"
@@ -37,7 +37,7 @@
 
 struct QuotaLimits {
     double hardLimit { 0 }; // guaranteed maximum of operations in any window
-    double admissionLimit { 0 }; // operations that coordinators admit per window; the rest is reserved for unreachable hosts and for unreported operations
+    double admissionLimit { 0 }; // operations that quota servers admit per window; the rest is reserved for unreachable hosts and for unreported operations
 };
 
 QuotaLimits getQuotaLimits(const AccountQuota& quota, const QuotaRule& rule);
@@ -63,7 +63,7 @@
 unsigned countUsage(const UsageHistory& uses, TimePoint after, TimePoint until);
 
 //-----------------------------------------------------------------------------
-// [SECTION] Coordinator
+// [SECTION] Server
 //-----------------------------------------------------------------------------
 
 inline constexpr milliseconds kQuotaLeaseTime { 1250 }; // from the sending of an answered report; long enough to survive two lost answers
@@ -71,7 +71,7 @@
 inline constexpr milliseconds kQuotaIdleReportInterval { 500 }; // between reports while no operations begin
 inline constexpr milliseconds kQuotaSilentHostTimeout { 12000 }; // how long usage stays reserved for a silent host; similar to the lifetime of its entry in the platform's store
 
-// The usage of one account by one host, as known to a coordinator.
+// The usage of one account by one host, as known to a quota server.
 struct HostUsage {
     UsageHistory uses {};
     std::map<uint64_t, TimePoint> grants {}; // by number: granted and not yet reported in `uses`
@@ -88,14 +88,14 @@
     TimePoint historyStartsAt {}; // its earlier operations are unknown
 };
 
-struct QuotaCoordinator {
+struct QuotaServer {
     std::map<std::string, TrackedAccount> accounts {};
     std::map<std::string, ReportingHost> hosts {};
-    std::set<std::string> storedNearQuota {}; // accounts recently near their quotas, as persisted by the shard's coordinators
+    std::set<std::string> storedNearQuota {}; // accounts recently near their quotas, as persisted by the shard's quota servers
     uint64_t lastGrantNumber { 0 };
 };
 
-// The operations of one account that a host has begun within the window, in the coordinator's time.
+// The operations of one account that a host has begun within the window, in the quota server's time.
 struct ReportedUsage {
     std::string account {};
     UsageHistory uses {};
@@ -109,7 +109,7 @@
     std::vector<ReportedUsage> accounts {};
 };
 
-// Configuration that a coordinator applies.
+// Configuration that a quota server applies.
 struct QuotaView {
     QuotaRule rule {};
     const Accounts& accounts;
@@ -117,30 +117,30 @@
 };
 
 struct ReportResult {
-    bool isAccepted { true }; // false: the coordinator does not know the host and needs a whole report
+    bool isAccepted { true }; // false: the quota server does not know the host and needs a whole report
     bool hasStrictChanged { false }; // an account became strict or stopped being strict
     bool hasNewNearQuota { false }; // an account near its quota is not persisted as such yet
 };
 
-ReportResult applyReport(QuotaCoordinator& coordinator, const QuotaView& view, const QuotaReport& report, TimePoint now);
+ReportResult applyReport(QuotaServer& server, const QuotaView& view, const QuotaReport& report, TimePoint now);
 // Re-evaluates all accounts and drops expired records. Returns whether an account became strict or stopped being strict. Call it every few hundred ms.
-bool sweepCoordinator(QuotaCoordinator& coordinator, const QuotaView& view, TimePoint now);
-std::vector<std::string> getStrictAccounts(const QuotaCoordinator& coordinator);
-// The accounts to persist, so that coordinators know after a restart of all hosts which accounts may have exhausted their quotas.
-std::set<std::string> getNearQuotaAccounts(const QuotaCoordinator& coordinator, TimePoint now);
+bool sweepQuotaServer(QuotaServer& server, const QuotaView& view, TimePoint now);
+std::vector<std::string> getStrictAccounts(const QuotaServer& server);
+// The accounts to persist, so that quota servers know after a restart of all hosts which accounts may have exhausted their quotas.
+std::set<std::string> getNearQuotaAccounts(const QuotaServer& server, TimePoint now);
 // Hosts whose last report is recent.
-size_t countReportingHosts(const QuotaCoordinator& coordinator, TimePoint now);
+size_t countReportingHosts(const QuotaServer& server, TimePoint now);
 // Whether any host other than `self` has reported recently.
-bool hasOtherReportingHost(const QuotaCoordinator& coordinator, const std::string& self, TimePoint now);
+bool hasOtherReportingHost(const QuotaServer& server, const std::string& self, TimePoint now);
 
-// Usage and limit of one account in a window, over the hosts that report to the coordinator.
+// Usage and limit of one account in a window, over the hosts that report to the quota server.
 struct QuotaBudget {
     double used { 0 }; // operations, including `estimated`
     double estimated { 0 }; // allowance for unknown operations of hosts that started within the window
     double limit { 0 };
 };
 
-QuotaBudget getQuotaBudget(const QuotaCoordinator& coordinator, const QuotaView& view, const std::string& account, const AccountQuota& quota, TimePoint now);
+QuotaBudget getQuotaBudget(const QuotaServer& server, const QuotaView& view, const std::string& account, const AccountQuota& quota, TimePoint now);
 
 struct QuotaGrant {
     bool isGranted { false };
@@ -148,7 +148,7 @@
     milliseconds blockedFor { 0 }; // if refused: no operation of the account is admitted for this long
 };
 
-QuotaGrant requestGrant(QuotaCoordinator& coordinator, const QuotaView& view, const std::string& host, const std::string& account, TimePoint now);
+QuotaGrant requestGrant(QuotaServer& server, const QuotaView& view, const std::string& host, const std::string& account, TimePoint now);
 
 //-----------------------------------------------------------------------------
 // [SECTION] Host
@@ -156,13 +156,13 @@
 
 enum class Admission {
     Begin, // without a grant
-    Ask, // needs a grant from the coordinator
+    Ask, // needs a grant from the quota server
     Refuse,
 };
 
 struct AccountUsage {
     UsageHistory uses {};
-    TimePoint blockedUntil {}; // as the coordinator requested
+    TimePoint blockedUntil {}; // as the quota server requested
     bool isUnreported { false }; // changed since the last report
 };
 
@@ -176,8 +176,8 @@
 
 bool hasLease(const QuotaHost& host, TimePoint now);
 Admission admitOperation(const QuotaHost& host, const std::string& account, const AccountQuota& quota, const QuotaRule& rule, size_t hostCount, TimePoint now);
-// Whether an operation may begin while no coordinator answers. None may before the lease has expired, because coordinators reserve nothing for the host until then.
-bool mayBeginWithoutCoordinator(const QuotaHost& host, const std::string& account, const AccountQuota& quota, const QuotaRule& rule, size_t hostCount, TimePoint now);
+// Whether an operation may begin while no quota server answers. None may before the lease has expired, because quota servers reserve nothing for the host until then.
+bool mayBeginWithoutQuotaServer(const QuotaHost& host, const std::string& account, const AccountQuota& quota, const QuotaRule& rule, size_t hostCount, TimePoint now);
 void recordOperation(QuotaHost& host, const std::string& account, TimePoint now);
 void revertOperation(QuotaHost& host, const std::string& account);
 void blockAccount(QuotaHost& host, const std::string& account, milliseconds blockedFor, TimePoint now);
--- a/src/gateway/quota_exchange.cpp
+++ b/src/gateway/quota_exchange.cpp
@@ -136,7 +136,7 @@
     auto now = Clock::now();
     auto& host = m_shards[shard].host;
     auto* quota = findQuota(account);
-    if (quota && !decisions::mayBeginWithoutCoordinator(host, account, *quota, m_context.rule, m_context.view.hosts.size(), now)) {
+    if (quota && !decisions::mayBeginWithoutQuotaServer(host, account, *quota, m_context.rule, m_context.view.hosts.size(), now)) {
         refuse(account, "no host that counts for all answers", kAloneComesBack, done);
         return;
     }
@@ -377,7 +377,7 @@
         decisions::pruneUsage(shard.host, m_context.rule, now);
         std::erase_if(shard.links, [&](auto& it) { return now - it.second.sentAt > decisions::kQuotaSilentHostTimeout; });
         noteLease(i, now);
-        if (decisions::sweepCoordinator(shard.keeper, makeView(), now))
+        if (decisions::sweepQuotaServer(shard.keeper, makeView(), now))
             tellStrict(i);
         writeNear(i, now);
     }
--- a/src/gateway/quota_exchange.h
+++ b/src/gateway/quota_exchange.h
@@ -53,7 +53,7 @@
     struct Shard {
         std::string rankingKey {}; // of the hosts that may keep count for it
         decisions::QuotaHost host {};
-        decisions::QuotaCoordinator keeper {}; // of this host, if others take it for one
+        decisions::QuotaServer keeper {}; // of this host, if others take it for one
         std::map<std::string, KeeperLink> links {}; // by keeper
         std::string followed {}; // the keeper that this host goes by
         TimePoint reportedAt {};
--- a/tests/unit/quota_test.cpp
+++ b/tests/unit/quota_test.cpp
@@ -38,7 +38,7 @@
     struct Host {
         std::string name;
         QuotaHost own {};
-        QuotaCoordinator coordinator {};
+        QuotaServer server {};
         TimePoint beganAt {};
         TimePoint aliveFrom {};
         TimePoint cutUntil {}; // from all other hosts
@@ -153,7 +153,7 @@
         host.beganAt = at;
         host.aliveFrom = at;
         host.own.startedAt = at;
-        host.coordinator.storedNearQuota = m_written;
+        host.server.storedNearQuota = m_written;
     }
 
     bool isUp(size_t i) const { return m_now >= m_hosts[i].aliveFrom; }
@@ -175,14 +175,14 @@
                        } });
     }
 
-    std::optional<size_t> findCoordinator(size_t i) const
+    std::optional<size_t> findQuotaServer(size_t i) const
     {
         auto& host = m_hosts[i];
         for (size_t k = 0; k < m_hosts.size(); ++k) {
             auto unanswered = host.unansweredSince.find(k);
             bool isLate = unanswered != host.unansweredSince.end() && m_now - unanswered->second > milliseconds(600);
             bool isPassedOver = isLate && m_now - host.sentAt.at(k) < milliseconds(2000);
-            bool isAlone = k == i && m_hosts.size() > 1 && !hasOtherReportingHost(host.coordinator, host.name, m_now);
+            bool isAlone = k == i && m_hosts.size() > 1 && !hasOtherReportingHost(host.server, host.name, m_now);
             if (!isPassedOver && !isAlone)
                 return k;
         }
@@ -197,7 +197,7 @@
 
     void decideAlone(Host& host)
     {
-        if (mayBeginWithoutCoordinator(host.own, kAccount, accounts.byName.at(kAccount).quota.value(), rule, m_hosts.size(), m_now))
+        if (mayBeginWithoutQuotaServer(host.own, kAccount, accounts.byName.at(kAccount).quota.value(), rule, m_hosts.size(), m_now))
             begin(host);
         else
             ++refused;
@@ -205,12 +205,12 @@
 
     void ask(size_t i)
     {
-        auto coordinator = findCoordinator(i);
-        if (!coordinator) {
+        auto server = findQuotaServer(i);
+        if (!server) {
             decideAlone(m_hosts[i]);
             return;
         }
-        auto k = *coordinator;
+        auto k = *server;
         if (k != m_hosts[i].followed)
             report(i);
         auto isDecided = std::make_shared<bool>(false);
@@ -221,7 +221,7 @@
                            *isDecided = true;
                        } });
         send(i, k, [this, i, k, isDecided] {
-            auto grant = requestGrant(m_hosts[k].coordinator, getView(), m_hosts[i].name, kAccount, m_now);
+            auto grant = requestGrant(m_hosts[k].server, getView(), m_hosts[i].name, kAccount, m_now);
             send(k, i, [this, i, k, grant, isDecided] {
                 if (*isDecided)
                     return;
@@ -245,25 +245,25 @@
             return;
         auto used = host.own.accounts.find(kAccount);
         bool isChanged = used != host.own.accounts.end() && used->second.isUnreported;
-        if (findCoordinator(i) != host.followed || m_now - host.reportedAt >= (isChanged ? kQuotaReportInterval : kQuotaIdleReportInterval))
+        if (findQuotaServer(i) != host.followed || m_now - host.reportedAt >= (isChanged ? kQuotaReportInterval : kQuotaIdleReportInterval))
             report(i);
         if (m_now.time_since_epoch() % milliseconds(250) != milliseconds(0))
             return;
         pruneUsage(host.own, rule, m_now);
-        if (sweepCoordinator(host.coordinator, getView(), m_now))
+        if (sweepQuotaServer(host.server, getView(), m_now))
             tellStrict(i);
         writeNear(i);
     }
 
     void writeNear(size_t i)
     {
-        auto near = getNearQuotaAccounts(m_hosts[i].coordinator, m_now);
+        auto near = getNearQuotaAccounts(m_hosts[i].server, m_now);
         bool mayForget = m_hosts[i].followed == i && m_now - m_hosts[i].beganAt > rule.window + milliseconds(1000);
         if (std::ranges::includes(m_written, near) && !mayForget)
             return;
         m_written = near;
         for (auto& it : m_hosts)
-            it.coordinator.storedNearQuota = m_written;
+            it.server.storedNearQuota = m_written;
     }
 
     void report(size_t i)
@@ -271,12 +271,12 @@
         auto& host = m_hosts[i];
         host.reportedAt = m_now;
         auto used = host.own.accounts.find(kAccount);
-        auto coordinator = findCoordinator(i);
-        bool isNew = coordinator != host.followed;
-        host.followed = coordinator;
-        if (!coordinator)
+        auto server = findQuotaServer(i);
+        bool isNew = server != host.followed;
+        host.followed = server;
+        if (!server)
             return;
-        auto k = *coordinator;
+        auto k = *server;
         bool isWhole = isNew || !host.toldWhole.contains(k) || host.unansweredSince.contains(k);
         QuotaReport report { host.name, std::max(host.beganAt, m_now - rule.window), isWhole, {} };
         if (used != host.own.accounts.end() && (used->second.isUnreported || isWhole)) {
@@ -290,12 +290,12 @@
         host.unansweredSince.try_emplace(k, m_now);
         host.sentAt[k] = m_now;
         send(i, k, [this, i, k, sentAt = m_now, report] {
-            auto taken = applyReport(m_hosts[k].coordinator, getView(), report, m_now);
+            auto taken = applyReport(m_hosts[k].server, getView(), report, m_now);
             if (taken.hasStrictChanged)
                 tellStrict(k);
             if (taken.hasNewNearQuota)
                 writeNear(k);
-            auto strict = getStrictAccounts(m_hosts[k].coordinator);
+            auto strict = getStrictAccounts(m_hosts[k].server);
             send(k, i, [this, i, k, sentAt, strict, isKnown = taken.isAccepted] {
                 if (!isKnown)
                     m_hosts[i].toldWhole.erase(k);
@@ -320,7 +320,7 @@
 
     void tellStrict(size_t k)
     {
-        auto strict = getStrictAccounts(m_hosts[k].coordinator);
+        auto strict = getStrictAccounts(m_hosts[k].server);
         for (size_t i = 0; i < m_hosts.size(); ++i) {
             if (m_hosts[i].sentAt.contains(k))
                 send(k, i, [this, i, k, strict] { takeState(i, k, std::nullopt, strict); });
@@ -386,38 +386,38 @@
 {
     auto accounts = makeAccounts(10, 10);
     QuotaView view { {}, accounts, 2 };
-    QuotaCoordinator coordinator;
-    applyReport(coordinator, view, makeReport("b", kStart, {}), kStart);
-    BOOST_TEST(!applyReport(coordinator, view, makeReport("a", kStart, { { 1000, 30 } }), kStart).hasStrictChanged);
-    BOOST_TEST(applyReport(coordinator, view, makeReport("b", kStart, { { 500, 30 } }), kStart).hasStrictChanged);
-    BOOST_TEST(getStrictAccounts(coordinator) == std::vector<std::string>({ kAccount }), boost::test_tools::per_element());
-    applyReport(coordinator, view, makeReport("b", kStart, { { 500, 30 } }), kStart); // told twice, counted once
-    BOOST_TEST(getQuotaBudget(coordinator, view, kAccount, kQuota, kStart).used == 60);
+    QuotaServer server;
+    applyReport(server, view, makeReport("b", kStart, {}), kStart);
+    BOOST_TEST(!applyReport(server, view, makeReport("a", kStart, { { 1000, 30 } }), kStart).hasStrictChanged);
+    BOOST_TEST(applyReport(server, view, makeReport("b", kStart, { { 500, 30 } }), kStart).hasStrictChanged);
+    BOOST_TEST(getStrictAccounts(server) == std::vector<std::string>({ kAccount }), boost::test_tools::per_element());
+    applyReport(server, view, makeReport("b", kStart, { { 500, 30 } }), kStart); // told twice, counted once
+    BOOST_TEST(getQuotaBudget(server, view, kAccount, kQuota, kStart).used == 60);
     for (int i = 1; i <= 50; ++i) { // both go on reporting
         auto now = kStart + milliseconds(100 * i);
         for (auto* host : { "a", "b" })
-            applyReport(coordinator, view, QuotaReport { host, now - milliseconds(5000), false, {} }, now);
+            applyReport(server, view, QuotaReport { host, now - milliseconds(5000), false, {} }, now);
     }
-    BOOST_TEST(sweepCoordinator(coordinator, view, kStart + milliseconds(5000)));
-    BOOST_TEST(getStrictAccounts(coordinator).empty());
+    BOOST_TEST(sweepQuotaServer(server, view, kStart + milliseconds(5000)));
+    BOOST_TEST(getStrictAccounts(server).empty());
 }
 
 BOOST_AUTO_TEST_CASE(grants_end_where_the_target_is_reached_and_are_counted_once)
 {
     auto accounts = makeAccounts(10, 10);
     QuotaView view { {}, accounts, 1 };
-    QuotaCoordinator coordinator;
-    applyReport(coordinator, view, makeReport("a", kStart, {}), kStart);
+    QuotaServer server;
+    applyReport(server, view, makeReport("a", kStart, {}), kStart);
     unsigned granted = 0;
     QuotaGrant last;
-    while ((last = requestGrant(coordinator, view, "a", kAccount, kStart)).isGranted)
+    while ((last = requestGrant(server, view, "a", kAccount, kStart)).isGranted)
         ++granted;
     auto limits = getQuotaLimits({ 10, 10 }, {});
     BOOST_TEST(granted <= limits.admissionLimit);
     BOOST_TEST(granted + 1 > limits.admissionLimit);
     BOOST_TEST(last.blockedFor.count() > 0);
-    applyReport(coordinator, view, makeReport("a", kStart, { { 0, granted } }, granted), kStart);
-    BOOST_TEST(getQuotaBudget(coordinator, view, kAccount, kQuota, kStart).used == granted);
+    applyReport(server, view, makeReport("a", kStart, { { 0, granted } }, granted), kStart);
+    BOOST_TEST(getQuotaBudget(server, view, kAccount, kQuota, kStart).used == granted);
 }
 
 // Of two hosts one falls silent: what it had told is left to it, and half of the target at least, until its entry is gone.
@@ -426,66 +426,66 @@
     auto accounts = makeAccounts(10, 10);
     QuotaView view { {}, accounts, 2 };
     auto admissionLimit = getQuotaLimits(kQuota, {}).admissionLimit;
-    QuotaCoordinator coordinator;
-    applyReport(coordinator, view, makeReport("a", kStart, { { 100, 60 } }), kStart);
-    applyReport(coordinator, view, makeReport("b", kStart, {}), kStart);
-    BOOST_TEST(getQuotaBudget(coordinator, view, kAccount, kQuota, kStart).used == 60);
-    BOOST_TEST(getQuotaBudget(coordinator, view, kAccount, kQuota, kStart).limit == admissionLimit);
+    QuotaServer server;
+    applyReport(server, view, makeReport("a", kStart, { { 100, 60 } }), kStart);
+    applyReport(server, view, makeReport("b", kStart, {}), kStart);
+    BOOST_TEST(getQuotaBudget(server, view, kAccount, kQuota, kStart).used == 60);
+    BOOST_TEST(getQuotaBudget(server, view, kAccount, kQuota, kStart).limit == admissionLimit);
     auto later = kStart + milliseconds(6000);
-    applyReport(coordinator, view, makeReport("b", later, {}), later);
-    BOOST_TEST(getQuotaBudget(coordinator, view, kAccount, kQuota, later).used == 0);
-    BOOST_TEST(getQuotaBudget(coordinator, view, kAccount, kQuota, later).limit == admissionLimit - 60);
+    applyReport(server, view, makeReport("b", later, {}), later);
+    BOOST_TEST(getQuotaBudget(server, view, kAccount, kQuota, later).used == 0);
+    BOOST_TEST(getQuotaBudget(server, view, kAccount, kQuota, later).limit == admissionLimit - 60);
     later = kStart + kQuotaSilentHostTimeout;
-    applyReport(coordinator, view, makeReport("b", later, {}), later);
-    BOOST_TEST(getQuotaBudget(coordinator, view, kAccount, kQuota, later).limit == admissionLimit / 2);
+    applyReport(server, view, makeReport("b", later, {}), later);
+    BOOST_TEST(getQuotaBudget(server, view, kAccount, kQuota, later).limit == admissionLimit / 2);
     view.hostCount = 1;
-    BOOST_TEST(getQuotaBudget(coordinator, view, kAccount, kQuota, later).limit == admissionLimit);
+    BOOST_TEST(getQuotaBudget(server, view, kAccount, kQuota, later).limit == admissionLimit);
 }
 
 BOOST_AUTO_TEST_CASE(a_keeper_takes_a_host_that_it_does_not_know_by_a_whole_report_only)
 {
     auto accounts = makeAccounts(10, 10);
     QuotaView view { {}, accounts, 1 };
-    QuotaCoordinator coordinator;
+    QuotaServer server;
     auto report = makeReport("a", kStart, { { 100, 5 } });
     report.isWhole = false;
-    BOOST_TEST(!applyReport(coordinator, view, report, kStart).isAccepted);
-    BOOST_TEST(countReportingHosts(coordinator, kStart) == 0u);
+    BOOST_TEST(!applyReport(server, view, report, kStart).isAccepted);
+    BOOST_TEST(countReportingHosts(server, kStart) == 0u);
     report.isWhole = true;
-    BOOST_TEST(applyReport(coordinator, view, report, kStart).isAccepted);
+    BOOST_TEST(applyReport(server, view, report, kStart).isAccepted);
     report.isWhole = false;
-    BOOST_TEST(applyReport(coordinator, view, report, kStart).isAccepted);
-    BOOST_TEST(countReportingHosts(coordinator, kStart) == 1u);
+    BOOST_TEST(applyReport(server, view, report, kStart).isAccepted);
+    BOOST_TEST(countReportingHosts(server, kStart) == 1u);
 }
 
 BOOST_AUTO_TEST_CASE(a_host_that_started_again_has_forgotten_what_its_keeper_has_not)
 {
     auto accounts = makeAccounts(10, 10);
     QuotaView view { {}, accounts, 1 };
-    QuotaCoordinator coordinator;
-    applyReport(coordinator, view, makeReport("a", kStart, { { 100, 20 } }), kStart);
+    QuotaServer server;
+    applyReport(server, view, makeReport("a", kStart, { { 100, 20 } }), kStart);
     auto later = kStart + milliseconds(1000);
-    applyReport(coordinator, view, makeReport("a", later, { { 50, 3 } }, 0, milliseconds(400)), later);
-    BOOST_TEST(getQuotaBudget(coordinator, view, kAccount, kQuota, later).used == 23);
+    applyReport(server, view, makeReport("a", later, { { 50, 3 } }, 0, milliseconds(400)), later);
+    BOOST_TEST(getQuotaBudget(server, view, kAccount, kQuota, later).used == 23);
 }
 
 BOOST_AUTO_TEST_CASE(what_hosts_did_before_they_started_counts_for_a_window)
 {
     auto accounts = makeAccounts(10, 10);
     QuotaView view { {}, accounts, 10 };
-    QuotaCoordinator coordinator;
+    QuotaServer server;
     auto admissionLimit = getQuotaLimits(kQuota, {}).admissionLimit;
     auto tell = [&](int ms) {
         for (int i = 0; i < 10; ++i)
-            applyReport(coordinator, view, makeReport("h" + std::to_string(i), kStart + milliseconds(ms), {}, 0, milliseconds(ms)), kStart + milliseconds(ms));
-        return getQuotaBudget(coordinator, view, kAccount, kQuota, kStart + milliseconds(ms)).used;
+            applyReport(server, view, makeReport("h" + std::to_string(i), kStart + milliseconds(ms), {}, 0, milliseconds(ms)), kStart + milliseconds(ms));
+        return getQuotaBudget(server, view, kAccount, kQuota, kStart + milliseconds(ms)).used;
     };
     BOOST_TEST(tell(0) > 0.45 * admissionLimit);
     BOOST_TEST(tell(0) < 0.7 * admissionLimit); // or nobody would be served
     BOOST_TEST(tell(4900) == tell(0));
     BOOST_TEST(tell(5000) == 0);
-    coordinator.hosts.clear();
-    coordinator.storedNearQuota = { kAccount }; // all of it may have been used at the last moment
+    server.hosts.clear();
+    server.storedNearQuota = { kAccount }; // all of it may have been used at the last moment
     BOOST_TEST(tell(0) > 0.99 * admissionLimit);
     BOOST_TEST(tell(4900) > 0.99 * admissionLimit);
     BOOST_TEST(tell(5000) == 0);
@@ -506,7 +506,7 @@
     auto alone = kStart + milliseconds(5500);
     BOOST_TEST((admitOperation(host, kAccount, quota, {}, 91, alone) == Admission::Ask));
     unsigned begun = 0;
-    while (begun < 20 && mayBeginWithoutCoordinator(host, kAccount, quota, {}, 91, alone)) {
+    while (begun < 20 && mayBeginWithoutQuotaServer(host, kAccount, quota, {}, 91, alone)) {
         recordOperation(host, kAccount, alone);
         ++begun;
     }
