--- a/tests/unit/connections_test.cpp
+++ b/tests/unit/connections_test.cpp
@@ -133,7 +133,7 @@
     }
 };
 
-void play(SimulatedMember& member, SimulatedDemand& demand, TimePoint from, int ms)
+void simulate(SimulatedMember& member, SimulatedDemand& demand, TimePoint from, int ms)
 {
     for (int i = 0; i < ms; ++i) {
         auto now = from + milliseconds(i);
@@ -182,7 +182,7 @@
     for (unsigned seed = 1; seed <= 10; ++seed) {
         SimulatedMember member;
         SimulatedDemand demand(seed, 30);
-        play(member, demand, kStart, 30000);
+        simulate(member, demand, kStart, 30000);
         std::ranges::sort(member.waitsMs);
         BOOST_TEST(member.timedOut == 0u, "seed " << seed);
         BOOST_TEST(member.waitsMs[member.waitsMs.size() * 99 / 100] < 100, "seed " << seed << ": " << member.waitsMs[member.waitsMs.size() * 99 / 100] << " ms");
@@ -200,12 +200,12 @@
         SimulatedDemand demand(seed, 60);
         for (int i = 0; i < 300; ++i)
             member.waiting.push_back({ fmt::format("a{}", demand.account(demand.random)), kStart });
-        play(member, demand, kStart, 3000);
+        simulate(member, demand, kStart, 3000);
         demand.perSecond = 30;
-        play(member, demand, kStart + milliseconds(3000), 1000);
+        simulate(member, demand, kStart + milliseconds(3000), 1000);
         member.timedOut = 0;
         member.waitsMs.clear();
-        play(member, demand, kStart + milliseconds(4000), 10000);
+        simulate(member, demand, kStart + milliseconds(4000), 10000);
         std::ranges::sort(member.waitsMs);
         BOOST_TEST(member.timedOut == 0u, "seed " << seed);
         BOOST_TEST(member.waitsMs[member.waitsMs.size() / 2] < 50, "seed " << seed);
--- a/tests/unit/quota_test.cpp
+++ b/tests/unit/quota_test.cpp
@@ -1,4 +1,4 @@
-// Quotas over all hosts: the rules one by one, and hosts, keepers and what goes wrong between them in virtual time.
+// Tests the quota rules one by one, and the quota protocol between hosts under failures in virtual time.
 #include "decisions/quota.h"
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
@@ -24,15 +24,15 @@
     return accounts;
 }
 
-QuotaReport makeReport(const std::string& host, TimePoint now, std::vector<std::pair<int, unsigned>> slots, uint64_t grantsTaken = 0, milliseconds covered = milliseconds(5000))
+QuotaReport makeReport(const std::string& host, TimePoint now, std::vector<std::pair<int, unsigned>> buckets, uint64_t grantsTaken = 0, milliseconds covered = milliseconds(5000))
 {
     QuotaReport report { host, now - covered, true, { { kAccount, {}, grantsTaken } } };
-    for (auto& [ageMs, count] : slots)
+    for (auto& [ageMs, count] : buckets)
         report.accounts[0].uses.push_back({ now - milliseconds(ageMs), count });
     return report;
 }
 
-// Hosts that begin operations of one account, as gateway/quota_exchange.cpp goes by the rules: the first one that a host believes to be up keeps count for it.
+// Simulates hosts that apply the quota rules like gateway/quota_exchange.cpp, for one account. Each host uses the first host that it considers up as its quota server.
 class Fleet {
 public:
     struct Host {
@@ -40,15 +40,15 @@
         QuotaHost own {};
         QuotaServer server {};
         TimePoint beganAt {};
-        TimePoint aliveFrom {};
-        TimePoint cutUntil {}; // from all other hosts
+        TimePoint upSince {};
+        TimePoint isolatedUntil {}; // from all other hosts
         TimePoint reportedAt {};
-        unsigned life { 0 };
-        std::map<size_t, TimePoint> unansweredSince {}; // by keeper
+        unsigned generation { 0 };
+        std::map<size_t, TimePoint> unansweredSince {}; // by quota server
         std::map<size_t, TimePoint> sentAt {};
-        std::optional<size_t> followed {}; // keeper
+        std::optional<size_t> reportsTo {}; // quota server
         std::map<size_t, uint64_t> grantsTaken {};
-        std::set<size_t> toldWhole {};
+        std::set<size_t> sentWholeReport {};
     };
 
     Fleet(unsigned seed, size_t hosts, double perSecond, double burst)
@@ -70,7 +70,7 @@
     size_t refused { 0 };
 
     size_t getSize() const { return m_hosts.size(); }
-    // `isNoticed`: connections to it break; else it is dark.
+    // `isNoticed`: its connections break, so the other hosts notice at once.
     void kill(size_t i, milliseconds downFor, bool isNoticed)
     {
         startHost(i, m_now + downFor);
@@ -81,13 +81,13 @@
             it.sentAt[i] = m_now;
         }
     }
-    void cut(size_t i, milliseconds time) { m_hosts[i].cutUntil = m_now + time; }
+    void isolate(size_t i, milliseconds time) { m_hosts[i].isolatedUntil = m_now + time; }
 
-    // An operation of the account comes to the host.
+    // Submits an operation of the account to the host.
     void arrive(size_t i)
     {
         auto& host = m_hosts[i];
-        if (m_now < host.aliveFrom)
+        if (m_now < host.upSince)
             return;
         ++asked;
         switch (admitOperation(host.own, kAccount, accounts.byName.at(kAccount).quota.value(), rule, m_hosts.size(), m_now)) {
@@ -117,7 +117,7 @@
     }
     TimePoint getNow() const { return m_now; }
 
-    // The most that began within any window.
+    // Returns the maximum number of operations that began within any window.
     size_t getMostInWindow() const
     {
         auto sorted = begun;
@@ -145,21 +145,21 @@
     void startHost(size_t i, TimePoint at)
     {
         auto& host = m_hosts[i];
-        auto cutUntil = host.cutUntil;
-        auto life = host.life + 1;
+        auto isolatedUntil = host.isolatedUntil;
+        auto generation = host.generation + 1;
         host = Host { host.name };
-        host.life = life;
-        host.cutUntil = cutUntil;
+        host.generation = generation;
+        host.isolatedUntil = isolatedUntil;
         host.beganAt = at;
-        host.aliveFrom = at;
+        host.upSince = at;
         host.own.startedAt = at;
-        host.server.storedNearQuota = m_written;
+        host.server.storedNearQuota = m_persisted;
     }
 
-    bool isUp(size_t i) const { return m_now >= m_hosts[i].aliveFrom; }
-    bool isConnected(size_t a, size_t b) const { return a == b || (isUp(a) && isUp(b) && m_now >= m_hosts[a].cutUntil && m_now >= m_hosts[b].cutUntil); }
+    bool isUp(size_t i) const { return m_now >= m_hosts[i].upSince; }
+    bool isConnected(size_t a, size_t b) const { return a == b || (isUp(a) && isUp(b) && m_now >= m_hosts[a].isolatedUntil && m_now >= m_hosts[b].isolatedUntil); }
 
-    // Delivered unless the way is cut or either end has started again meanwhile.
+    // Delivers a message with a delay, unless either host is isolated or restarts before delivery.
     void send(size_t from, size_t to, std::function<void()> take)
     {
         if (from == to) {
@@ -169,8 +169,8 @@
         if (!isConnected(from, to))
             return;
         auto delay = milliseconds(std::uniform_int_distribution<int>(1, 20)(random));
-        m_events.push({ m_now + delay, ++m_lastEvent, [this, from, to, lives = std::pair(m_hosts[from].life, m_hosts[to].life), take = std::move(take)] {
-                           if (isConnected(from, to) && lives == std::pair(m_hosts[from].life, m_hosts[to].life))
+        m_events.push({ m_now + delay, ++m_lastEvent, [this, from, to, generations = std::pair(m_hosts[from].generation, m_hosts[to].generation), take = std::move(take)] {
+                           if (isConnected(from, to) && generations == std::pair(m_hosts[from].generation, m_hosts[to].generation))
                                take();
                        } });
     }
@@ -180,10 +180,10 @@
         auto& host = m_hosts[i];
         for (size_t k = 0; k < m_hosts.size(); ++k) {
             auto unanswered = host.unansweredSince.find(k);
-            bool isLate = unanswered != host.unansweredSince.end() && m_now - unanswered->second > milliseconds(600);
-            bool isPassedOver = isLate && m_now - host.sentAt.at(k) < milliseconds(2000);
-            bool isAlone = k == i && m_hosts.size() > 1 && !hasOtherReportingHost(host.server, host.name, m_now);
-            if (!isPassedOver && !isAlone)
+            bool hasTimedOut = unanswered != host.unansweredSince.end() && m_now - unanswered->second > milliseconds(600);
+            bool isSkipped = hasTimedOut && m_now - host.sentAt.at(k) < milliseconds(2000);
+            bool isIsolated = k == i && m_hosts.size() > 1 && !hasOtherReportingHost(host.server, host.name, m_now);
+            if (!isSkipped && !isIsolated)
                 return k;
         }
         return std::nullopt;
@@ -195,7 +195,7 @@
         begun.push_back(m_now);
     }
 
-    void decideAlone(Host& host)
+    void decideWithoutQuotaServer(Host& host)
     {
         if (mayBeginWithoutQuotaServer(host.own, kAccount, accounts.byName.at(kAccount).quota.value(), rule, m_hosts.size(), m_now))
             begin(host);
@@ -207,17 +207,17 @@
     {
         auto server = findQuotaServer(i);
         if (!server) {
-            decideAlone(m_hosts[i]);
+            decideWithoutQuotaServer(m_hosts[i]);
             return;
         }
         auto k = *server;
-        if (k != m_hosts[i].followed)
+        if (k != m_hosts[i].reportsTo)
             report(i);
         auto isDecided = std::make_shared<bool>(false);
-        auto life = m_hosts[i].life;
-        m_events.push({ m_now + milliseconds(150), ++m_lastEvent, [this, i, life, isDecided] {
-                           if (!*isDecided && m_hosts[i].life == life)
-                               decideAlone(m_hosts[i]);
+        auto generation = m_hosts[i].generation;
+        m_events.push({ m_now + milliseconds(150), ++m_lastEvent, [this, i, generation, isDecided] {
+                           if (!*isDecided && m_hosts[i].generation == generation)
+                               decideWithoutQuotaServer(m_hosts[i]);
                            *isDecided = true;
                        } });
         send(i, k, [this, i, k, isDecided] {
@@ -245,25 +245,25 @@
             return;
         auto used = host.own.accounts.find(kAccount);
         bool isChanged = used != host.own.accounts.end() && used->second.isUnreported;
-        if (findQuotaServer(i) != host.followed || m_now - host.reportedAt >= (isChanged ? kQuotaReportInterval : kQuotaIdleReportInterval))
+        if (findQuotaServer(i) != host.reportsTo || m_now - host.reportedAt >= (isChanged ? kQuotaReportInterval : kQuotaIdleReportInterval))
             report(i);
         if (m_now.time_since_epoch() % milliseconds(250) != milliseconds(0))
             return;
         pruneUsage(host.own, rule, m_now);
         if (sweepQuotaServer(host.server, getView(), m_now))
-            tellStrict(i);
-        writeNear(i);
+            sendStrictAccounts(i);
+        persistNearQuota(i);
     }
 
-    void writeNear(size_t i)
+    void persistNearQuota(size_t i)
     {
         auto near = getNearQuotaAccounts(m_hosts[i].server, m_now);
-        bool mayForget = m_hosts[i].followed == i && m_now - m_hosts[i].beganAt > rule.window + milliseconds(1000);
-        if (std::ranges::includes(m_written, near) && !mayForget)
+        bool mayForget = m_hosts[i].reportsTo == i && m_now - m_hosts[i].beganAt > rule.window + milliseconds(1000);
+        if (std::ranges::includes(m_persisted, near) && !mayForget)
             return;
-        m_written = near;
+        m_persisted = near;
         for (auto& it : m_hosts)
-            it.server.storedNearQuota = m_written;
+            it.server.storedNearQuota = m_persisted;
     }
 
     void report(size_t i)
@@ -272,12 +272,12 @@
         host.reportedAt = m_now;
         auto used = host.own.accounts.find(kAccount);
         auto server = findQuotaServer(i);
-        bool isNew = server != host.followed;
-        host.followed = server;
+        bool isNew = server != host.reportsTo;
+        host.reportsTo = server;
         if (!server)
             return;
         auto k = *server;
-        bool isWhole = isNew || !host.toldWhole.contains(k) || host.unansweredSince.contains(k);
+        bool isWhole = isNew || !host.sentWholeReport.contains(k) || host.unansweredSince.contains(k);
         QuotaReport report { host.name, std::max(host.beganAt, m_now - rule.window), isWhole, {} };
         if (used != host.own.accounts.end() && (used->second.isUnreported || isWhole)) {
             report.accounts.push_back({ kAccount, {}, host.grantsTaken[k] });
@@ -286,56 +286,56 @@
                     report.accounts[0].uses.push_back(it);
             }
         }
-        host.toldWhole.insert(k);
+        host.sentWholeReport.insert(k);
         host.unansweredSince.try_emplace(k, m_now);
         host.sentAt[k] = m_now;
         send(i, k, [this, i, k, sentAt = m_now, report] {
-            auto taken = applyReport(m_hosts[k].server, getView(), report, m_now);
-            if (taken.hasStrictChanged)
-                tellStrict(k);
-            if (taken.hasNewNearQuota)
-                writeNear(k);
+            auto result = applyReport(m_hosts[k].server, getView(), report, m_now);
+            if (result.hasStrictChanged)
+                sendStrictAccounts(k);
+            if (result.hasNewNearQuota)
+                persistNearQuota(k);
             auto strict = getStrictAccounts(m_hosts[k].server);
-            send(k, i, [this, i, k, sentAt, strict, isKnown = taken.isAccepted] {
-                if (!isKnown)
-                    m_hosts[i].toldWhole.erase(k);
-                takeState(i, k, isKnown ? std::optional(sentAt) : std::nullopt, strict);
+            send(k, i, [this, i, k, sentAt, strict, isAccepted = result.isAccepted] {
+                if (!isAccepted)
+                    m_hosts[i].sentWholeReport.erase(k);
+                applyState(i, k, isAccepted ? std::optional(sentAt) : std::nullopt, strict);
             });
         });
         if (used != host.own.accounts.end())
             used->second.isUnreported = false;
     }
 
-    void takeState(size_t i, size_t k, std::optional<TimePoint> sentAt, const std::vector<std::string>& strict)
+    void applyState(size_t i, size_t k, std::optional<TimePoint> sentAt, const std::vector<std::string>& strict)
     {
         auto& host = m_hosts[i];
         if (sentAt && *sentAt == host.sentAt[k])
             host.unansweredSince.erase(k);
-        if (host.followed != k)
+        if (host.reportsTo != k)
             return;
         host.own.strictAccounts = { strict.begin(), strict.end() };
         if (sentAt)
             host.own.leaseStartedAt = std::max(host.own.leaseStartedAt, *sentAt);
     }
 
-    void tellStrict(size_t k)
+    void sendStrictAccounts(size_t k)
     {
         auto strict = getStrictAccounts(m_hosts[k].server);
         for (size_t i = 0; i < m_hosts.size(); ++i) {
             if (m_hosts[i].sentAt.contains(k))
-                send(k, i, [this, i, k, strict] { takeState(i, k, std::nullopt, strict); });
+                send(k, i, [this, i, k, strict] { applyState(i, k, std::nullopt, strict); });
         }
     }
 
     std::vector<Host> m_hosts;
-    std::set<std::string> m_written {}; // in the platform's store
+    std::set<std::string> m_persisted {}; // accounts, in the platform's store
     std::priority_queue<Event> m_events;
     uint64_t m_lastEvent { 0 };
     TimePoint m_now { kStart - milliseconds(8000) };
 };
 
-// Operations come at `perSecond`, each to a host that `pick` names.
-void play(Fleet& fleet, milliseconds time, double perSecond, const std::function<size_t()>& pick)
+// Submits operations at a rate of `perSecond`, each to the host that `pick` returns.
+void simulate(Fleet& fleet, milliseconds time, double perSecond, const std::function<size_t()>& pick)
 {
     auto end = fleet.getNow() + time;
     auto next = fleet.getNow();
@@ -357,7 +357,7 @@
 
 BOOST_AUTO_TEST_SUITE(quota)
 
-BOOST_AUTO_TEST_CASE(a_bound_follows_from_rate_burst_and_what_may_pass_besides)
+BOOST_AUTO_TEST_CASE(limits_follow_from_rate_burst_and_tolerance)
 {
     auto limits = getQuotaLimits({ 24, 24 }, {});
     BOOST_TEST(limits.hardLimit == 24 * 6 * 1.1 + 20);
@@ -366,7 +366,7 @@
     BOOST_TEST(getQuotaLimits({ 0, 0 }, {}).hardLimit == 20);
 }
 
-BOOST_AUTO_TEST_CASE(uses_are_told_in_slots_and_count_for_a_little_too_long_at_most)
+BOOST_AUTO_TEST_CASE(usage_is_kept_in_buckets_and_expires_slightly_late_at_most)
 {
     UsageHistory uses;
     for (int ms = 0; ms < 1000; ++ms)
@@ -382,7 +382,7 @@
     BOOST_TEST(countUsage(uses, kStart - milliseconds(1), kStart + milliseconds(1000)) == 999u);
 }
 
-BOOST_AUTO_TEST_CASE(an_account_near_its_quota_is_strict_and_calm_again_later)
+BOOST_AUTO_TEST_CASE(an_account_is_strict_while_near_its_quota)
 {
     auto accounts = makeAccounts(10, 10);
     QuotaView view { {}, accounts, 2 };
@@ -391,9 +391,9 @@
     BOOST_TEST(!applyReport(server, view, makeReport("a", kStart, { { 1000, 30 } }), kStart).hasStrictChanged);
     BOOST_TEST(applyReport(server, view, makeReport("b", kStart, { { 500, 30 } }), kStart).hasStrictChanged);
     BOOST_TEST(getStrictAccounts(server) == std::vector<std::string>({ kAccount }), boost::test_tools::per_element());
-    applyReport(server, view, makeReport("b", kStart, { { 500, 30 } }), kStart); // told twice, counted once
+    applyReport(server, view, makeReport("b", kStart, { { 500, 30 } }), kStart); // a duplicate report is counted once
     BOOST_TEST(getQuotaBudget(server, view, kAccount, kQuota, kStart).used == 60);
-    for (int i = 1; i <= 50; ++i) { // both go on reporting
+    for (int i = 1; i <= 50; ++i) { // both continue to report
         auto now = kStart + milliseconds(100 * i);
         for (auto* host : { "a", "b" })
             applyReport(server, view, QuotaReport { host, now - milliseconds(5000), false, {} }, now);
@@ -402,7 +402,7 @@
     BOOST_TEST(getStrictAccounts(server).empty());
 }
 
-BOOST_AUTO_TEST_CASE(grants_end_where_the_target_is_reached_and_are_counted_once)
+BOOST_AUTO_TEST_CASE(grants_stop_at_the_admission_limit_and_are_counted_once)
 {
     auto accounts = makeAccounts(10, 10);
     QuotaView view { {}, accounts, 1 };
@@ -420,8 +420,8 @@
     BOOST_TEST(getQuotaBudget(server, view, kAccount, kQuota, kStart).used == granted);
 }
 
-// Of two hosts one falls silent: what it had told is left to it, and half of the target at least, until its entry is gone.
-BOOST_AUTO_TEST_CASE(what_a_silent_host_may_begin_is_left_to_it)
+// Guards against granting the usage that a silent host may still begin: its last reported usage, and at least its share, until it expires.
+BOOST_AUTO_TEST_CASE(usage_stays_reserved_for_a_silent_host)
 {
     auto accounts = makeAccounts(10, 10);
     QuotaView view { {}, accounts, 2 };
@@ -442,7 +442,7 @@
     BOOST_TEST(getQuotaBudget(server, view, kAccount, kQuota, later).limit == admissionLimit);
 }
 
-BOOST_AUTO_TEST_CASE(a_keeper_takes_a_host_that_it_does_not_know_by_a_whole_report_only)
+BOOST_AUTO_TEST_CASE(an_unknown_host_needs_a_whole_report)
 {
     auto accounts = makeAccounts(10, 10);
     QuotaView view { {}, accounts, 1 };
@@ -458,7 +458,7 @@
     BOOST_TEST(countReportingHosts(server, kStart) == 1u);
 }
 
-BOOST_AUTO_TEST_CASE(a_host_that_started_again_has_forgotten_what_its_keeper_has_not)
+BOOST_AUTO_TEST_CASE(usage_reported_before_a_restart_still_counts)
 {
     auto accounts = makeAccounts(10, 10);
     QuotaView view { {}, accounts, 1 };
@@ -469,29 +469,29 @@
     BOOST_TEST(getQuotaBudget(server, view, kAccount, kQuota, later).used == 23);
 }
 
-BOOST_AUTO_TEST_CASE(what_hosts_did_before_they_started_counts_for_a_window)
+BOOST_AUTO_TEST_CASE(usage_before_a_host_started_is_estimated_for_a_window)
 {
     auto accounts = makeAccounts(10, 10);
     QuotaView view { {}, accounts, 10 };
     QuotaServer server;
     auto admissionLimit = getQuotaLimits(kQuota, {}).admissionLimit;
-    auto tell = [&](int ms) {
+    auto reportAll = [&](int ms) {
         for (int i = 0; i < 10; ++i)
             applyReport(server, view, makeReport("h" + std::to_string(i), kStart + milliseconds(ms), {}, 0, milliseconds(ms)), kStart + milliseconds(ms));
         return getQuotaBudget(server, view, kAccount, kQuota, kStart + milliseconds(ms)).used;
     };
-    BOOST_TEST(tell(0) > 0.45 * admissionLimit);
-    BOOST_TEST(tell(0) < 0.7 * admissionLimit); // or nobody would be served
-    BOOST_TEST(tell(4900) == tell(0));
-    BOOST_TEST(tell(5000) == 0);
+    BOOST_TEST(reportAll(0) > 0.45 * admissionLimit);
+    BOOST_TEST(reportAll(0) < 0.7 * admissionLimit); // leaves room for operations
+    BOOST_TEST(reportAll(4900) == reportAll(0));
+    BOOST_TEST(reportAll(5000) == 0);
     server.hosts.clear();
-    server.storedNearQuota = { kAccount }; // all of it may have been used at the last moment
-    BOOST_TEST(tell(0) > 0.99 * admissionLimit);
-    BOOST_TEST(tell(4900) > 0.99 * admissionLimit);
-    BOOST_TEST(tell(5000) == 0);
+    server.storedNearQuota = { kAccount }; // the whole quota may have been used before the restart
+    BOOST_TEST(reportAll(0) > 0.99 * admissionLimit);
+    BOOST_TEST(reportAll(4900) > 0.99 * admissionLimit);
+    BOOST_TEST(reportAll(5000) == 0);
 }
 
-BOOST_AUTO_TEST_CASE(a_host_without_lease_begins_what_it_had_told_and_no_more)
+BOOST_AUTO_TEST_CASE(a_host_without_lease_is_limited_to_its_last_reported_usage)
 {
     QuotaHost host;
     AccountQuota quota { 10, 10 };
@@ -515,44 +515,44 @@
     BOOST_TEST((admitOperation(host, kAccount, quota, {}, 91, alone) == Admission::Refuse));
 }
 
-// An account at 0.9 of its quota: nothing of it is refused, be it that it comes in everywhere, at one host, or moves from host to host.
-BOOST_AUTO_TEST_CASE(an_account_below_its_quota_is_let_begin)
+// An account at 90 % of its quota is hardly refused, whether its operations arrive at all hosts, at one host or at changing hosts.
+BOOST_AUTO_TEST_CASE(an_account_below_its_quota_is_admitted)
 {
     for (unsigned seed = 1; seed <= 10; ++seed) {
         Fleet everywhere(seed, 91, 24, 24);
         everywhere.runUntil(kStart);
-        play(everywhere, milliseconds(20000), 21.6, [&] { return everywhere.random() % 91; });
+        simulate(everywhere, milliseconds(20000), 21.6, [&] { return everywhere.random() % 91; });
         BOOST_TEST(everywhere.refused <= everywhere.asked / 100, "seed " << seed << ": " << everywhere.refused << " of " << everywhere.asked);
         Fleet oneHost(seed, 91, 24, 24);
         oneHost.runUntil(kStart);
-        play(oneHost, milliseconds(20000), 21.6, [] { return 7; });
+        simulate(oneHost, milliseconds(20000), 21.6, [] { return 7; });
         BOOST_TEST(oneHost.refused <= oneHost.asked / 100, "seed " << seed);
         Fleet moving(seed, 91, 24, 24);
         moving.runUntil(kStart);
-        play(moving, milliseconds(20000), 21.6, [&] { return static_cast<size_t>((moving.getNow() - kStart) / milliseconds(1000)) % 91; });
+        simulate(moving, milliseconds(20000), 21.6, [&] { return static_cast<size_t>((moving.getNow() - kStart) / milliseconds(1000)) % 91; });
         BOOST_TEST(moving.refused <= moving.asked / 100, "seed " << seed);
     }
 }
 
-// An account that sends 7.5 times its usual from one moment to the next gets its quota, and no window has more than the bound.
-BOOST_AUTO_TEST_CASE(a_hot_account_gets_its_quota_and_no_more)
+// An account whose load jumps far above its quota is served at its quota, and no window exceeds the hard limit.
+BOOST_AUTO_TEST_CASE(an_overloaded_account_gets_its_quota_and_no_more)
 {
     for (size_t hosts : { 3, 91, 300 }) {
         for (double rate : { 2.0, 24.0, 128.0 }) {
             Fleet fleet(static_cast<unsigned>(hosts), hosts, rate, rate);
             fleet.runUntil(kStart);
-            play(fleet, milliseconds(6000), rate / 1.6, [&] { return fleet.random() % hosts; });
+            simulate(fleet, milliseconds(6000), rate / 1.6, [&] { return fleet.random() % hosts; });
             auto before = fleet.begun.size();
-            play(fleet, milliseconds(10000), 7.5 * rate / 1.6, [&] { return fleet.random() % hosts; });
+            simulate(fleet, milliseconds(10000), 7.5 * rate / 1.6, [&] { return fleet.random() % hosts; });
             BOOST_TEST(static_cast<double>(fleet.getMostInWindow()) <= getBound(fleet), hosts << " hosts, " << rate << "/s: " << fleet.getMostInWindow() << " of " << getBound(fleet));
             BOOST_TEST(static_cast<double>(fleet.begun.size() - before) >= 0.99 * 10 * rate, hosts << " hosts, " << rate << "/s: " << fleet.begun.size() - before);
         }
     }
 }
 
-// Hosts are killed, cut off and come back in any order, while demand jumps between nothing and 7.5 times the usual. One host in `rarity` fails in each way at each
-// step. Returns whether the bound held.
-static bool playFailures(unsigned seed, int rarity)
+// Kills, isolates and restarts random hosts under changing load; each host fails in each way with a probability of about 1/`rarity` per step.
+// Returns whether no window exceeded the hard limit.
+static bool simulateFailures(unsigned seed, int rarity)
 {
     size_t hosts = 3 + seed % 40;
     double rate = 2 + seed % 7 * 12;
@@ -566,15 +566,15 @@
             if (pickInt(0, rarity) == 0)
                 fleet.kill(i, time, isNoticed);
             else if (pickInt(0, rarity) == 0)
-                fleet.cut(i, milliseconds(pickInt(500, 8000)));
+                fleet.isolate(i, milliseconds(pickInt(500, 8000)));
         }
         if (pickInt(0, 25) == 0) {
             for (size_t i = 0; i < hosts; ++i)
                 fleet.kill(i, milliseconds(pickInt(1300, 1600)), true);
         }
-        std::vector<double> loads { 0.1, 1, 1, 1, 2, 4.5, 7.5 };
-        auto load = rate / 1.6 * loads[static_cast<size_t>(pickInt(0, 6))];
-        play(fleet, milliseconds(pickInt(200, 2500)), load, [&] { return fleet.random() % hosts; });
+        std::vector<double> loadFactors { 0.1, 1, 1, 1, 2, 4.5, 7.5 };
+        auto load = rate / 1.6 * loadFactors[static_cast<size_t>(pickInt(0, 6))];
+        simulate(fleet, milliseconds(pickInt(200, 2500)), load, [&] { return fleet.random() % hosts; });
     }
     bool holds = static_cast<double>(fleet.getMostInWindow()) <= getBound(fleet);
     BOOST_TEST(holds, "seed " << seed << ": " << hosts << " hosts, " << rate << "/s: " << fleet.getMostInWindow() << " of " << getBound(fleet));
@@ -584,15 +584,15 @@
 BOOST_AUTO_TEST_CASE(failures_now_and_then_let_no_window_pass_its_bound)
 {
     for (unsigned seed = 1; seed <= 200; ++seed)
-        playFailures(seed, 300);
+        simulateFailures(seed, 300);
 }
 
-// Several hosts at each moment, among them most of a small fleet at once.
+// Several hosts fail at the same time, in a small fleet most of them.
 BOOST_AUTO_TEST_CASE(no_chain_of_failures_lets_a_window_pass_its_bound)
 {
     unsigned passed = 0;
     for (unsigned seed = 1; seed <= 200; ++seed)
-        passed += playFailures(seed, 30) ? 1 : 0;
+        passed += simulateFailures(seed, 30) ? 1 : 0;
     BOOST_TEST(passed == 200u);
 }
 
