--- a/tests/unit/accounts_test.cpp
+++ b/tests/unit/accounts_test.cpp
@@ -114,9 +114,9 @@
     for (auto* key : { "key-one-of-mill", "key-two-of-mill", "key-of-shop", "ApiKeys\"" })
         BOOST_TEST(hidden.find(key) == std::string::npos, key);
     auto read = platform::readConfiguration(value);
-    auto told = platform::readConfiguration(hidden);
-    BOOST_REQUIRE(told.has_value());
-    BOOST_TEST((*read == *told));
+    auto received = platform::readConfiguration(hidden);
+    BOOST_REQUIRE(received.has_value());
+    BOOST_TEST((*read == *received));
     BOOST_TEST(platform::hideKeys(hidden) == hidden);
     BOOST_TEST(platform::hideKeys("no JSON with key-of-shop").empty());
     BOOST_TEST(platform::hideKeys(R"({"Tenants":"key-of-shop"})").empty());
