--- a/src/decisions/quota.cpp
+++ b/src/decisions/quota.cpp
@@ -109,12 +109,12 @@
     return tracked.nearQuotaAt != TimePoint {} && now - tracked.nearQuotaAt < within;
 }
 
-QuotaBudget getQuotaBudget(const QuotaServer& server, const QuotaView& view, const std::string& account, const AccountQuota& quota, TimePoint now)
+QuotaBudget getQuotaBudget(const QuotaServer& server, const QuotaConfiguration& configuration, const std::string& account, const AccountQuota& quota, TimePoint now)
 {
-    auto admissionLimit = getQuotaLimits(quota, view.rule).admissionLimit;
-    auto share = admissionLimit / static_cast<double>(std::max({ size_t { 1 }, view.hostCount, countReportingHosts(server, now) }));
+    auto admissionLimit = getQuotaLimits(quota, configuration.rule).admissionLimit;
+    auto share = admissionLimit / static_cast<double>(std::max({ size_t { 1 }, configuration.hostCount, countReportingHosts(server, now) }));
     auto tracked = server.accounts.find(account);
-    bool wasNearQuota = server.storedNearQuota.contains(account) || (tracked != server.accounts.end() && isNearQuota(tracked->second, view.rule.window, now));
+    bool wasNearQuota = server.storedNearQuota.contains(account) || (tracked != server.accounts.end() && isNearQuota(tracked->second, configuration.rule.window, now));
     QuotaBudget budget;
     for (auto& [name, host] : server.hosts) {
         auto status = getReportingStatus(host, now);
@@ -125,14 +125,14 @@
         double uses = 0;
         if (tracked != server.accounts.end()) {
             auto usage = tracked->second.hosts.find(name);
-            uses = usage == tracked->second.hosts.end() ? 0 : countReported(usage->second, view.rule, until, now);
+            uses = usage == tracked->second.hosts.end() ? 0 : countReported(usage->second, configuration.rule, until, now);
         }
         if (isSilent) {
             budget.limit -= std::max(0.0, uses - share);
             continue;
         }
         budget.limit += share;
-        auto estimated = estimateUnknown(host, view.rule, wasNearQuota, share, now);
+        auto estimated = estimateUnknown(host, configuration.rule, wasNearQuota, share, now);
         budget.used += uses + estimated;
         budget.estimated += estimated;
     }
@@ -140,15 +140,15 @@
 }
 
 // Returns whether the account became strict or stopped being strict.
-static bool updateStrict(QuotaServer& server, const QuotaView& view, const std::string& account, TimePoint now)
+static bool updateStrict(QuotaServer& server, const QuotaConfiguration& configuration, const std::string& account, TimePoint now)
 {
     auto& tracked = server.accounts[account];
-    auto* quota = findQuota(view.accounts, account);
+    auto* quota = findQuota(configuration.accounts, account);
     bool isStrict = false;
     if (quota) {
-        auto budget = getQuotaBudget(server, view, account, *quota, now);
+        auto budget = getQuotaBudget(server, configuration, account, *quota, now);
         isStrict = budget.used >= budget.limit * (tracked.isStrict ? kStrictLeaveRatio : kStrictEnterRatio);
-        if (budget.used - budget.estimated >= kStrictEnterRatio * getQuotaLimits(*quota, view.rule).admissionLimit)
+        if (budget.used - budget.estimated >= kStrictEnterRatio * getQuotaLimits(*quota, configuration.rule).admissionLimit)
             tracked.nearQuotaAt = now;
     }
     bool hasChanged = isStrict != tracked.isStrict;
@@ -164,7 +164,7 @@
     std::erase_if(usage.grants, [&](auto& it) { return it.first <= reported.grantsTaken; });
 }
 
-ReportResult applyReport(QuotaServer& server, const QuotaView& view, const QuotaReport& report, TimePoint now)
+ReportResult applyReport(QuotaServer& server, const QuotaConfiguration& configuration, const QuotaReport& report, TimePoint now)
 {
     if (!report.isWhole && !server.hosts.contains(report.host))
         return { .isAccepted = false };
@@ -173,22 +173,22 @@
     ReportResult result;
     for (auto& reported : report.accounts) {
         applyUsage(server.accounts[reported.account].hosts[report.host], reported, report.historyStartsAt);
-        result.hasStrictChanged = updateStrict(server, view, reported.account, now) || result.hasStrictChanged;
+        result.hasStrictChanged = updateStrict(server, configuration, reported.account, now) || result.hasStrictChanged;
         bool isNewNearQuota = server.accounts[reported.account].nearQuotaAt == now && !server.storedNearQuota.contains(reported.account);
         result.hasNewNearQuota = result.hasNewNearQuota || isNewNearQuota;
     }
     return result;
 }
 
-bool sweepQuotaServer(QuotaServer& server, const QuotaView& view, TimePoint now)
+bool sweepQuotaServer(QuotaServer& server, const QuotaConfiguration& configuration, TimePoint now)
 {
     bool hasChanged = false;
-    std::erase_if(server.hosts, [&](auto& it) { return now - it.second.lastReportAt > kQuotaSilentHostTimeout + view.rule.window; });
+    std::erase_if(server.hosts, [&](auto& it) { return now - it.second.lastReportAt > kQuotaSilentHostTimeout + configuration.rule.window; });
     for (auto& [account, tracked] : server.accounts) {
         for (auto& [host, usage] : tracked.hosts) {
             auto known = server.hosts.find(host);
             bool isSilent = known != server.hosts.end() && getReportingStatus(known->second, now) == ReportingStatus::Silent;
-            auto windowStart = (isSilent ? known->second.lastReportAt : now) - view.rule.window;
+            auto windowStart = (isSilent ? known->second.lastReportAt : now) - configuration.rule.window;
             pruneUsage(usage.uses, windowStart);
             std::erase_if(usage.grants, [&](auto& it) { return it.second < windowStart; });
         }
@@ -196,7 +196,7 @@
     }
     std::erase_if(server.accounts, [&](auto& it) { return it.second.hosts.empty() && !it.second.isStrict && !isNearQuota(it.second, kNearQuotaRetention, now); });
     for (auto& [name, tracked] : server.accounts) // all accounts, because silent hosts reduce the budget of each
-        hasChanged = updateStrict(server, view, name, now) || hasChanged;
+        hasChanged = updateStrict(server, configuration, name, now) || hasChanged;
     return hasChanged;
 }
 
@@ -236,18 +236,18 @@
     return std::clamp(left, kMinBlockTime, kMaxBlockTime);
 }
 
-QuotaGrant requestGrant(QuotaServer& server, const QuotaView& view, const std::string& host, const std::string& account, TimePoint now)
+QuotaGrant requestGrant(QuotaServer& server, const QuotaConfiguration& configuration, const std::string& host, const std::string& account, TimePoint now)
 {
-    auto* quota = findQuota(view.accounts, account);
+    auto* quota = findQuota(configuration.accounts, account);
     auto& tracked = server.accounts[account];
     auto& usage = tracked.hosts[host];
     bool isGranted = true;
     if (quota) {
-        auto budget = getQuotaBudget(server, view, account, *quota, now);
+        auto budget = getQuotaBudget(server, configuration, account, *quota, now);
         isGranted = budget.used + 1 <= budget.limit;
     }
     if (!isGranted)
-        return { false, 0, getBlockTime(tracked, view.rule, now) };
+        return { false, 0, getBlockTime(tracked, configuration.rule, now) };
     usage.grants[++server.lastGrantNumber] = now;
     return { true, server.lastGrantNumber, {} };
 }
@@ -267,11 +267,11 @@
     if (it != host.accounts.end() && now < it->second.blockedUntil)
         return Admission::Refuse;
     if (!hasLease(host, now) || host.strictAccounts.contains(account))
-        return Admission::Ask;
+        return Admission::RequestGrant;
     // The quota server may have failed since the lease was renewed, so unreported operations of all hosts together must fit into the rest of the budget.
     auto maxUnreported = std::max(1.0, kMaxUnreportedRatio * getQuotaLimits(quota, rule).admissionLimit / static_cast<double>(std::max<size_t>(1, hostCount)));
     auto unreported = it == host.accounts.end() ? 0 : countUsage(it->second.uses, host.leaseStartedAt, now);
-    return unreported < maxUnreported ? Admission::Begin : Admission::Ask;
+    return unreported < maxUnreported ? Admission::Begin : Admission::RequestGrant;
 }
 
 bool mayBeginWithoutQuotaServer(const QuotaHost& host, const std::string& account, const AccountQuota& quota, const QuotaRule& rule, size_t hostCount, TimePoint now)
--- a/src/decisions/quota.h
+++ b/src/decisions/quota.h
@@ -110,7 +110,7 @@
 };
 
 // Configuration that a quota server applies.
-struct QuotaView {
+struct QuotaConfiguration {
     QuotaRule rule {};
     const Accounts& accounts;
     size_t hostCount { 1 }; // in the system, this one included
@@ -122,9 +122,9 @@
     bool hasNewNearQuota { false }; // an account near its quota is not persisted as such yet
 };
 
-ReportResult applyReport(QuotaServer& server, const QuotaView& view, const QuotaReport& report, TimePoint now);
+ReportResult applyReport(QuotaServer& server, const QuotaConfiguration& configuration, const QuotaReport& report, TimePoint now);
 // Re-evaluates all accounts and drops expired records. Returns whether an account became strict or stopped being strict. Call it every few hundred ms.
-bool sweepQuotaServer(QuotaServer& server, const QuotaView& view, TimePoint now);
+bool sweepQuotaServer(QuotaServer& server, const QuotaConfiguration& configuration, TimePoint now);
 std::vector<std::string> getStrictAccounts(const QuotaServer& server);
 // The accounts to persist, so that quota servers know after a restart of all hosts which accounts may have exhausted their quotas.
 std::set<std::string> getNearQuotaAccounts(const QuotaServer& server, TimePoint now);
@@ -140,7 +140,7 @@
     double limit { 0 };
 };
 
-QuotaBudget getQuotaBudget(const QuotaServer& server, const QuotaView& view, const std::string& account, const AccountQuota& quota, TimePoint now);
+QuotaBudget getQuotaBudget(const QuotaServer& server, const QuotaConfiguration& configuration, const std::string& account, const AccountQuota& quota, TimePoint now);
 
 struct QuotaGrant {
     bool isGranted { false };
@@ -148,7 +148,7 @@
     milliseconds blockedFor { 0 }; // if refused: no operation of the account is admitted for this long
 };
 
-QuotaGrant requestGrant(QuotaServer& server, const QuotaView& view, const std::string& host, const std::string& account, TimePoint now);
+QuotaGrant requestGrant(QuotaServer& server, const QuotaConfiguration& configuration, const std::string& host, const std::string& account, TimePoint now);
 
 //-----------------------------------------------------------------------------
 // [SECTION] Host
@@ -156,7 +156,7 @@
 
 enum class Admission {
     Begin, // without a grant
-    Ask, // needs a grant from the quota server
+    RequestGrant, // the quota server decides
     Refuse,
 };
 
--- a/src/gateway/quota_exchange.cpp
+++ b/src/gateway/quota_exchange.cpp
@@ -45,7 +45,7 @@
     return accounts && !account.empty() ? decisions::findQuota(*accounts, account) : nullptr;
 }
 
-decisions::QuotaView QuotaExchange::makeView() const
+decisions::QuotaConfiguration QuotaExchange::makeView() const
 {
     static const decisions::Accounts none {};
     auto& accounts = m_context.view.configuration.accounts;
@@ -93,7 +93,7 @@
     case decisions::Admission::Refuse:
         refuse(account, "the quota is used up", duration_cast<milliseconds>(host.accounts[account].blockedUntil - now), done);
         return;
-    case decisions::Admission::Ask:
+    case decisions::Admission::RequestGrant:
         ask(shard, account, std::move(done));
         return;
     }
--- a/src/gateway/quota_exchange.h
+++ b/src/gateway/quota_exchange.h
@@ -70,7 +70,7 @@
     };
 
     const decisions::AccountQuota* findQuota(const std::string& account) const;
-    decisions::QuotaView makeView() const;
+    decisions::QuotaConfiguration makeView() const;
     bool isAlone(size_t shard, TimePoint now) const;
     std::string findKeeper(size_t shard, TimePoint now);
     void ask(size_t shard, const std::string& account, QuotaDone done);
--- a/tests/unit/quota_test.cpp
+++ b/tests/unit/quota_test.cpp
@@ -97,7 +97,7 @@
         case Admission::Refuse:
             ++refused;
             break;
-        case Admission::Ask:
+        case Admission::RequestGrant:
             ask(i);
         }
     }
@@ -140,7 +140,7 @@
         bool operator<(const Event& other) const { return std::tie(at, number) > std::tie(other.at, other.number); }
     };
 
-    QuotaView getView() const { return { rule, accounts, m_hosts.size() }; }
+    QuotaConfiguration getConfiguration() const { return { rule, accounts, m_hosts.size() }; }
 
     void startHost(size_t i, TimePoint at)
     {
@@ -221,7 +221,7 @@
                            *isDecided = true;
                        } });
         send(i, k, [this, i, k, isDecided] {
-            auto grant = requestGrant(m_hosts[k].server, getView(), m_hosts[i].name, kAccount, m_now);
+            auto grant = requestGrant(m_hosts[k].server, getConfiguration(), m_hosts[i].name, kAccount, m_now);
             send(k, i, [this, i, k, grant, isDecided] {
                 if (*isDecided)
                     return;
@@ -250,7 +250,7 @@
         if (m_now.time_since_epoch() % milliseconds(250) != milliseconds(0))
             return;
         pruneUsage(host.own, rule, m_now);
-        if (sweepQuotaServer(host.server, getView(), m_now))
+        if (sweepQuotaServer(host.server, getConfiguration(), m_now))
             sendStrictAccounts(i);
         persistNearQuota(i);
     }
@@ -290,7 +290,7 @@
         host.unansweredSince.try_emplace(k, m_now);
         host.sentAt[k] = m_now;
         send(i, k, [this, i, k, sentAt = m_now, report] {
-            auto result = applyReport(m_hosts[k].server, getView(), report, m_now);
+            auto result = applyReport(m_hosts[k].server, getConfiguration(), report, m_now);
             if (result.hasStrictChanged)
                 sendStrictAccounts(k);
             if (result.hasNewNearQuota)
@@ -385,100 +385,100 @@
 BOOST_AUTO_TEST_CASE(an_account_is_strict_while_near_its_quota)
 {
     auto accounts = makeAccounts(10, 10);
-    QuotaView view { {}, accounts, 2 };
+    QuotaConfiguration configuration { {}, accounts, 2 };
     QuotaServer server;
-    applyReport(server, view, makeReport("b", kStart, {}), kStart);
-    BOOST_TEST(!applyReport(server, view, makeReport("a", kStart, { { 1000, 30 } }), kStart).hasStrictChanged);
-    BOOST_TEST(applyReport(server, view, makeReport("b", kStart, { { 500, 30 } }), kStart).hasStrictChanged);
+    applyReport(server, configuration, makeReport("b", kStart, {}), kStart);
+    BOOST_TEST(!applyReport(server, configuration, makeReport("a", kStart, { { 1000, 30 } }), kStart).hasStrictChanged);
+    BOOST_TEST(applyReport(server, configuration, makeReport("b", kStart, { { 500, 30 } }), kStart).hasStrictChanged);
     BOOST_TEST(getStrictAccounts(server) == std::vector<std::string>({ kAccount }), boost::test_tools::per_element());
     applyReport(server, view, makeReport("b", kStart, { { 500, 30 } }), kStart); // a duplicate report is counted once
-    BOOST_TEST(getQuotaBudget(server, view, kAccount, kQuota, kStart).used == 60);
+    BOOST_TEST(getQuotaBudget(server, configuration, kAccount, kQuota, kStart).used == 60);
     for (int i = 1; i <= 50; ++i) { // both continue to report
         auto now = kStart + milliseconds(100 * i);
         for (auto* host : { "a", "b" })
-            applyReport(server, view, QuotaReport { host, now - milliseconds(5000), false, {} }, now);
+            applyReport(server, configuration, QuotaReport { host, now - milliseconds(5000), false, {} }, now);
     }
-    BOOST_TEST(sweepQuotaServer(server, view, kStart + milliseconds(5000)));
+    BOOST_TEST(sweepQuotaServer(server, configuration, kStart + milliseconds(5000)));
     BOOST_TEST(getStrictAccounts(server).empty());
 }
 
 BOOST_AUTO_TEST_CASE(grants_stop_at_the_admission_limit_and_are_counted_once)
 {
     auto accounts = makeAccounts(10, 10);
-    QuotaView view { {}, accounts, 1 };
+    QuotaConfiguration configuration { {}, accounts, 1 };
     QuotaServer server;
-    applyReport(server, view, makeReport("a", kStart, {}), kStart);
+    applyReport(server, configuration, makeReport("a", kStart, {}), kStart);
     unsigned granted = 0;
     QuotaGrant last;
-    while ((last = requestGrant(server, view, "a", kAccount, kStart)).isGranted)
+    while ((last = requestGrant(server, configuration, "a", kAccount, kStart)).isGranted)
         ++granted;
     auto limits = getQuotaLimits({ 10, 10 }, {});
     BOOST_TEST(granted <= limits.admissionLimit);
     BOOST_TEST(granted + 1 > limits.admissionLimit);
     BOOST_TEST(last.blockedFor.count() > 0);
-    applyReport(server, view, makeReport("a", kStart, { { 0, granted } }, granted), kStart);
-    BOOST_TEST(getQuotaBudget(server, view, kAccount, kQuota, kStart).used == granted);
+    applyReport(server, configuration, makeReport("a", kStart, { { 0, granted } }, granted), kStart);
+    BOOST_TEST(getQuotaBudget(server, configuration, kAccount, kQuota, kStart).used == granted);
 }
 
 // Guards against granting the usage that a silent host may still begin: its last reported usage, and at least its share, until it expires.
 BOOST_AUTO_TEST_CASE(usage_stays_reserved_for_a_silent_host)
 {
     auto accounts = makeAccounts(10, 10);
-    QuotaView view { {}, accounts, 2 };
+    QuotaConfiguration configuration { {}, accounts, 2 };
     auto admissionLimit = getQuotaLimits(kQuota, {}).admissionLimit;
     QuotaServer server;
-    applyReport(server, view, makeReport("a", kStart, { { 100, 60 } }), kStart);
-    applyReport(server, view, makeReport("b", kStart, {}), kStart);
-    BOOST_TEST(getQuotaBudget(server, view, kAccount, kQuota, kStart).used == 60);
-    BOOST_TEST(getQuotaBudget(server, view, kAccount, kQuota, kStart).limit == admissionLimit);
+    applyReport(server, configuration, makeReport("a", kStart, { { 100, 60 } }), kStart);
+    applyReport(server, configuration, makeReport("b", kStart, {}), kStart);
+    BOOST_TEST(getQuotaBudget(server, configuration, kAccount, kQuota, kStart).used == 60);
+    BOOST_TEST(getQuotaBudget(server, configuration, kAccount, kQuota, kStart).limit == admissionLimit);
     auto later = kStart + milliseconds(6000);
-    applyReport(server, view, makeReport("b", later, {}), later);
-    BOOST_TEST(getQuotaBudget(server, view, kAccount, kQuota, later).used == 0);
-    BOOST_TEST(getQuotaBudget(server, view, kAccount, kQuota, later).limit == admissionLimit - 60);
+    applyReport(server, configuration, makeReport("b", later, {}), later);
+    BOOST_TEST(getQuotaBudget(server, configuration, kAccount, kQuota, later).used == 0);
+    BOOST_TEST(getQuotaBudget(server, configuration, kAccount, kQuota, later).limit == admissionLimit - 60);
     later = kStart + kQuotaSilentHostTimeout;
-    applyReport(server, view, makeReport("b", later, {}), later);
-    BOOST_TEST(getQuotaBudget(server, view, kAccount, kQuota, later).limit == admissionLimit / 2);
-    view.hostCount = 1;
-    BOOST_TEST(getQuotaBudget(server, view, kAccount, kQuota, later).limit == admissionLimit);
+    applyReport(server, configuration, makeReport("b", later, {}), later);
+    BOOST_TEST(getQuotaBudget(server, configuration, kAccount, kQuota, later).limit == admissionLimit / 2);
+    configuration.hostCount = 1;
+    BOOST_TEST(getQuotaBudget(server, configuration, kAccount, kQuota, later).limit == admissionLimit);
 }
 
 BOOST_AUTO_TEST_CASE(an_unknown_host_needs_a_whole_report)
 {
     auto accounts = makeAccounts(10, 10);
-    QuotaView view { {}, accounts, 1 };
+    QuotaConfiguration configuration { {}, accounts, 1 };
     QuotaServer server;
     auto report = makeReport("a", kStart, { { 100, 5 } });
     report.isWhole = false;
-    BOOST_TEST(!applyReport(server, view, report, kStart).isAccepted);
+    BOOST_TEST(!applyReport(server, configuration, report, kStart).isAccepted);
     BOOST_TEST(countReportingHosts(server, kStart) == 0u);
     report.isWhole = true;
-    BOOST_TEST(applyReport(server, view, report, kStart).isAccepted);
+    BOOST_TEST(applyReport(server, configuration, report, kStart).isAccepted);
     report.isWhole = false;
-    BOOST_TEST(applyReport(server, view, report, kStart).isAccepted);
+    BOOST_TEST(applyReport(server, configuration, report, kStart).isAccepted);
     BOOST_TEST(countReportingHosts(server, kStart) == 1u);
 }
 
 BOOST_AUTO_TEST_CASE(usage_reported_before_a_restart_still_counts)
 {
     auto accounts = makeAccounts(10, 10);
-    QuotaView view { {}, accounts, 1 };
+    QuotaConfiguration configuration { {}, accounts, 1 };
     QuotaServer server;
-    applyReport(server, view, makeReport("a", kStart, { { 100, 20 } }), kStart);
+    applyReport(server, configuration, makeReport("a", kStart, { { 100, 20 } }), kStart);
     auto later = kStart + milliseconds(1000);
-    applyReport(server, view, makeReport("a", later, { { 50, 3 } }, 0, milliseconds(400)), later);
-    BOOST_TEST(getQuotaBudget(server, view, kAccount, kQuota, later).used == 23);
+    applyReport(server, configuration, makeReport("a", later, { { 50, 3 } }, 0, milliseconds(400)), later);
+    BOOST_TEST(getQuotaBudget(server, configuration, kAccount, kQuota, later).used == 23);
 }
 
 BOOST_AUTO_TEST_CASE(usage_before_a_host_started_is_estimated_for_a_window)
 {
     auto accounts = makeAccounts(10, 10);
-    QuotaView view { {}, accounts, 10 };
+    QuotaConfiguration configuration { {}, accounts, 10 };
     QuotaServer server;
     auto admissionLimit = getQuotaLimits(kQuota, {}).admissionLimit;
     auto reportAll = [&](int ms) {
         for (int i = 0; i < 10; ++i)
-            applyReport(server, view, makeReport("h" + std::to_string(i), kStart + milliseconds(ms), {}, 0, milliseconds(ms)), kStart + milliseconds(ms));
-        return getQuotaBudget(server, view, kAccount, kQuota, kStart + milliseconds(ms)).used;
+            applyReport(server, configuration, makeReport("h" + std::to_string(i), kStart + milliseconds(ms), {}, 0, milliseconds(ms)), kStart + milliseconds(ms));
+        return getQuotaBudget(server, configuration, kAccount, kQuota, kStart + milliseconds(ms)).used;
     };
     BOOST_TEST(reportAll(0) > 0.45 * admissionLimit);
     BOOST_TEST(reportAll(0) < 0.7 * admissionLimit); // leaves room for operations
@@ -495,16 +495,16 @@
 {
     QuotaHost host;
     AccountQuota quota { 10, 10 };
-    BOOST_TEST((admitOperation(host, kAccount, quota, {}, 91, kStart) == Admission::Ask));
+    BOOST_TEST((admitOperation(host, kAccount, quota, {}, 91, kStart) == Admission::RequestGrant));
     host.leaseStartedAt = kStart;
     BOOST_TEST((admitOperation(host, kAccount, quota, {}, 91, kStart) == Admission::Begin));
     host.strictAccounts = { kAccount };
-    BOOST_TEST((admitOperation(host, kAccount, quota, {}, 91, kStart) == Admission::Ask));
+    BOOST_TEST((admitOperation(host, kAccount, quota, {}, 91, kStart) == Admission::RequestGrant));
     host.strictAccounts = {};
     for (int i = 0; i < 4; ++i)
         recordOperation(host, kAccount, kStart - milliseconds(100));
     auto alone = kStart + milliseconds(5500);
-    BOOST_TEST((admitOperation(host, kAccount, quota, {}, 91, alone) == Admission::Ask));
+    BOOST_TEST((admitOperation(host, kAccount, quota, {}, 91, alone) == Admission::RequestGrant));
     unsigned begun = 0;
     while (begun < 20 && mayBeginWithoutQuotaServer(host, kAccount, quota, {}, 91, alone)) {
         recordOperation(host, kAccount, alone);
