--- a/tests/unit/quota_test.cpp
+++ b/tests/unit/quota_test.cpp
@@ -391,7 +391,7 @@
     BOOST_TEST(!applyReport(server, configuration, makeReport("a", kStart, { { 1000, 30 } }), kStart).hasStrictChanged);
     BOOST_TEST(applyReport(server, configuration, makeReport("b", kStart, { { 500, 30 } }), kStart).hasStrictChanged);
     BOOST_TEST(getStrictAccounts(server) == std::vector<std::string>({ kAccount }), boost::test_tools::per_element());
-    applyReport(server, view, makeReport("b", kStart, { { 500, 30 } }), kStart); // a duplicate report is counted once
+    applyReport(server, configuration, makeReport("b", kStart, { { 500, 30 } }), kStart); // a duplicate report is counted once
     BOOST_TEST(getQuotaBudget(server, configuration, kAccount, kQuota, kStart).used == 60);
     for (int i = 1; i <= 50; ++i) { // both continue to report
         auto now = kStart + milliseconds(100 * i);
