--- a/src/gateway/quota_exchange.cpp
+++ b/src/gateway/quota_exchange.cpp
@@ -35,7 +35,7 @@
 {
     for (size_t i = 0; i < m_shards.size(); ++i) {
         m_shards[i].rankingKey = fmt::format("quota/{}", i);
-        m_shards[i].host.beganAt = m_beganAt;
+        m_shards[i].host.startedAt = m_beganAt;
     }
 }
 
@@ -45,7 +45,7 @@
     return accounts && !account.empty() ? decisions::findQuota(*accounts, account) : nullptr;
 }
 
-decisions::QuotaView QuotaExchange::makeView() const
+decisions::QuotaConfiguration QuotaExchange::makeView() const
 {
     static const decisions::Accounts none {};
     auto& accounts = m_context.view.configuration.accounts;
@@ -55,7 +55,7 @@
 // A host that hears no other would count for itself alone: it may begin what the others' keepers leave it, and no more.
 bool QuotaExchange::isAlone(size_t shard, TimePoint now) const
 {
-    return m_context.view.hosts.size() > 1 && !decisions::hasOtherFollower(m_shards[shard].keeper, m_context.name, now);
+    return m_context.view.hosts.size() > 1 && !decisions::hasOtherReportingHost(m_shards[shard].keeper, m_context.name, now);
 }
 
 // The host that keeps count for a shard, as this one sees it; empty: none does.
@@ -86,14 +86,14 @@
     auto& host = m_shards[shard].host;
     switch (decisions::admitOperation(host, account, *quota, m_context.rule, m_context.view.hosts.size(), now)) {
     case decisions::Admission::Begin:
-        decisions::noteBegun(host, account, now);
+        decisions::recordOperation(host, account, now);
         m_shards[shard].isChanged = true;
         done(std::nullopt);
         return;
     case decisions::Admission::Refuse:
-        refuse(account, "the quota is used up", duration_cast<milliseconds>(host.accounts[account].closedUntil - now), done);
+        refuse(account, "the quota is used up", duration_cast<milliseconds>(host.accounts[account].blockedUntil - now), done);
         return;
-    case decisions::Admission::Ask:
+    case decisions::Admission::RequestGrant:
         ask(shard, account, std::move(done));
         return;
     }
@@ -104,7 +104,7 @@
     if (!findQuota(account))
         return;
     auto& shard = m_shards[getShard(account)];
-    decisions::noteNotBegun(shard.host, account);
+    decisions::revertOperation(shard.host, account);
     shard.isChanged = true;
 }
 
@@ -119,7 +119,7 @@
     if (keeper != m_shards[shard].followed) // a keeper that does not know this host has nothing for it
         report(shard, keeper, now);
     if (keeper == m_context.name) {
-        takeGrant(shard, keeper, account, decisions::askKeeper(m_shards[shard].keeper, makeView(), keeper, account, now), done);
+        takeGrant(shard, keeper, account, decisions::requestGrant(m_shards[shard].keeper, makeView(), keeper, account, now), done);
         return;
     }
     peer::Frame frame;
@@ -136,11 +136,11 @@
     auto now = Clock::now();
     auto& host = m_shards[shard].host;
     auto* quota = findQuota(account);
-    if (quota && !decisions::mayBeginAlone(host, account, *quota, m_context.rule, m_context.view.hosts.size(), now)) {
+    if (quota && !decisions::mayBeginWithoutQuotaServer(host, account, *quota, m_context.rule, m_context.view.hosts.size(), now)) {
         refuse(account, "no host that counts for all answers", kAloneComesBack, done);
         return;
     }
-    decisions::noteBegun(host, account, now);
+    decisions::recordOperation(host, account, now);
     m_shards[shard].isChanged = true;
     done(std::nullopt);
 }
@@ -150,11 +150,11 @@
     auto now = Clock::now();
     auto& host = m_shards[shard].host;
     if (!grant.isGranted) {
-        decisions::noteClosed(host, account, grant.closedFor, now);
-        refuse(account, "the quota is used up", grant.closedFor, done);
+        decisions::blockAccount(host, account, grant.blockedFor, now);
+        refuse(account, "the quota is used up", grant.blockedFor, done);
         return;
     }
-    decisions::noteBegun(host, account, now);
+    decisions::recordOperation(host, account, now);
     auto& taken = m_shards[shard].links[keeper].grantsTaken[account];
     taken = std::max(taken, grant.number);
     m_shards[shard].isChanged = true;
@@ -163,7 +163,7 @@
 
 void QuotaExchange::refuse(const std::string& account, std::string_view reason, milliseconds comeBack, const QuotaDone& done) const
 {
-    auto spread = decisions::spreadRetryAfter(std::max(comeBack, milliseconds(1)), base::getRandom());
+    auto spread = decisions::jitterRetryAfter(std::max(comeBack, milliseconds(1)), base::getRandom());
     base::addTo(base::Family::QuotaRefused, { { "reason", reason } });
     done(decisions::Error { ErrorKind::QuotaExceeded, fmt::format("client account {}: {}; come back in {} ms", account, reason, spread.count()), spread });
 }
@@ -177,7 +177,7 @@
     wire.set_is_whole(link.needsWhole);
     wire.set_covered_ms(static_cast<uint64_t>(duration_cast<milliseconds>(std::min<TimePoint::duration>(now - m_beganAt, m_context.rule.window)).count()));
     for (auto& [account, used] : m_shards[shard].host.accounts) {
-        if (!link.needsWhole && !used.isChanged)
+        if (!link.needsWhole && !used.isUnreported)
             continue;
         auto& uses = *wire.add_uses();
         uses.set_account(account);
@@ -209,7 +209,7 @@
     *frame.mutable_quota_report() = makeReport(index, link, now);
     link.needsWhole = false;
     for (auto& [account, used] : shard.host.accounts)
-        used.isChanged = false;
+        used.isUnreported = false;
     shard.isChanged = false;
     if (keeper == m_context.name) {
         takeState(keeper, takeReport(frame.quota_report()));
@@ -236,18 +236,18 @@
     auto shard = wire.shard() % kShards;
     decisions::QuotaReport report { wire.host(), now - milliseconds(wire.covered_ms()), wire.is_whole(), {} };
     for (auto& it : wire.uses()) {
-        decisions::ReportedUses uses { it.account(), {}, it.grants_taken() };
+        decisions::ReportedUsage uses { it.account(), {}, it.grants_taken() };
         for (int i = 0; i < std::min(it.age_ms_size(), it.count_size()); ++i)
             uses.uses.push_back({ now - milliseconds(it.age_ms(i)), it.count(i) });
-        report.uses.push_back(std::move(uses));
+        report.accounts.push_back(std::move(uses));
     }
-    auto taken = decisions::takeReport(m_shards[shard].keeper, makeView(), report, now);
-    if (taken.hasChanged)
+    auto taken = decisions::applyReport(m_shards[shard].keeper, makeView(), report, now);
+    if (taken.hasStrictChanged)
         tellStrict(shard);
-    if (taken.isNear)
+    if (taken.hasNewNearQuota)
         writeNear(shard, now);
     auto state = makeState(shard);
-    if (taken.isKnown)
+    if (taken.isAccepted)
         state.set_number(wire.number());
     else
         state.set_needs_whole(true);
@@ -256,12 +256,12 @@
 
 peer::QuotaAnswer QuotaExchange::answerAsk(const peer::QuotaAsk& ask)
 {
-    auto grant = decisions::askKeeper(m_shards[getShard(ask.account())].keeper, makeView(), ask.host(), ask.account(), Clock::now());
+    auto grant = decisions::requestGrant(m_shards[getShard(ask.account())].keeper, makeView(), ask.host(), ask.account(), Clock::now());
     peer::QuotaAnswer answer;
     answer.set_call(ask.call());
     answer.set_is_granted(grant.isGranted);
     answer.set_grant(grant.number);
-    answer.set_closed_ms(static_cast<uint32_t>(grant.closedFor.count()));
+    answer.set_closed_ms(static_cast<uint32_t>(grant.blockedFor.count()));
     return answer;
 }
 
@@ -277,17 +277,17 @@
 void QuotaExchange::takeWritten(size_t shard, const std::set<std::string>& accounts)
 {
     if (shard < m_shards.size())
-        m_shards[shard].keeper.lastNear = accounts;
+        m_shards[shard].keeper.storedNearQuota = accounts;
 }
 
 // A host that has just started knows too little to strike names off.
 void QuotaExchange::writeNear(size_t index, TimePoint now)
 {
     auto& shard = m_shards[index];
-    auto accounts = decisions::getAccountsToWrite(shard.keeper, now);
-    bool isNew = !std::ranges::includes(shard.keeper.lastNear, accounts);
+    auto accounts = decisions::getNearQuotaAccounts(shard.keeper, now);
+    bool isNew = !std::ranges::includes(shard.keeper.storedNearQuota, accounts);
     bool mayForget = shard.followed == m_context.name && now - m_beganAt > m_context.rule.window + kForgetAfter;
-    bool isDue = isNew || (mayForget && accounts != shard.keeper.lastNear);
+    bool isDue = isNew || (mayForget && accounts != shard.keeper.storedNearQuota);
     if (!isDue || shard.isWriting || now - shard.writtenAt < kWriteInterval)
         return;
     shard.isWriting = true;
@@ -316,9 +316,9 @@
     if (state.number() == link.sent)
         link.unansweredSince = {};
     if (keeper == shard.followed) {
-        shard.host.strict = { state.strict().begin(), state.strict().end() };
+        shard.host.strictAccounts = { state.strict().begin(), state.strict().end() };
         if (state.number() == link.sent)
-            shard.host.leaseSentAt = std::max(shard.host.leaseSentAt, link.sentAt);
+            shard.host.leaseStartedAt = std::max(shard.host.leaseStartedAt, link.sentAt);
     }
     noteLease(index, now);
 }
@@ -364,7 +364,7 @@
     endLateAsks(now);
     for (size_t i = 0; i < m_shards.size(); ++i) {
         auto passed = now - m_shards[i].reportedAt;
-        auto interval = m_shards[i].isChanged ? decisions::kQuotaReportInterval : decisions::kQuotaLeaseInterval;
+        auto interval = m_shards[i].isChanged ? decisions::kQuotaReportInterval : decisions::kQuotaIdleReportInterval;
         auto keeper = findKeeper(i, now);
         if (passed >= interval || keeper != m_shards[i].followed)
             report(i, keeper, now);
@@ -374,10 +374,10 @@
     m_sweptAt = now;
     for (size_t i = 0; i < m_shards.size(); ++i) {
         auto& shard = m_shards[i];
-        decisions::forgetUses(shard.host, m_context.rule, now);
-        std::erase_if(shard.links, [&](auto& it) { return now - it.second.sentAt > decisions::kQuotaLostFor; });
+        decisions::pruneUsage(shard.host, m_context.rule, now);
+        std::erase_if(shard.links, [&](auto& it) { return now - it.second.sentAt > decisions::kQuotaSilentHostTimeout; });
         noteLease(i, now);
-        if (decisions::sweepKeeper(shard.keeper, makeView(), now))
+        if (decisions::sweepQuotaServer(shard.keeper, makeView(), now))
             tellStrict(i);
         writeNear(i, now);
     }
--- a/src/gateway/quota_exchange.h
+++ b/src/gateway/quota_exchange.h
@@ -53,7 +53,7 @@
     struct Shard {
         std::string rankingKey {}; // of the hosts that may keep count for it
         decisions::QuotaHost host {};
-        decisions::QuotaKeeper keeper {}; // of this host, if others take it for one
+        decisions::QuotaServer keeper {}; // of this host, if others take it for one
         std::map<std::string, KeeperLink> links {}; // by keeper
         std::string followed {}; // the keeper that this host goes by
         TimePoint reportedAt {};
@@ -70,7 +70,7 @@
     };
 
     const decisions::AccountQuota* findQuota(const std::string& account) const;
-    decisions::QuotaView makeView() const;
+    decisions::QuotaConfiguration makeView() const;
     bool isAlone(size_t shard, TimePoint now) const;
     std::string findKeeper(size_t shard, TimePoint now);
     void ask(size_t shard, const std::string& account, QuotaDone done);
--- a/src/gateway/target_pool.cpp
+++ b/src/gateway/target_pool.cpp
@@ -95,7 +95,7 @@
         auto job = m_waiting.at(it.number);
         m_waiting.erase(it.number);
         auto wait = milliseconds(static_cast<int64_t>(decisions::getWholeWaitMs(m_queue)));
-        auto comeBack = decisions::spreadRetryAfter(std::max(wait, kComeBackLeast), base::getRandom());
+        auto comeBack = decisions::jitterRetryAfter(std::max(wait, kComeBackLeast), base::getRandom());
         finish(job, decisions::makeFailure(ErrorKind::Overloaded, reason.empty() ? fmt::format("{} statements wait before it, {:.0f} ms each{}; come back in {} ms", m_waiting.size(), m_queue.workMs, m_queue.overload.isStanding ? ", for long" : "", comeBack.count()) : reason));
     }
 }
@@ -235,8 +235,8 @@
         auto step = decisions::planOpening(getHeld(), getDemands(now), { m_limits.connections, m_opening, openingMost }, now);
         if (!step)
             return;
-        if (step->givenUp)
-            giveUp(m_sessions[*step->givenUp]);
+        if (step->evicted)
+            giveUp(m_sessions[*step->evicted]);
         openSession(step->account);
     }
 }
@@ -250,9 +250,9 @@
     std::erase(m_sessions, SessionPtr(session));
 }
 
-std::vector<decisions::HeldConnection> TargetPool::getHeld() const
+std::vector<decisions::PooledConnection> TargetPool::getHeld() const
 {
-    std::vector<decisions::HeldConnection> held;
+    std::vector<decisions::PooledConnection> held;
     for (auto& it : m_sessions) {
         held.push_back({ it->account, it->isFree(), it->isBusy && it->transaction == 0, it->served > 0, it->usedAt });
     }
