--- a/src/decisions/member_queue.cpp
+++ b/src/decisions/member_queue.cpp
@@ -9,14 +9,14 @@
 static constexpr milliseconds kCountsHalveIn { 1000 };
 static constexpr double kLeastServed = 0.1; // of a kind's operations get a turn, whatever they cost
 static constexpr double kEnoughOffered = 5; // operations that make that share worth looking at
-static constexpr double kShortOfObjective = 0.125; // of what is left to the objective: a wait that its caller hardly notices; 0.06 to 0.2 serve as many
-static constexpr double kLongTimes = 2; // short waits: a queue that is no longer than this is waited out
-static constexpr double kShortLeast = 4; // statements' usual times: below, the member runs empty between two bursts
+static constexpr double kTolerableObjectiveShare = 0.125; // of what is left to the objective: a wait that its caller hardly notices; 0.06 to 0.2 serve as many
+static constexpr double kOverloadWaitFactor = 2; // short waits: a queue that is no longer than this is waited out
+static constexpr double kMinTolerableStatements = 4; // statements' usual times: below, the member runs empty between two bursts
 // Of a long queue. Most bursts of callers that come back after a fault are over by then. With half of it, a site whose overloads last for
 // some seconds lost 0.006 of its worth (12 days), one whose overload lasts all day gained nothing.
-static constexpr milliseconds kStandsAfter { 2000 };
-static constexpr milliseconds kCalmAfter { 500 }; // without a refusal
-static constexpr double kWaitsMost = 2; // short waits; entries that others overtook for that long are given up
+static constexpr milliseconds kOverloadStartDelay { 2000 };
+static constexpr milliseconds kOverloadEndDelay { 500 }; // without a refusal
+static constexpr double kMaxWaitFactor = 2; // short waits; entries that others overtook for that long are given up
 
 static double getMs(TimePoint::duration time)
 {
@@ -57,38 +57,38 @@
 
 void noteHeld(MemberQueue& queue, TimePoint now)
 {
-    if (!queue.overload.isStanding)
-        queue.overload.shortAt = now;
+    if (!queue.overload.isSustained)
+        queue.overload.lastTolerableAt = now;
 }
 
-Overload observeWait(Overload overload, double waitMs, double shortMs, TimePoint now)
+Overload updateOverload(Overload overload, double waitMs, double tolerableMs, TimePoint now)
 {
-    bool isShort = waitMs <= (overload.isStanding ? 1 : kLongTimes) * shortMs;
-    if (overload.shortAt == TimePoint {} || isShort)
-        overload.shortAt = now;
-    if (!overload.isStanding && now - overload.shortAt >= kStandsAfter) {
-        overload.isStanding = true;
-        overload.refusedAt = now;
+    bool isTolerable = waitMs <= (overload.isSustained ? 1 : kOverloadWaitFactor) * tolerableMs;
+    if (overload.lastTolerableAt == TimePoint {} || isTolerable)
+        overload.lastTolerableAt = now;
+    if (!overload.isSustained && now - overload.lastTolerableAt >= kOverloadStartDelay) {
+        overload.isSustained = true;
+        overload.lastRefusedAt = now;
     }
     // A queue that is kept short is short: what shows that the load has gone is that nobody had to be refused.
-    if (overload.isStanding && isShort && now - overload.refusedAt >= kCalmAfter)
-        overload.isStanding = false;
+    if (overload.isSustained && isTolerable && now - overload.lastRefusedAt >= kOverloadEndDelay)
+        overload.isSustained = false;
     return overload;
 }
 
-double QueueEntry::getShortMs() const
+double QueueEntry::getTolerableWaitMs() const
 {
-    return kShortOfObjective * std::max(0.0, getMs(turn.objective - arrivedAt));
+    return kTolerableObjectiveShare * std::max(0.0, getMs(turn.objective - arrivedAt));
 }
 
-static double getShortMs(const MemberQueue& queue, const QueueEntry& entry)
+static double getTolerableWaitMs(const MemberQueue& queue, const QueueEntry& entry)
 {
-    return std::max(entry.getShortMs(), kShortLeast * queue.workMs);
+    return std::max(entry.getTolerableWaitMs(), kMinTolerableStatements * queue.workMs);
 }
 
 bool goesBefore(const MemberQueue& queue, const QueueEntry& a, const QueueEntry& b, TimePoint now)
 {
-    if (!queue.overload.isStanding)
+    if (!queue.overload.isSustained)
         return goesBefore(a.turn, b.turn, now, queue.workMs);
     auto rank = [&](const QueueEntry& it) { return std::tuple(!it.turn.isContinuation, !isStarved(queue.costs, it.kind), it.turn.priority, it.arrivedAt); };
     return rank(a) < rank(b);
@@ -96,7 +96,7 @@
 
 // The dearer a kind is, the shorter the queue must be for it to come in. So the queue settles where the member is full, whoever is
 // cheaper comes in, and whoever is dearer is refused on arrival and not after some waiting.
-static double getShareOfShort(const MemberQueue& queue, const OperationKind& kind)
+static double getTolerableShare(const MemberQueue& queue, const OperationKind& kind)
 {
     if (isStarved(queue.costs, kind))
         return 1;
@@ -138,11 +138,11 @@
 
 static bool isTooLong(const MemberQueue& queue, const QueueEntry& entry, double waitMs)
 {
-    return !entry.turn.isContinuation && waitMs > getShareOfShort(queue, entry.kind) * getShortMs(queue, entry);
+    return !entry.turn.isContinuation && waitMs > getTolerableShare(queue, entry.kind) * getTolerableWaitMs(queue, entry);
 }
 
 // Refuses whoever would wait for too long of those that came before the load was known to last.
-static std::vector<QueueEntry> shorten(MemberQueue& queue, TimePoint now)
+static std::vector<QueueEntry> refuseExcess(MemberQueue& queue, TimePoint now)
 {
     std::vector<QueueEntry> refused;
     std::ranges::sort(queue.entries, [&](const QueueEntry& a, const QueueEntry& b) { return goesBefore(queue, a, b, now); });
@@ -160,7 +160,7 @@
 
 static bool isAdmitted(const MemberQueue& queue, const QueueEntry& entry, TimePoint now)
 {
-    if (queue.overload.isStanding)
+    if (queue.overload.isSustained)
         return !isTooLong(queue, entry, getWaitMs(queue, entry, now));
     auto ahead = std::ranges::count_if(queue.entries, [&](const QueueEntry& it) { return goesBefore(queue, it, entry, now); });
     return comesInTime(entry.turn, static_cast<size_t>(ahead), queue.places, now, queue.workMs);
@@ -171,22 +171,22 @@
     halveCounts(queue, now);
     if (!entry.turn.isContinuation)
         queue.costs[entry.kind].offered += 1;
-    bool wasStanding = queue.overload.isStanding;
-    queue.overload = observeWait(queue.overload, getWholeWaitMs(queue), getShortMs(queue, entry), now);
+    bool wasStanding = queue.overload.isSustained;
+    queue.overload = updateOverload(queue.overload, getWholeWaitMs(queue), getTolerableWaitMs(queue, entry), now);
     if (!isAdmitted(queue, entry, now)) {
-        queue.overload.refusedAt = now;
+        queue.overload.lastRefusedAt = now;
         return { entry };
     }
     queue.entries.push_back(entry);
-    bool hasBegun = queue.overload.isStanding && !wasStanding;
-    return hasBegun ? shorten(queue, now) : std::vector<QueueEntry>();
+    bool hasBegun = queue.overload.isSustained && !wasStanding;
+    return hasBegun ? refuseExcess(queue, now) : std::vector<QueueEntry>();
 }
 
 std::vector<QueueEntry> takeExpired(MemberQueue& queue, TimePoint now)
 {
     std::vector<QueueEntry> expired;
     std::erase_if(queue.entries, [&](const QueueEntry& it) {
-        bool isOvertaken = queue.overload.isStanding && !it.turn.isContinuation && getMs(now - it.arrivedAt) > kWaitsMost * getShortMs(queue, it);
+        bool isOvertaken = queue.overload.isSustained && !it.turn.isContinuation && getMs(now - it.arrivedAt) > kMaxWaitFactor * getTolerableWaitMs(queue, it);
         bool isLate = now >= it.turn.deadline;
         if (isOvertaken || isLate)
             expired.push_back(it);
--- a/src/decisions/member_queue.h
+++ b/src/decisions/member_queue.h
@@ -55,14 +55,14 @@
 //-----------------------------------------------------------------------------
 
 struct Overload {
-    bool isStanding { false };
-    TimePoint shortAt {}; // when the queue was last short
-    TimePoint refusedAt {}; // when somebody was last refused to keep it short
+    bool isSustained { false };
+    TimePoint lastTolerableAt {}; // when the queue was last short
+    TimePoint lastRefusedAt {}; // when somebody was last refused to keep it short
     friend bool operator==(const Overload&, const Overload&) = default;
 };
 
 // The queue now takes `waitMs` to run empty; a wait of `shortMs` does not matter to callers.
-Overload observeWait(Overload overload, double waitMs, double shortMs, TimePoint now);
+Overload updateOverload(Overload overload, double waitMs, double tolerableMs, TimePoint now);
 
 //-----------------------------------------------------------------------------
 // [SECTION] Queue
@@ -75,7 +75,7 @@
     TimePoint arrivedAt {};
 
     // The wait that its caller hardly notices, in ms.
-    double getShortMs() const;
+    double getTolerableWaitMs() const;
 };
 
 // The entries before one member and what was learned there. Changed in place: it moves with each statement.
--- a/src/gateway/target_pool.cpp
+++ b/src/gateway/target_pool.cpp
@@ -96,7 +96,7 @@
         m_waiting.erase(it.number);
         auto wait = milliseconds(static_cast<int64_t>(decisions::getWholeWaitMs(m_queue)));
         auto comeBack = decisions::spreadRetryAfter(std::max(wait, kComeBackLeast), base::getRandom());
-        finish(job, decisions::makeFailure(ErrorKind::Overloaded, reason.empty() ? fmt::format("{} statements wait before it, {:.0f} ms each{}; come back in {} ms", m_waiting.size(), m_queue.workMs, m_queue.overload.isStanding ? ", for long" : "", comeBack.count()) : reason));
+        finish(job, decisions::makeFailure(ErrorKind::Overloaded, reason.empty() ? fmt::format("{} statements wait before it, {:.0f} ms each{}; come back in {} ms", m_waiting.size(), m_queue.workMs, m_queue.overload.isSustained ? ", for long" : "", comeBack.count()) : reason));
     }
 }
 
--- a/tests/unit/member_queue_test.cpp
+++ b/tests/unit/member_queue_test.cpp
@@ -364,17 +364,17 @@
 BOOST_AUTO_TEST_CASE(an_overload_begins_after_two_seconds_and_ends_once_nobody_is_refused)
 {
     Overload overload;
-    overload = observeWait(overload, 50, 100, at(0));
-    overload = observeWait(overload, 300, 100, at(100));
-    overload = observeWait(overload, 300, 100, at(1900));
-    BOOST_TEST(!overload.isStanding);
-    overload = observeWait(overload, 300, 100, at(2100));
-    BOOST_TEST(overload.isStanding);
-    overload = observeWait(overload, 50, 100, at(2200));
-    BOOST_TEST(overload.isStanding);
-    overload.refusedAt = at(2500);
-    BOOST_TEST(observeWait(overload, 50, 100, at(2900)).isStanding);
-    BOOST_TEST(!observeWait(overload, 50, 100, at(3000)).isStanding);
+    overload = updateOverload(overload, 50, 100, at(0));
+    overload = updateOverload(overload, 300, 100, at(100));
+    overload = updateOverload(overload, 300, 100, at(1900));
+    BOOST_TEST(!overload.isSustained);
+    overload = updateOverload(overload, 300, 100, at(2100));
+    BOOST_TEST(overload.isSustained);
+    overload = updateOverload(overload, 50, 100, at(2200));
+    BOOST_TEST(overload.isSustained);
+    overload.lastRefusedAt = at(2500);
+    BOOST_TEST(updateOverload(overload, 50, 100, at(2900)).isSustained);
+    BOOST_TEST(!updateOverload(overload, 50, 100, at(3000)).isSustained);
 }
 
 // Writes wait up to two seconds while the primary is changed.
@@ -388,7 +388,7 @@
         noteHeld(queue, now);
         BOOST_TEST(admit(queue, entry, now).empty());
     }
-    BOOST_TEST(!queue.overload.isStanding);
+    BOOST_TEST(!queue.overload.isSustained);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
