--- a/src/decisions/member_queue.cpp
+++ b/src/decisions/member_queue.cpp
@@ -5,10 +5,10 @@
 
 namespace alderward::decisions {
 
-static constexpr double kCostStep = 0.1; // weight of the newest operation: some tens of them are followed
-static constexpr milliseconds kCountsHalveIn { 1000 };
-static constexpr double kLeastServed = 0.1; // of a kind's operations get a turn, whatever they cost
-static constexpr double kEnoughOffered = 5; // operations that make that share worth looking at
+static constexpr double kCostSmoothing = 0.1; // weight of the newest operation: some tens of them are followed
+static constexpr milliseconds kCountHalfLife { 1000 };
+static constexpr double kMinServedShare = 0.1; // of a kind's operations get a turn, whatever they cost
+static constexpr double kMinOffered = 5; // operations that make that share worth looking at
 static constexpr double kTolerableObjectiveShare = 0.125; // of what is left to the objective: a wait that its caller hardly notices; 0.06 to 0.2 serve as many
 static constexpr double kOverloadWaitFactor = 2; // short waits: a queue that is no longer than this is waited out
 static constexpr double kMinTolerableStatements = 4; // statements' usual times: below, the member runs empty between two bursts
@@ -23,30 +23,30 @@
     return std::chrono::duration<double, std::milli>(time).count();
 }
 
-void takeOperation(OperationCosts& costs, const OperationKind& kind, double ms)
+void recordOperation(OperationCosts& costs, const OperationKind& kind, double ms)
 {
     auto& cost = costs[kind];
     ms = std::max(0.0, ms);
-    cost.ms = cost.observations == 0 ? ms : cost.ms + kCostStep * (ms - cost.ms);
+    cost.ms = cost.observations == 0 ? ms : cost.ms + kCostSmoothing * (ms - cost.ms);
     ++cost.observations;
 }
 
 double getCostMs(const OperationCosts& costs, const OperationKind& kind, double workMs)
 {
     auto it = costs.find(kind);
-    bool isKnown = it != costs.end() && it->second.observations >= kEnoughObservations;
+    bool isKnown = it != costs.end() && it->second.observations >= kMinObservations;
     return isKnown ? it->second.ms : workMs;
 }
 
 bool isStarved(const OperationCosts& costs, const OperationKind& kind)
 {
     auto it = costs.find(kind);
-    return it != costs.end() && it->second.offered >= kEnoughOffered && it->second.served < kLeastServed * it->second.offered;
+    return it != costs.end() && it->second.offered >= kMinOffered && it->second.served < kMinServedShare * it->second.offered;
 }
 
 static void halveCounts(MemberQueue& queue, TimePoint now)
 {
-    if (now - queue.countedAt < kCountsHalveIn)
+    if (now - queue.countedAt < kCountHalfLife)
         return;
     queue.countedAt = now;
     for (auto& [kind, cost] : queue.costs) {
@@ -102,14 +102,14 @@
         return 1;
     auto own = getCostMs(queue.costs, kind, queue.workMs);
     double kinds = 1;
-    double dearer = 1;
+    double costlier = 1;
     for (auto& [other, cost] : queue.costs) {
-        if (other == kind || cost.offered < kEnoughOffered)
+        if (other == kind || cost.offered < kMinOffered)
             continue;
         ++kinds;
-        dearer += getCostMs(queue.costs, other, queue.workMs) > own ? 1 : 0;
+        costlier += getCostMs(queue.costs, other, queue.workMs) > own ? 1 : 0;
     }
-    return dearer / kinds;
+    return costlier / kinds;
 }
 
 // A statement that waits stands for its whole operation: the later ones of its transaction come before whoever waits behind it.
--- a/src/decisions/member_queue.h
+++ b/src/decisions/member_queue.h
@@ -41,10 +41,10 @@
 
 using OperationCosts = std::map<OperationKind, OperationCost>;
 
-inline constexpr unsigned kEnoughObservations = 8; // below, an operation is taken to cost one statement's usual time
+inline constexpr unsigned kMinObservations = 8; // below, an operation is taken to cost one statement's usual time
 
 // An operation ended after `ms` of a place at the member.
-void takeOperation(OperationCosts& costs, const OperationKind& kind, double ms);
+void recordOperation(OperationCosts& costs, const OperationKind& kind, double ms);
 // `workMs`: one statement's usual time, for kinds that were seen too seldom.
 double getCostMs(const OperationCosts& costs, const OperationKind& kind, double workMs);
 // Whether so few of the kind get a turn that the next one goes first, whatever its priority.
--- a/tests/unit/member_queue_test.cpp
+++ b/tests/unit/member_queue_test.cpp
@@ -194,7 +194,7 @@
             schedule(m_now + draw(m_load.pauseMs), [this, operation] { submit(operation); });
             return;
         }
-        takeOperation(m_queue.costs, entry.kind, operation.spentMs);
+        recordOperation(m_queue.costs, entry.kind, operation.spentMs);
         auto pauses = operation.isTransaction ? m_load.pauseMs * (m_load.statements - 1) : 0;
         bool isInTime = m_now - operation.beganMs - pauses <= m_load.kinds[operation.kind].objectiveMs;
         ++(isInTime ? m_result.inTime : m_result.late);
@@ -354,10 +354,10 @@
     BOOST_REQUIRE(next);
     BOOST_TEST(next->number == 1U);
     BOOST_TEST(!takeNext(queue, at(0), [](const QueueEntry&) { return true; }));
-    takeOperation(queue.costs, {}, -3);
+    recordOperation(queue.costs, {}, -3);
     BOOST_TEST(getCostMs(queue.costs, {}, 7) == 7); // too few were seen
-    for (unsigned i = 0; i < kEnoughObservations; ++i)
-        takeOperation(queue.costs, {}, 20);
+    for (unsigned i = 0; i < kMinObservations; ++i)
+        recordOperation(queue.costs, {}, 20);
     BOOST_TEST(getCostMs(queue.costs, {}, 7) > 7);
 }
 
