--- a/src/decisions/member_queue.cpp
+++ b/src/decisions/member_queue.cpp
@@ -125,7 +125,7 @@
         if (it.number != entry.number && goesBefore(queue, it, entry, now))
             aheadMs += getTimeMs(queue, it);
     }
-    return aheadMs / std::max(1U, queue.places);
+    return aheadMs / std::max(1U, queue.concurrency);
 }
 
 double getWholeWaitMs(const MemberQueue& queue)
@@ -133,7 +133,7 @@
     double ms = 0;
     for (auto& it : queue.entries)
         ms += getTimeMs(queue, it);
-    return ms / std::max(1U, queue.places);
+    return ms / std::max(1U, queue.concurrency);
 }
 
 static bool isTooLong(const MemberQueue& queue, const QueueEntry& entry, double waitMs)
@@ -148,7 +148,7 @@
     std::ranges::sort(queue.entries, [&](const QueueEntry& a, const QueueEntry& b) { return goesBefore(queue, a, b, now); });
     double aheadMs = 0;
     std::erase_if(queue.entries, [&](const QueueEntry& it) {
-        bool isRefused = isTooLong(queue, it, aheadMs / std::max(1U, queue.places));
+        bool isRefused = isTooLong(queue, it, aheadMs / std::max(1U, queue.concurrency));
         if (isRefused)
             refused.push_back(it);
         else
@@ -163,7 +163,7 @@
     if (queue.overload.isSustained)
         return !isTooLong(queue, entry, getWaitMs(queue, entry, now));
     auto ahead = std::ranges::count_if(queue.entries, [&](const QueueEntry& it) { return goesBefore(queue, it, entry, now); });
-    return comesInTime(entry.turn, static_cast<size_t>(ahead), queue.places, now, queue.workMs);
+    return comesInTime(entry.turn, static_cast<size_t>(ahead), queue.concurrency, now, queue.workMs);
 }
 
 std::vector<QueueEntry> admit(MemberQueue& queue, const QueueEntry& entry, TimePoint now)
--- a/src/decisions/member_queue.h
+++ b/src/decisions/member_queue.h
@@ -84,7 +84,7 @@
     OperationCosts costs {};
     Overload overload {};
     double workMs { 10 }; // usual time of one statement at the member
-    unsigned places { 1 }; // statements at the member at a time
+    unsigned concurrency { 1 }; // statements at the member at a time
     TimePoint countedAt {}; // when counts of operations were last halved
 };
 
--- a/src/decisions/turns.cpp
+++ b/src/decisions/turns.cpp
@@ -45,9 +45,9 @@
     return rank(a) < rank(b);
 }
 
-bool comesInTime(const Turn& turn, size_t ahead, unsigned places, TimePoint now, double workMs)
+bool comesInTime(const Turn& turn, size_t ahead, unsigned concurrency, TimePoint now, double workMs)
 {
-    auto waitMs = static_cast<double>(ahead) * workMs / std::max(1U, places);
+    auto waitMs = static_cast<double>(ahead) * workMs / std::max(1U, concurrency);
     return turn.isContinuation || waitMs <= getLeftMs(turn.deadline, now) - kWorthSending * workMs;
 }
 
--- a/src/decisions/turns.h
+++ b/src/decisions/turns.h
@@ -26,7 +26,7 @@
 bool isWorthSending(const Turn& turn, TimePoint now, double workMs);
 // Whether a goes before b: continuations first, then those that can still meet their objective, by priority, the soonest first.
 bool goesBefore(const Turn& a, const Turn& b, TimePoint now, double workMs);
-// Whether a statement with `ahead` others before it gets its turn while that is of use, where `places` statements run at a time.
-bool comesInTime(const Turn& turn, size_t ahead, unsigned places, TimePoint now, double workMs);
+// Whether a statement with `ahead` others before it gets its turn while that is of use, where `concurrency` statements run at a time.
+bool comesInTime(const Turn& turn, size_t ahead, unsigned concurrency, TimePoint now, double workMs);
 
 }
--- a/src/gateway/target_pool.cpp
+++ b/src/gateway/target_pool.cpp
@@ -39,7 +39,7 @@
 void TargetPool::setLimits(const PoolLimits& limits)
 {
     m_limits = limits;
-    m_queue.places = limits.running;
+    m_queue.concurrency = limits.running;
 }
 
 static bool isInTransaction(OrderKind kind)
--- a/tests/unit/member_queue_test.cpp
+++ b/tests/unit/member_queue_test.cpp
@@ -70,7 +70,7 @@
         : m_load(load)
         , m_random(load.seed)
     {
-        m_queue.places = load.slots + 1;
+        m_queue.concurrency = load.slots + 1;
         m_result.inTimeOf.resize(load.kinds.size());
         m_owedOf.resize(load.kinds.size());
     }
@@ -161,7 +161,7 @@
 
     void dispatch()
     {
-        while (m_sent.size() + m_running < m_queue.places) {
+        while (m_sent.size() + m_running < m_queue.concurrency) {
             auto next = takeNext(m_queue, at(m_now), [](const QueueEntry&) { return true; });
             if (!next)
                 break;
@@ -347,7 +347,7 @@
 {
     MemberQueue queue;
     queue.workMs = 0;
-    queue.places = 0;
+    queue.concurrency = 0;
     BOOST_TEST(admit(queue, makeEntry(1, -5000), at(0)).empty());
     BOOST_TEST(getWaitMs(queue, queue.entries.front(), at(0)) == 0);
     auto next = takeNext(queue, at(0), [](const QueueEntry&) { return true; });
