--- a/src/decisions/member_queue.cpp
+++ b/src/decisions/member_queue.cpp
@@ -78,7 +78,7 @@
 
 double QueueEntry::getTolerableWaitMs() const
 {
-    return kTolerableObjectiveShare * std::max(0.0, getMs(turn.objective - arrivedAt));
+    return kTolerableObjectiveShare * std::max(0.0, getMs(scheduling.objective - arrivedAt));
 }
 
 static double getTolerableWaitMs(const MemberQueue& queue, const QueueEntry& entry)
@@ -86,11 +86,11 @@
     return std::max(entry.getTolerableWaitMs(), kMinTolerableStatements * queue.workMs);
 }
 
-bool goesBefore(const MemberQueue& queue, const QueueEntry& a, const QueueEntry& b, TimePoint now)
+bool isScheduledBefore(const MemberQueue& queue, const QueueEntry& a, const QueueEntry& b, TimePoint now)
 {
     if (!queue.overload.isSustained)
-        return goesBefore(a.turn, b.turn, now, queue.workMs);
-    auto rank = [&](const QueueEntry& it) { return std::tuple(!it.turn.isContinuation, !isStarved(queue.costs, it.kind), it.turn.priority, it.arrivedAt); };
+        return isScheduledBefore(a.scheduling, b.scheduling, now, queue.workMs);
+    auto rank = [&](const QueueEntry& it) { return std::tuple(!it.scheduling.isContinuation, !isStarved(queue.costs, it.kind), it.scheduling.priority, it.arrivedAt); };
     return rank(a) < rank(b);
 }
 
@@ -115,14 +115,14 @@
 // A statement that waits stands for its whole operation: the later ones of its transaction come before whoever waits behind it.
 static double getTimeMs(const MemberQueue& queue, const QueueEntry& entry)
 {
-    return entry.turn.isContinuation ? queue.workMs : getCostMs(queue.costs, entry.kind, queue.workMs);
+    return entry.scheduling.isContinuation ? queue.workMs : getCostMs(queue.costs, entry.kind, queue.workMs);
 }
 
 double getWaitMs(const MemberQueue& queue, const QueueEntry& entry, TimePoint now)
 {
     double aheadMs = 0;
     for (auto& it : queue.entries) {
-        if (it.number != entry.number && goesBefore(queue, it, entry, now))
+        if (it.number != entry.number && isScheduledBefore(queue, it, entry, now))
             aheadMs += getTimeMs(queue, it);
     }
     return aheadMs / std::max(1U, queue.concurrency);
@@ -138,14 +138,14 @@
 
 static bool isTooLong(const MemberQueue& queue, const QueueEntry& entry, double waitMs)
 {
-    return !entry.turn.isContinuation && waitMs > getTolerableShare(queue, entry.kind) * getTolerableWaitMs(queue, entry);
+    return !entry.scheduling.isContinuation && waitMs > getTolerableShare(queue, entry.kind) * getTolerableWaitMs(queue, entry);
 }
 
 // Refuses whoever would wait for too long of those that came before the load was known to last.
 static std::vector<QueueEntry> refuseExcess(MemberQueue& queue, TimePoint now)
 {
     std::vector<QueueEntry> refused;
-    std::ranges::sort(queue.entries, [&](const QueueEntry& a, const QueueEntry& b) { return goesBefore(queue, a, b, now); });
+    std::ranges::sort(queue.entries, [&](const QueueEntry& a, const QueueEntry& b) { return isScheduledBefore(queue, a, b, now); });
     double aheadMs = 0;
     std::erase_if(queue.entries, [&](const QueueEntry& it) {
         bool isRefused = isTooLong(queue, it, aheadMs / std::max(1U, queue.concurrency));
@@ -162,14 +162,14 @@
 {
     if (queue.overload.isSustained)
         return !isTooLong(queue, entry, getWaitMs(queue, entry, now));
-    auto ahead = std::ranges::count_if(queue.entries, [&](const QueueEntry& it) { return goesBefore(queue, it, entry, now); });
-    return comesInTime(entry.turn, static_cast<size_t>(ahead), queue.concurrency, now, queue.workMs);
+    auto ahead = std::ranges::count_if(queue.entries, [&](const QueueEntry& it) { return isScheduledBefore(queue, it, entry, now); });
+    return canStartInTime(entry.scheduling, static_cast<size_t>(ahead), queue.concurrency, now, queue.workMs);
 }
 
 std::vector<QueueEntry> admit(MemberQueue& queue, const QueueEntry& entry, TimePoint now)
 {
     halveCounts(queue, now);
-    if (!entry.turn.isContinuation)
+    if (!entry.scheduling.isContinuation)
         queue.costs[entry.kind].offered += 1;
     bool wasStanding = queue.overload.isSustained;
     queue.overload = updateOverload(queue.overload, getWholeWaitMs(queue), getTolerableWaitMs(queue, entry), now);
@@ -186,8 +186,8 @@
 {
     std::vector<QueueEntry> expired;
     std::erase_if(queue.entries, [&](const QueueEntry& it) {
-        bool isOvertaken = queue.overload.isSustained && !it.turn.isContinuation && getMs(now - it.arrivedAt) > kMaxWaitFactor * getTolerableWaitMs(queue, it);
-        bool isLate = now >= it.turn.deadline;
+        bool isOvertaken = queue.overload.isSustained && !it.scheduling.isContinuation && getMs(now - it.arrivedAt) > kMaxWaitFactor * getTolerableWaitMs(queue, it);
+        bool isLate = now >= it.scheduling.deadline;
         if (isOvertaken || isLate)
             expired.push_back(it);
         return isOvertaken || isLate;
@@ -199,7 +199,7 @@
 {
     auto best = queue.entries.end();
     for (auto it = queue.entries.begin(); it != queue.entries.end(); ++it) {
-        bool isBetter = best == queue.entries.end() || goesBefore(queue, *it, *best, now);
+        bool isBetter = best == queue.entries.end() || isScheduledBefore(queue, *it, *best, now);
         if (isBetter && isRunnable(*it))
             best = it;
     }
@@ -207,7 +207,7 @@
         return std::nullopt;
     auto entry = *best;
     queue.entries.erase(best);
-    if (!entry.turn.isContinuation)
+    if (!entry.scheduling.isContinuation)
         queue.costs[entry.kind].served += 1;
     return entry;
 }
--- a/src/decisions/member_queue.h
+++ b/src/decisions/member_queue.h
@@ -70,7 +70,7 @@
 
 struct QueueEntry {
     uint64_t number { 0 }; // the caller's, unique
-    Turn turn {};
+    SchedulingParameters scheduling {};
     OperationKind kind {};
     TimePoint arrivedAt {};
 
@@ -89,7 +89,7 @@
 };
 
 // Whether a goes before b, in the order that the queue follows now.
-bool goesBefore(const MemberQueue& queue, const QueueEntry& a, const QueueEntry& b, TimePoint now);
+bool isScheduledBefore(const MemberQueue& queue, const QueueEntry& a, const QueueEntry& b, TimePoint now);
 // How long the queue as it is takes to run empty, in ms.
 double getWholeWaitMs(const MemberQueue& queue);
 // How long the entry, which waits or is about to, would wait for its turn.
--- a/src/gateway/statement_router.cpp
+++ b/src/gateway/statement_router.cpp
@@ -204,7 +204,7 @@
     routed->lastReason = outcome.error->message;
     routed->wasTurnedAway = kind == ErrorKind::Overloaded && outcome.wasSent;
     bool isQueueFull = kind == ErrorKind::Overloaded && !outcome.wasSent;
-    routed->wasOverloaded = routed->wasOverloaded || isQueueFull || (routed->wasTurnedAway && routed->attempts >= decisions::kBusyTries);
+    routed->wasOverloaded = routed->wasOverloaded || isQueueFull || (routed->wasTurnedAway && routed->attempts >= decisions::kMaxBusyAttempts);
     if (kind == ErrorKind::NotPrimary)
         denyLead(m_context.view.groups[target.group], target.member, now);
     if (kind == ErrorKind::TooStale)
--- a/src/gateway/target_pool.cpp
+++ b/src/gateway/target_pool.cpp
@@ -47,7 +47,7 @@
     return kind == OrderKind::Begin || kind == OrderKind::Continue;
 }
 
-static decisions::Turn getTurn(const Order& order)
+static decisions::SchedulingParameters getTurn(const Order& order)
 {
     return { order.kind == OrderKind::Continue, order.priority, order.objective, order.deadline };
 }
@@ -208,7 +208,7 @@
 
 size_t TargetPool::countWaitingForConnection() const
 {
-    return static_cast<size_t>(std::ranges::count_if(m_queue.entries, [](const decisions::QueueEntry& it) { return !it.turn.isContinuation; }));
+    return static_cast<size_t>(std::ranges::count_if(m_queue.entries, [](const decisions::QueueEntry& it) { return !it.scheduling.isContinuation; }));
 }
 
 // As many connections as statements wait for, within the limits.
@@ -263,8 +263,8 @@
 std::vector<decisions::AccountDemand> TargetPool::getDemands(TimePoint now) const
 {
     auto entries = m_queue.entries;
-    std::erase_if(entries, [&](const decisions::QueueEntry& it) { return it.turn.isContinuation || !mayRun(*m_waiting.at(it.number), now); });
-    std::ranges::sort(entries, [&](const decisions::QueueEntry& a, const decisions::QueueEntry& b) { return decisions::goesBefore(m_queue, a, b, now); });
+    std::erase_if(entries, [&](const decisions::QueueEntry& it) { return it.scheduling.isContinuation || !mayRun(*m_waiting.at(it.number), now); });
+    std::ranges::sort(entries, [&](const decisions::QueueEntry& a, const decisions::QueueEntry& b) { return decisions::isScheduledBefore(m_queue, a, b, now); });
     std::vector<decisions::AccountDemand> demands;
     for (auto& it : entries) {
         std::string_view account = m_waiting.at(it.number)->order.account;
@@ -428,7 +428,7 @@
         auto& order = job->order;
         bool isCommit = order.statement.kind == StatementKind::Commit;
         if (!outcome.error)
-            self->takeWorkTime(*job);
+            self->updateWorkTime(*job);
         // A write and its commit succeed at a target that leads only.
         if (!outcome.error && order.kind == OrderKind::Single && order.statement.isWrite)
             self->takeProof(outcome.position, sentAt, known);
@@ -450,10 +450,10 @@
 }
 
 // What a statement took, and with it the operation that it belongs to.
-void TargetPool::takeWorkTime(const Job& job)
+void TargetPool::updateWorkTime(const Job& job)
 {
     std::chrono::duration<double, std::milli> took = Clock::now() - job.startedAt;
-    m_queue.workMs = decisions::takeWorkTime(m_queue.workMs, took.count());
+    m_queue.workMs = decisions::updateWorkTime(m_queue.workMs, took.count());
     if (!isInTransaction(job.order.kind))
         decisions::recordOperation(m_queue.costs, { job.order.database, false }, took.count());
     else if (auto it = m_transactions.find(job.order.transaction); it != m_transactions.end())
@@ -519,7 +519,7 @@
 {
     bool wasBusy = outcome.error && outcome.error->kind == ErrorKind::Overloaded && outcome.wasSent;
     bool isInTransaction = job.order.kind == OrderKind::Continue && session->isOpen() && session->getTargetState() == decisions::SessionState::InTransaction;
-    return wasBusy && isInTransaction && !job.isDone() && job.timesBusy < decisions::kBusyTries && Clock::now() + kBusyPause < job.order.deadline;
+    return wasBusy && isInTransaction && !job.isDone() && job.timesBusy < decisions::kMaxBusyAttempts && Clock::now() + kBusyPause < job.order.deadline;
 }
 
 // Only a connection on which no transaction is open may serve another caller: a statement that a target failed to run, be it our
--- a/tests/unit/member_queue_test.cpp
+++ b/tests/unit/member_queue_test.cpp
@@ -130,7 +130,7 @@
         entry.number = ++m_lastEntry;
         entry.arrivedAt = at(m_now);
         entry.kind = { static_cast<uint32_t>(operation.kind), operation.isTransaction };
-        entry.turn = { operation.done > 0, kind.priority, at(m_now + kind.objectiveMs), at(m_now + kind.limitMs) };
+        entry.scheduling = { operation.done > 0, kind.priority, at(m_now + kind.objectiveMs), at(m_now + kind.limitMs) };
         m_operations[entry.number] = operation;
         m_submittedMs[entry.number] = m_now;
         auto refused = admit(m_queue, entry, at(m_now));
@@ -165,11 +165,11 @@
             auto next = takeNext(m_queue, at(m_now), [](const QueueEntry&) { return true; });
             if (!next)
                 break;
-            if (!isWorthSending(next->turn, at(m_now), m_queue.workMs) && !next->turn.isContinuation) {
+            if (!isWorthSending(next->scheduling, at(m_now), m_queue.workMs) && !next->scheduling.isContinuation) {
                 refuse({ *next });
                 continue;
             }
-            if (!next->turn.isContinuation)
+            if (!next->scheduling.isContinuation)
                 m_result.waitedMs.push_back(m_now - m_submittedMs[next->number]);
             m_sent.push_back({ *next, m_now });
         }
@@ -186,7 +186,7 @@
     void end(const QueueEntry& entry, double tookMs)
     {
         --m_running;
-        m_queue.workMs = takeWorkTime(m_queue.workMs, tookMs);
+        m_queue.workMs = updateWorkTime(m_queue.workMs, tookMs);
         auto operation = m_operations[entry.number];
         operation.spentMs += tookMs;
         ++operation.done;
--- a/tests/unit/turns_test.cpp
+++ b/tests/unit/turns_test.cpp
@@ -37,7 +37,7 @@
     Served served;
     served.possible = kEndMs * overload.slots / overload.workMs;
     std::vector<double> freeAt(overload.slots, 0);
-    std::vector<Turn> waiting;
+    std::vector<SchedulingParameters> waiting;
     double arrival = gap(random);
     for (double now = 0; now < kEndMs;) {
         auto slot = std::ranges::min_element(freeAt);
@@ -48,15 +48,15 @@
             continue;
         }
         now = std::max(now, *slot);
-        auto next = std::ranges::min_element(waiting, [&](const Turn& a, const Turn& b) { return goesBefore(a, b, at(now), overload.workMs); });
-        auto turn = *next;
+        auto next = std::ranges::min_element(waiting, [&](const SchedulingParameters& a, const SchedulingParameters& b) { return isScheduledBefore(a, b, at(now), overload.workMs); });
+        auto statement = *next;
         waiting.erase(next);
-        if (!isWorthSending(turn, at(now), overload.workMs)) {
+        if (!isWorthSending(statement, at(now), overload.workMs)) {
             ++served.refused;
             continue;
         }
         *slot = now + work(random);
-        ++(at(*slot) <= turn.objective ? served.inTime : served.late);
+        ++(at(*slot) <= statement.objective ? served.inTime : served.late);
     }
     return served;
 }
@@ -68,27 +68,27 @@
 BOOST_AUTO_TEST_CASE(continuations_then_those_in_time_then_priority_then_the_soonest)
 {
     auto now = at(0);
-    Turn soon { false, 1, at(100), at(1000) };
-    Turn later { false, 1, at(200), at(1000) };
-    Turn urgent { false, 0, at(300), at(1000) };
-    Turn missed { false, 0, at(10), at(1000) };
-    Turn continuation { true, 5, at(10), at(1000) };
-    BOOST_TEST(goesBefore(soon, later, now, 10));
-    BOOST_TEST(goesBefore(urgent, soon, now, 10));
-    BOOST_TEST(goesBefore(later, missed, now, 10));
-    BOOST_TEST(goesBefore(continuation, urgent, now, 10));
-    BOOST_TEST(!goesBefore(soon, soon, now, 10));
+    SchedulingParameters soon { false, 1, at(100), at(1000) };
+    SchedulingParameters later { false, 1, at(200), at(1000) };
+    SchedulingParameters urgent { false, 0, at(300), at(1000) };
+    SchedulingParameters missed { false, 0, at(10), at(1000) };
+    SchedulingParameters continuation { true, 5, at(10), at(1000) };
+    BOOST_TEST(isScheduledBefore(soon, later, now, 10));
+    BOOST_TEST(isScheduledBefore(urgent, soon, now, 10));
+    BOOST_TEST(isScheduledBefore(later, missed, now, 10));
+    BOOST_TEST(isScheduledBefore(continuation, urgent, now, 10));
+    BOOST_TEST(!isScheduledBefore(soon, soon, now, 10));
 }
 
 BOOST_AUTO_TEST_CASE(what_cannot_be_answered_in_time_is_refused_at_once)
 {
-    Turn turn { false, 0, at(500), at(1000) };
-    BOOST_TEST(comesInTime(turn, 100, 3, at(0), 15)); // 500 ms of waiting
-    BOOST_TEST(!comesInTime(turn, 200, 3, at(0), 15)); // 1000 ms
-    turn.isContinuation = true;
-    BOOST_TEST(comesInTime(turn, 200, 3, at(0), 15));
-    BOOST_TEST(isWorthSending(turn, at(900), 15));
-    BOOST_TEST(!isWorthSending(turn, at(990), 15));
+    SchedulingParameters statement { false, 0, at(500), at(1000) };
+    BOOST_TEST(canStartInTime(statement, 100, 3, at(0), 15)); // 500 ms of waiting
+    BOOST_TEST(!canStartInTime(statement, 200, 3, at(0), 15)); // 1000 ms
+    statement.isContinuation = true;
+    BOOST_TEST(canStartInTime(statement, 200, 3, at(0), 15));
+    BOOST_TEST(isWorthSending(statement, at(900), 15));
+    BOOST_TEST(!isWorthSending(statement, at(990), 15));
 }
 
 // Found at the bench: two of five statements hung at a primary, and its usual time went from 15 to 240 ms; all others were refused.
@@ -98,17 +98,17 @@
     std::exponential_distribution<double> work(1 / 15.0);
     double workMs = 10;
     for (int i = 0; i < 500; ++i)
-        workMs = takeWorkTime(workMs, work(random));
+        workMs = updateWorkTime(workMs, work(random));
     BOOST_TEST(workMs > 10);
     BOOST_TEST(workMs < 20);
     double most = 0;
     for (int i = 0; i < 500; ++i) {
-        workMs = takeWorkTime(workMs, i % 5 < 2 ? 800 : work(random));
+        workMs = updateWorkTime(workMs, i % 5 < 2 ? 800 : work(random));
         most = std::max(most, workMs);
     }
     BOOST_TEST(most < 75);
     for (int i = 0; i < 100; ++i)
-        workMs = takeWorkTime(workMs, 4 * work(random)); // all are slow: followed
+        workMs = updateWorkTime(workMs, 4 * work(random)); // all are slow: followed
     BOOST_TEST(workMs > 40);
 }
 
@@ -126,9 +126,9 @@
 // A transaction's later statements had a whole objective each: at equal priority one that had used its time went behind one that had just begun.
 BOOST_AUTO_TEST_CASE(the_objective_is_one_for_all_statements_of_a_transaction)
 {
-    Turn used { true, 0, getObjectiveEnd(at(500), milliseconds(600), milliseconds(400)), at(1300) };
-    Turn fresh { true, 0, getObjectiveEnd(at(490), milliseconds(600), milliseconds(0)), at(1290) };
-    BOOST_TEST(goesBefore(used, fresh, at(500), 10));
+    SchedulingParameters used { true, 0, getObjectiveEnd(at(500), milliseconds(600), milliseconds(400)), at(1300) };
+    SchedulingParameters fresh { true, 0, getObjectiveEnd(at(490), milliseconds(600), milliseconds(0)), at(1290) };
+    BOOST_TEST(isScheduledBefore(used, fresh, at(500), 10));
     BOOST_TEST((getObjectiveEnd(at(500), milliseconds(600), milliseconds(900)) == at(200))); // missed
 }
 
