--- a/src/decisions/member_queue.cpp
+++ b/src/decisions/member_queue.cpp
@@ -55,7 +55,7 @@
     }
 }
 
-void noteHeld(MemberQueue& queue, TimePoint now)
+void noteQueueHeld(MemberQueue& queue, TimePoint now)
 {
     if (!queue.overload.isSustained)
         queue.overload.lastTolerableAt = now;
@@ -113,7 +113,7 @@
 }
 
 // A statement that waits stands for its whole operation: the later ones of its transaction come before whoever waits behind it.
-static double getTimeMs(const MemberQueue& queue, const QueueEntry& entry)
+static double getEstimatedMs(const MemberQueue& queue, const QueueEntry& entry)
 {
     return entry.scheduling.isContinuation ? queue.workMs : getCostMs(queue.costs, entry.kind, queue.workMs);
 }
@@ -123,16 +123,16 @@
     double aheadMs = 0;
     for (auto& it : queue.entries) {
         if (it.number != entry.number && isScheduledBefore(queue, it, entry, now))
-            aheadMs += getTimeMs(queue, it);
+            aheadMs += getEstimatedMs(queue, it);
     }
     return aheadMs / std::max(1U, queue.concurrency);
 }
 
-double getWholeWaitMs(const MemberQueue& queue)
+double getTotalWaitMs(const MemberQueue& queue)
 {
     double ms = 0;
     for (auto& it : queue.entries)
-        ms += getTimeMs(queue, it);
+        ms += getEstimatedMs(queue, it);
     return ms / std::max(1U, queue.concurrency);
 }
 
@@ -152,7 +152,7 @@
         if (isRefused)
             refused.push_back(it);
         else
-            aheadMs += getTimeMs(queue, it);
+            aheadMs += getEstimatedMs(queue, it);
         return isRefused;
     });
     return refused;
@@ -172,7 +172,7 @@
     if (!entry.scheduling.isContinuation)
         queue.costs[entry.kind].offered += 1;
     bool wasStanding = queue.overload.isSustained;
-    queue.overload = updateOverload(queue.overload, getWholeWaitMs(queue), getTolerableWaitMs(queue, entry), now);
+    queue.overload = updateOverload(queue.overload, getTotalWaitMs(queue), getTolerableWaitMs(queue, entry), now);
     if (!isAdmitted(queue, entry, now)) {
         queue.overload.lastRefusedAt = now;
         return { entry };
@@ -182,7 +182,7 @@
     return hasBegun ? refuseExcess(queue, now) : std::vector<QueueEntry>();
 }
 
-std::vector<QueueEntry> takeExpired(MemberQueue& queue, TimePoint now)
+std::vector<QueueEntry> removeExpired(MemberQueue& queue, TimePoint now)
 {
     std::vector<QueueEntry> expired;
     std::erase_if(queue.entries, [&](const QueueEntry& it) {
@@ -195,7 +195,7 @@
     return expired;
 }
 
-std::optional<QueueEntry> takeNext(MemberQueue& queue, TimePoint now, const std::function<bool(const QueueEntry&)>& isRunnable)
+std::optional<QueueEntry> popNextRunnable(MemberQueue& queue, TimePoint now, const std::function<bool(const QueueEntry&)>& isRunnable)
 {
     auto best = queue.entries.end();
     for (auto it = queue.entries.begin(); it != queue.entries.end(); ++it) {
--- a/src/decisions/member_queue.h
+++ b/src/decisions/member_queue.h
@@ -91,16 +91,16 @@
 // Whether a goes before b, in the order that the queue follows now.
 bool isScheduledBefore(const MemberQueue& queue, const QueueEntry& a, const QueueEntry& b, TimePoint now);
 // How long the queue as it is takes to run empty, in ms.
-double getWholeWaitMs(const MemberQueue& queue);
+double getTotalWaitMs(const MemberQueue& queue);
 // How long the entry, which waits or is about to, would wait for its turn.
 double getWaitMs(const MemberQueue& queue, const QueueEntry& entry, TimePoint now);
 // Adds an entry. Returns those that are refused because of it, unsent: itself, or others that it goes before.
 std::vector<QueueEntry> admit(MemberQueue& queue, const QueueEntry& entry, TimePoint now);
 // Something else than load keeps entries from running, as writes during a planned change of primary: their wait says nothing.
-void noteHeld(MemberQueue& queue, TimePoint now);
+void noteQueueHeld(MemberQueue& queue, TimePoint now);
 // Takes those out that have waited in vain. Call it every few tens of ms.
-std::vector<QueueEntry> takeExpired(MemberQueue& queue, TimePoint now);
+std::vector<QueueEntry> removeExpired(MemberQueue& queue, TimePoint now);
 // Takes out the one whose turn it is among those that can run.
-std::optional<QueueEntry> takeNext(MemberQueue& queue, TimePoint now, const std::function<bool(const QueueEntry&)>& isRunnable);
+std::optional<QueueEntry> popNextRunnable(MemberQueue& queue, TimePoint now, const std::function<bool(const QueueEntry&)>& isRunnable);
 
 }
--- a/src/gateway/target_pool.cpp
+++ b/src/gateway/target_pool.cpp
@@ -94,7 +94,7 @@
     for (auto& it : entries) {
         auto job = m_waiting.at(it.number);
         m_waiting.erase(it.number);
-        auto wait = milliseconds(static_cast<int64_t>(decisions::getWholeWaitMs(m_queue)));
+        auto wait = milliseconds(static_cast<int64_t>(decisions::getTotalWaitMs(m_queue)));
         auto comeBack = decisions::spreadRetryAfter(std::max(wait, kComeBackLeast), base::getRandom());
         finish(job, decisions::makeFailure(ErrorKind::Overloaded, reason.empty() ? fmt::format("{} statements wait before it, {:.0f} ms each{}; come back in {} ms", m_waiting.size(), m_queue.workMs, m_queue.overload.isSustained ? ", for long" : "", comeBack.count()) : reason));
     }
@@ -146,7 +146,7 @@
 
 TargetPool::JobPtr TargetPool::popNext(TimePoint now)
 {
-    auto next = decisions::takeNext(m_queue, now, [&](const decisions::QueueEntry& it) { return isRunnable(*m_waiting.at(it.number), now); });
+    auto next = decisions::popNextRunnable(m_queue, now, [&](const decisions::QueueEntry& it) { return isRunnable(*m_waiting.at(it.number), now); });
     if (!next)
         return nullptr;
     auto job = m_waiting.at(next->number);
@@ -188,7 +188,7 @@
         return isDone;
     });
     if (now < m_holdUntil)
-        decisions::noteHeld(m_queue, now);
+        decisions::noteQueueHeld(m_queue, now);
     while (!m_waiting.empty() && countRunning() < m_limits.running) {
         auto job = popNext(now);
         if (!job)
--- a/src/gateway/target_pool_upkeep.cpp
+++ b/src/gateway/target_pool_upkeep.cpp
@@ -81,7 +81,7 @@
 
 void TargetPool::endOverdue(TimePoint now)
 {
-    refuse(decisions::takeExpired(m_queue, now), "no turn came in time");
+    refuse(decisions::removeExpired(m_queue, now), "no turn came in time");
     auto running = m_running;
     for (auto& [job, session] : running) {
         if (now < job->order.deadline)
--- a/tests/unit/member_queue_test.cpp
+++ b/tests/unit/member_queue_test.cpp
@@ -84,7 +84,7 @@
         for (double t = draw(1 / (m_load.load * capacity)); t < m_load.endMs; t += draw(1 / ((t < m_load.loadEndMs ? m_load.load : 0.6) * capacity)))
             schedule(t, [this] { begin(); });
         for (double t = 0; t < m_load.endMs; t += 20)
-            schedule(t, [this] { refuse(takeExpired(m_queue, at(m_now))); });
+            schedule(t, [this] { refuse(removeExpired(m_queue, at(m_now))); });
         while (!m_events.empty()) {
             auto event = m_events.top();
             m_events.pop();
@@ -162,7 +162,7 @@
     void dispatch()
     {
         while (m_sent.size() + m_running < m_queue.concurrency) {
-            auto next = takeNext(m_queue, at(m_now), [](const QueueEntry&) { return true; });
+            auto next = popNextRunnable(m_queue, at(m_now), [](const QueueEntry&) { return true; });
             if (!next)
                 break;
             if (!isWorthSending(next->scheduling, at(m_now), m_queue.workMs) && !next->scheduling.isContinuation) {
@@ -338,7 +338,7 @@
         auto refused = admit(queue, makeEntry(i, 1000, true), at(0));
         BOOST_TEST(refused.empty());
     }
-    BOOST_TEST(takeExpired(queue, at(5000)).empty());
+    BOOST_TEST(removeExpired(queue, at(5000)).empty());
     auto refused = admit(queue, makeEntry(201, 1000), at(0));
     BOOST_TEST(refused.size() == 1U);
 }
@@ -350,10 +350,10 @@
     queue.concurrency = 0;
     BOOST_TEST(admit(queue, makeEntry(1, -5000), at(0)).empty());
     BOOST_TEST(getWaitMs(queue, queue.entries.front(), at(0)) == 0);
-    auto next = takeNext(queue, at(0), [](const QueueEntry&) { return true; });
+    auto next = popNextRunnable(queue, at(0), [](const QueueEntry&) { return true; });
     BOOST_REQUIRE(next);
     BOOST_TEST(next->number == 1U);
-    BOOST_TEST(!takeNext(queue, at(0), [](const QueueEntry&) { return true; }));
+    BOOST_TEST(!popNextRunnable(queue, at(0), [](const QueueEntry&) { return true; }));
     recordOperation(queue.costs, {}, -3);
     BOOST_TEST(getCostMs(queue.costs, {}, 7) == 7); // too few were seen
     for (unsigned i = 0; i < kMinObservations; ++i)
@@ -385,7 +385,7 @@
         auto now = at(static_cast<double>(i) * 40);
         auto entry = makeEntry(i, 1000 + static_cast<double>(i) * 40);
         entry.arrivedAt = now;
-        noteHeld(queue, now);
+        noteQueueHeld(queue, now);
         BOOST_TEST(admit(queue, entry, now).empty());
     }
     BOOST_TEST(!queue.overload.isSustained);
