--- a/src/controllers/group_statements.cpp
+++ b/src/controllers/group_statements.cpp
@@ -92,7 +92,7 @@
 asio::awaitable<Result<Outcome>> GroupController::runRead(Order order)
 {
     auto giveUpAt = std::min(order.deadline, Clock::now() + kStaleWait);
-    decisions::ReadNeed need { order.mark, order.maximumAge, {} };
+    decisions::ReadRequirements need { order.mark, order.maximumAge, {} };
     for (;;) {
         auto route = decisions::routeRead(m_state.health, getLoads(), need, Clock::now());
         if (route.kind == RouteKind::Refuse)
@@ -182,16 +182,16 @@
 // A write may be held while a promotion can still come; otherwise the caller gets its final answer now.
 bool GroupController::mayHold() const
 {
-    decisions::HoldView view { m_state.health };
+    decisions::WriteHoldConditions view { m_state.health };
     view.majority = m_role.record->getMajority();
-    view.isHeldBack = !m_state.failover.heldBack.empty();
+    view.isPromotionHeldBack = !m_state.failover.heldBack.empty();
     view.isPathFault = isPathFault();
     view.held = m_held;
-    view.heldMost = static_cast<size_t>(m_node.settings.heldWrites);
-    view.lostAt = m_state.health.withoutPrimarySince;
+    view.maxHeld = static_cast<size_t>(m_node.settings.heldWrites);
+    view.primaryLostAt = m_state.health.withoutPrimarySince;
     if (m_state.health.primary)
-        view.lostAt = m_role.isLeaving[*m_state.health.primary] ? m_members[*m_state.health.primary].leavingSince : m_state.health.members[*m_state.health.primary].failingSince;
-    return decisions::mayHoldWrite(view, Clock::now());
+        view.primaryLostAt = m_role.isLeaving[*m_state.health.primary] ? m_members[*m_state.health.primary].leavingSince : m_state.health.members[*m_state.health.primary].failingSince;
+    return decisions::canHoldWrite(view, Clock::now());
 }
 
 // Waits for a primary. An error ends the order, nothing having been sent.
--- a/src/decisions/routing.cpp
+++ b/src/decisions/routing.cpp
@@ -5,7 +5,7 @@
 namespace alderward::decisions {
 
 // A replica that is this far behind in time is still worth waiting for; beyond it the primary answers sooner.
-static constexpr milliseconds kWorthWaiting { 3 };
+static constexpr milliseconds kCatchUpAllowance { 3 };
 
 namespace {
 
@@ -14,17 +14,17 @@
     size_t index { 0 };
     bool mustWait { false };
     bool mustConfirm { false }; // its age is known only after a confirmation
-    bool isCrowded { false }; // statements wait for it
+    bool hasWaiting { false }; // statements wait for it
     bool isPrimary { false };
     bool isFar { false };
-    unsigned busy { 0 };
+    unsigned outstanding { 0 };
 
     // The primary is left to writes as long as some replica has room: a way to another data centre costs a read a
     // millisecond or two, a place at the primary costs a write its turn.
-    auto rank() const { return std::tuple(mustWait || mustConfirm, isCrowded, isPrimary, isFar, busy, index); }
+    auto rank() const { return std::tuple(mustWait || mustConfirm, hasWaiting, isPrimary, isFar, outstanding, index); }
 };
 
-struct ReadFaults {
+struct ReadRejections {
     bool anyReachable { false };
     bool anyBehind { false };
     bool anyTooOld { false };
@@ -42,7 +42,7 @@
     return log;
 }
 
-static bool isYoungEnough(const GroupHealth& health, const LogState& log, const ReadNeed& need, TimePoint now)
+static bool isFreshEnough(const GroupHealth& health, const LogState& log, const ReadRequirements& need, TimePoint now)
 {
     if (!need.maximumAge)
         return true;
@@ -57,16 +57,16 @@
 }
 
 // A replica that is only just behind is asked to wait for the position; the primary always has it.
-static bool isWorthWaiting(const GroupHealth& health, const LogState& log, const Mark& mark, TimePoint now)
+static bool canCatchUpSoon(const GroupHealth& health, const LogState& log, const Mark& mark, TimePoint now)
 {
     if (log.term != mark.term || log.term != health.term)
         return false;
     auto age = getAgeBound(health, log.term, log.position, now);
     auto newest = health.ageMarks.empty() ? TimePoint {} : health.ageMarks.back().askedAt;
-    return age && now - *age + kWorthWaiting >= newest;
+    return age && now - *age + kCatchUpAllowance >= newest;
 }
 
-static std::optional<Candidate> considerMember(const GroupHealth& health, size_t i, const TargetLoad& load, const ReadNeed& need, TimePoint now, ReadFaults& faults)
+static std::optional<Candidate> evaluateMember(const GroupHealth& health, size_t i, const TargetLoad& load, const ReadRequirements& need, TimePoint now, ReadRejections& faults)
 {
     if (!load.isUsable)
         return std::nullopt;
@@ -85,14 +85,14 @@
         // The primary's position in the last probe is old; what the session saw of this term it has.
         if (isPrimary && need.mark.term == health.term)
             break;
-        if (!isWorthWaiting(health, log, need.mark, now))
+        if (!canCatchUpSoon(health, log, need.mark, now))
             return std::nullopt;
         candidate.mustWait = true;
         break;
     case Containment::Contained:
         break;
     }
-    if (isYoungEnough(health, log, need, now))
+    if (isFreshEnough(health, log, need, now))
         return candidate;
     // The primary of a term that a majority confirms after the read is as fresh as can be; with no majority it is not.
     candidate.mustConfirm = isPrimary && isMajorityReachable(health);
@@ -103,7 +103,7 @@
     return candidate;
 }
 
-static Route refuseRead(const ReadFaults& faults, const GroupHealth& health)
+static Route refuseRead(const ReadRejections& faults, const GroupHealth& health)
 {
     if (faults.lost > 0 && faults.lost > health.members.size() / 2)
         return { RouteKind::Refuse, 0, {}, ErrorKind::SessionWritesLost };
@@ -114,18 +114,18 @@
     return { RouteKind::Wait, 0, {}, ErrorKind::NoPrimary };
 }
 
-Route routeRead(const GroupHealth& health, const std::vector<TargetLoad>& loads, const ReadNeed& need, TimePoint now)
+Route routeRead(const GroupHealth& health, const std::vector<TargetLoad>& loads, const ReadRequirements& need, TimePoint now)
 {
     std::optional<Candidate> best;
-    ReadFaults faults;
+    ReadRejections faults;
     for (size_t i = 0; i < health.members.size(); ++i) {
-        auto candidate = considerMember(health, i, loads[i], need, now, faults);
+        auto candidate = evaluateMember(health, i, loads[i], need, now, faults);
         if (candidate && (!best || candidate->rank() < best->rank()))
             best = candidate;
     }
     if (!best)
         return refuseRead(faults, health);
-    return { RouteKind::Member, best->index, best->mustWait ? kWorthWaiting * 2 : milliseconds(0), {} };
+    return { RouteKind::Member, best->index, best->mustWait ? kCatchUpAllowance * 2 : milliseconds(0), {} };
 }
 
 Route routeWrite(const GroupHealth& health, const std::vector<TargetLoad>& loads, const Mark& mark)
@@ -140,15 +140,15 @@
     return { RouteKind::Member, *health.primary, {}, {} };
 }
 
-bool mayHoldWrite(const HoldView& view, TimePoint now)
+bool canHoldWrite(const WriteHoldConditions& view, TimePoint now)
 {
-    if (view.held >= view.heldMost || view.isHeldBack || view.isPathFault)
+    if (view.held >= view.maxHeld || view.isPromotionHeldBack || view.isPathFault)
         return false;
     auto reachable = std::ranges::count_if(view.health.members, &MemberHealth::isReachable);
     bool isMajorityReachable = static_cast<size_t>(reachable) >= view.majority;
     // A host that has just become a home has not heard from every member yet: the primary may be among the others.
     bool isStarting = std::ranges::any_of(view.health.members, [](const MemberHealth& it) { return !it.isKnown && it.failures == 0; });
-    return (isMajorityReachable || isStarting) && now - view.lostAt < view.limit;
+    return (isMajorityReachable || isStarting) && now - view.primaryLostAt < view.limit;
 }
 
 Confirmation confirmWrite(const PendingWrite& write, const std::vector<Standing>& standings, size_t members)
--- a/src/decisions/routing.h
+++ b/src/decisions/routing.h
@@ -8,7 +8,7 @@
 namespace alderward::decisions {
 
 // What a read must see.
-struct ReadNeed {
+struct ReadRequirements {
     Mark mark {}; // the session's mark of the group
     std::optional<milliseconds> maximumAge {}; // empty: any age, the mark alone decides
     std::vector<size_t> tried {}; // members that refused this read as behind since the view last changed
@@ -39,25 +39,25 @@
 
 // Chooses a member for a read: among those that may serve it without waiting, replicas with room before the primary, then
 // near ones, then the least busy.
-Route routeRead(const GroupHealth& health, const std::vector<TargetLoad>& loads, const ReadNeed& need, TimePoint now);
+Route routeRead(const GroupHealth& health, const std::vector<TargetLoad>& loads, const ReadRequirements& need, TimePoint now);
 
 // Chooses the member for a write or a transaction: the primary, if it is known, usable and not being replaced.
 Route routeWrite(const GroupHealth& health, const std::vector<TargetLoad>& loads, const Mark& mark);
 
 // What decides whether a write without a primary is kept waiting.
-struct HoldView {
+struct WriteHoldConditions {
     const GroupHealth& health;
     size_t majority { 0 }; // members
-    bool isHeldBack { false }; // the record's bounds forbid the promotion that is due
+    bool isPromotionHeldBack { false }; // the record's bounds forbid the promotion that is due
     bool isPathFault { false }; // the primary lives, but this host does not reach it
     size_t held { 0 }; // writes of the group that wait already
-    size_t heldMost { 0 }; // bound of `held`
-    TimePoint lostAt {}; // when the primary was lost; for a host that has just become a home, when it did
+    size_t maxHeld { 0 }; // bound of `held`
+    TimePoint primaryLostAt {}; // when the primary was lost; for a host that has just become a home, when it did
     milliseconds limit { 5000 }; // ms after lostAt; a promotion that takes longer is not waited for
 };
 
 // Whether a write may be held because a primary can still come; otherwise its caller gets its final answer at once.
-bool mayHoldWrite(const HoldView& view, TimePoint now);
+bool canHoldWrite(const WriteHoldConditions& view, TimePoint now);
 
 // A write that ran and waits for its confirmation.
 struct PendingWrite {
--- a/tests/unit/routing_test.cpp
+++ b/tests/unit/routing_test.cpp
@@ -154,28 +154,28 @@
 BOOST_AUTO_TEST_CASE(write_is_held_while_a_member_is_unheard_of_but_not_when_none_can_come)
 {
     auto health = makeHealth(makeRecord(), at(0));
-    HoldView view { health };
+    WriteHoldConditions view { health };
     view.majority = 2;
-    view.heldMost = 10;
-    view.lostAt = at(0);
-    BOOST_TEST(mayHoldWrite(view, at(1)));
+    view.maxHeld = 10;
+    view.primaryLostAt = at(0);
+    BOOST_TEST(canHoldWrite(view, at(1)));
     // The first replica answered; the primary may be among the two that have not been heard yet.
     health = takeStatus(health, 1, makeStatus(Role::Replica, 100), at(1), at(1));
-    BOOST_TEST(mayHoldWrite(view, at(2)));
+    BOOST_TEST(canHoldWrite(view, at(2)));
     health = takeFailure(health, 0, true, at(1));
     health = takeFailure(health, 2, true, at(1));
-    BOOST_TEST(!mayHoldWrite(view, at(2)));
+    BOOST_TEST(!canHoldWrite(view, at(2)));
     health = takeStatus(health, 2, makeStatus(Role::Replica, 100), at(3), at(3));
-    BOOST_TEST(mayHoldWrite(view, at(4)));
-    BOOST_TEST(!mayHoldWrite(view, at(5001)));
+    BOOST_TEST(canHoldWrite(view, at(4)));
+    BOOST_TEST(!canHoldWrite(view, at(5001)));
     view.isPathFault = true;
-    BOOST_TEST(!mayHoldWrite(view, at(4)));
+    BOOST_TEST(!canHoldWrite(view, at(4)));
     view.isPathFault = false;
-    view.isHeldBack = true;
-    BOOST_TEST(!mayHoldWrite(view, at(4)));
-    view.isHeldBack = false;
+    view.isPromotionHeldBack = true;
+    BOOST_TEST(!canHoldWrite(view, at(4)));
+    view.isPromotionHeldBack = false;
     view.held = 10;
-    BOOST_TEST(!mayHoldWrite(view, at(4)));
+    BOOST_TEST(!canHoldWrite(view, at(4)));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
