--- a/src/controllers/group.h
+++ b/src/controllers/group.h
@@ -101,7 +101,7 @@
     struct Member {
         decisions::MemberRecord record;
         std::shared_ptr<Pool> pool;
-        decisions::Standing standing; // newest answer to a confirmation question
+        decisions::ConfirmationReply standing; // newest answer to a confirmation question
         uint64_t knownPosition { 0 }; // newest position seen in term knownTerm
         uint64_t knownTerm { 0 };
         std::shared_ptr<boost::asio::steady_timer> probeTimer; // cancelled to probe at once
--- a/src/controllers/group_confirm.cpp
+++ b/src/controllers/group_confirm.cpp
@@ -37,7 +37,7 @@
     co_return waiting.answer;
 }
 
-static bool isSettledBy(const decisions::PendingWrite& write, const decisions::Standing& it)
+static bool isSettledBy(const decisions::PendingWrite& write, const decisions::ConfirmationReply& it)
 {
     if (std::max(it.term, it.fencedTerm) > write.mark.term)
         return true;
@@ -116,7 +116,7 @@
     for (auto* it : m_waiting) {
         if (it->answer != Confirmation::Pending)
             continue;
-        std::vector<decisions::Standing> standings;
+        std::vector<decisions::ConfirmationReply> standings;
         for (auto& member : m_members) {
             if (member.record.name != it->primary)
                 standings.push_back(member.standing);
--- a/src/decisions/routing.cpp
+++ b/src/decisions/routing.cpp
@@ -151,11 +151,11 @@
     return (isMajorityReachable || isStarting) && now - view.primaryLostAt < view.limit;
 }
 
-Confirmation confirmWrite(const PendingWrite& write, const std::vector<Standing>& standings, size_t members)
+Confirmation confirmWrite(const PendingWrite& write, const std::vector<ConfirmationReply>& replies, size_t members)
 {
     size_t confirmed = 1;
     size_t later = 0;
-    for (auto& it : standings) {
+    for (auto& it : replies) {
         if (std::max(it.term, it.fencedTerm) > write.mark.term) {
             ++later;
             continue;
--- a/src/decisions/routing.h
+++ b/src/decisions/routing.h
@@ -67,7 +67,7 @@
 };
 
 // What a member last showed in answer to a confirmation question.
-struct Standing {
+struct ConfirmationReply {
     uint64_t term { 0 };
     uint64_t fencedTerm { 0 };
     uint64_t position { 0 }; // of its log, if the log's last entry is of `term`; else 0
@@ -78,8 +78,8 @@
     Confirmed,
     Superseded };
 
-// Whether a write may be acknowledged. `standings` holds the other members; the primary's own vote is the answer itself,
+// Whether a write may be acknowledged. `replies` holds the other members; the primary's own vote is the answer itself,
 // given when the write ran. Superseded: a majority promised to a later term, so the write may be lost.
-Confirmation confirmWrite(const PendingWrite& write, const std::vector<Standing>& standings, size_t members);
+Confirmation confirmWrite(const PendingWrite& write, const std::vector<ConfirmationReply>& replies, size_t members);
 
 }
