--- a/src/decisions/statement.cpp
+++ b/src/decisions/statement.cpp
@@ -3,7 +3,7 @@
 
 namespace alderward::decisions {
 
-bool isPassedOver(ErrorKind kind)
+bool canTryOtherTarget(ErrorKind kind)
 {
     switch (kind) {
     case ErrorKind::Overloaded:
@@ -19,12 +19,12 @@
     }
 }
 
-std::string nameShape(const PreparedShape& shape)
+std::string getPreparedName(const PreparedShape& shape)
 {
     return (shape.isWrite ? "w_" : "r_") + shape.shape;
 }
 
-ConnectionPlan planConnection(const ConnectionState& connection, const SessionValues& session, const std::optional<PreparedShape>& shape)
+ConnectionPlan planConnection(const ConnectionState& connection, const SessionVariables& session, const std::optional<PreparedShape>& shape)
 {
     ConnectionPlan plan;
     plan.mustReset = std::ranges::any_of(connection.values, [&](const auto& it) { return !session.contains(it.first); });
--- a/src/decisions/statement.h
+++ b/src/decisions/statement.h
@@ -26,7 +26,7 @@
     Rollback,
     Read,
     Write,
-    SetValue, // a value of the session
+    SetVariable, // a value of the session
     Prepare,
     Execute, // of a prepared statement
     Deallocate,
@@ -71,7 +71,7 @@
 }
 
 // Whether the target said that it did not run the statement, so that another may be asked.
-bool isPassedOver(ErrorKind kind);
+bool canTryOtherTarget(ErrorKind kind);
 
 //-----------------------------------------------------------------------------
 // [SECTION] Sessions
@@ -84,13 +84,13 @@
 };
 
 // A name for a shape at targets, the same for all sessions, so that sessions whose names collide can share a connection.
-std::string nameShape(const PreparedShape& shape);
+std::string getPreparedName(const PreparedShape& shape);
 
-using SessionValues = std::map<std::string, std::string>;
+using SessionVariables = std::map<std::string, std::string>;
 
 // What a pooled connection carries from the sessions that it served before.
 struct ConnectionState {
-    SessionValues values {};
+    SessionVariables values {};
     std::set<PreparedShape> prepared {};
     friend bool operator==(const ConnectionState&, const ConnectionState&) = default;
 };
@@ -105,7 +105,7 @@
 };
 
 // `shape` is the one that the next statement executes, if it executes one.
-ConnectionPlan planConnection(const ConnectionState& connection, const SessionValues& session, const std::optional<PreparedShape>& shape);
+ConnectionPlan planConnection(const ConnectionState& connection, const SessionVariables& session, const std::optional<PreparedShape>& shape);
 // The connection's state once the plan was carried out.
 ConnectionState applyPlan(ConnectionState connection, const ConnectionPlan& plan, const std::optional<PreparedShape>& shape);
 
--- a/src/gateway/caller_session.cpp
+++ b/src/gateway/caller_session.cpp
@@ -166,7 +166,7 @@
         return;
     }
     switch (statement.kind) {
-    case StatementKind::SetValue:
+    case StatementKind::SetVariable:
         setValue(statement);
         break;
     case StatementKind::Prepare:
--- a/src/gateway/caller_session.h
+++ b/src/gateway/caller_session.h
@@ -64,7 +64,7 @@
     decisions::KeyDigest m_key {};
     std::string m_account; // empty: none, on a platform without accounts or a public route
     uint64_t m_keyCheckedIn { 0 }; // version of the configuration in which the key was last looked up
-    decisions::SessionValues m_values;
+    decisions::SessionVariables m_values;
     std::map<std::string, decisions::PreparedShape> m_prepared;
     decisions::SessionState m_state { decisions::SessionState::Idle };
     bool m_isReadOnly { false }; // the transaction
--- a/src/gateway/statement_router.cpp
+++ b/src/gateway/statement_router.cpp
@@ -213,7 +213,7 @@
         end(*transaction);
     auto& statement = routed->order.statement;
     // A single write that may have arrived is never sent again. All else leaves nothing behind until its commit.
-    bool mayRepeat = decisions::isPassedOver(kind) || (kind == ErrorKind::OutcomeUnknown && (!statement.isWrite || routed->order.kind == OrderKind::Begin));
+    bool mayRepeat = decisions::canTryOtherTarget(kind) || (kind == ErrorKind::OutcomeUnknown && (!statement.isWrite || routed->order.kind == OrderKind::Begin));
     bool hasTime = now + kRetryPause < routed->order.deadline;
     if (!mayRepeat || !hasTime) {
         finish(*routed, outcome, std::nullopt, done, target);
--- a/src/gateway/target_pool.cpp
+++ b/src/gateway/target_pool.cpp
@@ -381,7 +381,7 @@
     for (const auto& [name, value] : plan.values)
         session->ask(m_codec.formatSetValue(name, value), check);
     if (plan.mustPrepare)
-        session->ask(m_codec.formatPrepare(decisions::nameShape(*order.shape), *order.shape), check);
+        session->ask(m_codec.formatPrepare(decisions::getPreparedName(*order.shape), *order.shape), check);
     session->state = decisions::applyPlan(std::move(session->state), plan, order.shape);
 }
 
@@ -421,7 +421,7 @@
     base::checkInvariant(session->transaction == order.transaction || order.kind == OrderKind::Single || order.kind == OrderKind::ProvenSingle, "a statement was about to run in another transaction than its own", m_target.member);
     base::checkInvariant(session->state.values == order.values, "a statement was about to run with values that are not its session's", m_target.member);
     auto atLeast = order.kind == OrderKind::Single ? order.atLeast : Mark {};
-    auto bytes = m_codec.formatStatement(order.statement, atLeast, order.shape ? decisions::nameShape(*order.shape) : "");
+    auto bytes = m_codec.formatStatement(order.statement, atLeast, order.shape ? decisions::getPreparedName(*order.shape) : "");
     auto sentAt = Clock::now();
     auto known = m_observer.getKnown(m_target);
     session->ask(bytes, [self = shared_from_this(), job, session, sentAt, known](const Outcome& outcome) {
--- a/src/gateway/target_pool.h
+++ b/src/gateway/target_pool.h
@@ -26,7 +26,7 @@
     uint32_t database { 0 }; // hash of its name; what its operations cost is learned by it
     decisions::Statement statement {};
     std::optional<decisions::PreparedShape> shape {}; // of an Execute
-    decisions::SessionValues values {};
+    decisions::SessionVariables values {};
     bool isReadOnly { false }; // Begin: the transaction reads only and may run on a replica
     Mark atLeast {}; // the target's log must hold this; term 0: anything goes
     int priority { 0 }; // 0 goes first
--- a/tests/unit/gateway_decisions_test.cpp
+++ b/tests/unit/gateway_decisions_test.cpp
@@ -380,8 +380,8 @@
     BOOST_TEST(plan.mustReset);
     BOOST_TEST(plan.mustPrepare); // a reset forgets them
     connection = applyPlan(connection, plan, PreparedShape { "q", false });
-    BOOST_TEST((connection.values == SessionValues { { "lang", "mn" } }));
-    BOOST_TEST(nameShape({ "q", false }) != nameShape({ "q", true }));
+    BOOST_TEST((connection.values == SessionVariables { { "lang", "mn" } }));
+    BOOST_TEST(getPreparedName({ "q", false }) != getPreparedName({ "q", true }));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
