--- a/src/decisions/freshness.cpp
+++ b/src/decisions/freshness.cpp
@@ -22,8 +22,8 @@
     if (it != floors.begin() && std::prev(it)->mark > floor.mark)
         return history;
     // Two in one step: the younger one stands for both, unless it is the newest of all, which is always kept.
-    bool hasWaiting = it != floors.begin() && std::prev(it) != floors.begin() && floor.since - std::prev(it, 2)->since < kFloorStep;
-    if (hasWaiting && std::prev(it)->mark.term == floor.mark.term)
+    bool isCrowded = it != floors.begin() && std::prev(it) != floors.begin() && floor.since - std::prev(it, 2)->since < kFloorStep;
+    if (isCrowded && std::prev(it)->mark.term == floor.mark.term)
         *std::prev(it) = floor;
     else
         it = floors.insert(it, floor);
--- a/src/gateway/directory.cpp
+++ b/src/gateway/directory.cpp
@@ -82,8 +82,8 @@
 
 TimePoint Directory::getStartDeadline(unsigned tries) const
 {
-    bool isTolerable = tries % (kStartShortCalls + 1) < kStartShortCalls;
-    return isTolerable ? Clock::now() + std::min(kStartCallLimit, m_timings.callLimit) : getDeadline();
+    bool isShort = tries % (kStartShortCalls + 1) < kStartShortCalls;
+    return isShort ? Clock::now() + std::min(kStartCallLimit, m_timings.callLimit) : getDeadline();
 }
 
 void Directory::begin()
--- a/src/gateway/target_pool.cpp
+++ b/src/gateway/target_pool.cpp
@@ -428,7 +428,7 @@
         auto& order = job->order;
         bool isCommit = order.statement.kind == StatementKind::Commit;
         if (!outcome.error)
-            self->updateWorkTime(*job);
+            self->takeWorkTime(*job);
         // A write and its commit succeed at a target that leads only.
         if (!outcome.error && order.kind == OrderKind::Single && order.statement.isWrite)
             self->takeProof(outcome.position, sentAt, known);
@@ -450,7 +450,7 @@
 }
 
 // What a statement took, and with it the operation that it belongs to.
-void TargetPool::updateWorkTime(const Job& job)
+void TargetPool::takeWorkTime(const Job& job)
 {
     std::chrono::duration<double, std::milli> took = Clock::now() - job.startedAt;
     m_queue.workMs = decisions::updateWorkTime(m_queue.workMs, took.count());
--- a/src/gateway/target_pool.h
+++ b/src/gateway/target_pool.h
@@ -163,7 +163,7 @@
     void failWaiting(const decisions::Error& error);
     void freeSession(const SessionPtr& session);
     bool takeProof(const Mark& position, TimePoint sentAt, const Mark& known);
-    void updateWorkTime(const Job& job);
+    void takeWorkTime(const Job& job);
     void closeTransaction(const SessionPtr& session);
     // `isTrouble`: an answer that is missing counts against the target.
     void dropSession(const SessionPtr& session, const std::string& reason, bool isTrouble = true);
