--- a/src/decisions/errors.cpp
+++ b/src/decisions/errors.cpp
@@ -4,8 +4,8 @@
 
 namespace alderward::decisions {
 
-// Kinds with `ran: no` that may be repeated are those where the cause can pass. OutcomeUnknown may be repeated only by
-// a request that is repeatable or carries a request key; the caller's page says so.
+// Kinds with Ran::No may be repeated if their cause is transient. OutcomeUnknown may be repeated only by a request that is
+// marked repeatable or carries a request key, as docs/ERRORS.md explains.
 static constexpr std::array kErrorTable {
     ErrorRow { ErrorKind::BadRequest, "bad-request", 400, Ran::No, false },
     ErrorRow { ErrorKind::UnknownField, "unknown-field", 400, Ran::No, false },
--- a/src/decisions/errors.h
+++ b/src/decisions/errors.h
@@ -1,5 +1,5 @@
-// The closed list of errors that a caller can get, and the one table from kind to answer.
-// docs/ERRORS.md holds the same table for callers; a unit test holds page and table to each other.
+// All errors that a caller can get, with the HTTP status and retry semantics of each.
+// docs/ERRORS.md documents the same table for callers; a unit test checks that both agree.
 #pragma once
 #include <chrono>
 #include <optional>
@@ -12,59 +12,59 @@
 
 using std::chrono::milliseconds;
 
-// Whether the request took effect. `No` is a promise: no target ran it and none will.
+// Whether the request was executed. `No` is a guarantee: no target has executed it and none will.
 enum class Ran { No,
     Unknown,
     Yes };
 
 enum class ErrorKind {
     BadRequest, // not JSON, a missing field, or a field of the wrong type
-    UnknownField, // a field that the interface does not have
+    UnknownField, // a field that the API does not define
     BodyTooLarge,
-    SlowSender, // the request did not arrive whole in time
-    BadToken, // the session token is cut or was not made with this system's key
-    BadDeadline, // deadlineMs is zero, negative or above the bound
+    SlowSender, // the complete request did not arrive in time
+    BadToken, // the session token is truncated or was not signed with this system's key
+    BadDeadline, // deadlineMs is zero, negative or above the maximum
     UnknownPath,
     UnknownGroup,
-    NotConfigured, // this host has no records yet
-    Overloaded, // cannot be served in time; comes with a time to come back
-    NoPrimary, // no primary is known or reachable; comes with a time to come back
-    NotCaughtUp, // the session is ahead of everything reachable
+    NotConfigured, // this host has not received any records yet
+    Overloaded, // cannot be served in time; includes a retry delay
+    NoPrimary, // no primary is known or reachable; includes a retry delay
+    NotCaughtUp, // no reachable member has applied all that the session has seen
     TooStale, // no reachable member is fresh enough for the read
-    SessionWritesLost, // a promotion lost a write that the session had seen
+    SessionWritesLost, // a promotion discarded a write that the session had seen
     TransactionUnknown, // the transaction ended, or its owner is gone
-    KeyClosed, // the request key was settled as not run
+    KeyClosed, // the request key was settled as not executed
     DeadlineExceeded, // the deadline passed before the statement was sent
-    OutcomeUnknown, // sent, but no trustworthy answer came
+    OutcomeUnknown, // sent, but no reliable answer was received
     StatementRefused, // the target refused the statement itself
-    Draining, // this host is stopping
-    TransactionAborted, // rolled back, or never begun: nothing of it is kept
-    NotPrimary, // the target is a replica and was asked to write
-    WrongTarget, // another member answers at the target's address
-    TooManyConnections, // the target takes no more connections
-    TargetUnreachable, // no connection to the target could be had; the statement was not sent
-    UnknownStatement, // no statement was prepared under this name
-    StatementFailed, // the target ran the statement and reports a failure
-    StatementTimedOut, // sent, but no answer came within the route's limit
-    UnknownKey, // the caller's key belongs to no client account, or no longer
-    QuotaExceeded, // the client account began as many operations as it may; comes with a time to come back
+    Draining, // this host is shutting down
+    TransactionAborted, // rolled back, or never begun; none of its writes are kept
+    NotPrimary, // a write was sent to a replica
+    WrongTarget, // a different member answers at the target's address
+    TooManyConnections, // the target accepts no more connections
+    TargetUnreachable, // connecting to the target failed; the statement was not sent
+    UnknownStatement, // no prepared statement has this name
+    StatementFailed, // the target executed the statement and reported a failure
+    StatementTimedOut, // sent, but not answered within the route's time limit
+    UnknownKey, // the API key belongs to no client account
+    QuotaExceeded, // the client account's operation quota is used up; includes a retry delay
     Internal,
 };
 
-// One row of the table from kind to answer.
+// How an error kind is reported to callers.
 struct ErrorRow {
     ErrorKind kind;
-    std::string_view name; // as in JSON
-    unsigned status; // HTTP status
+    std::string_view name; // in JSON
+    unsigned status; // HTTP
     Ran ran;
-    bool mayRepeat; // whether the same request may be sent again as it is
+    bool mayRepeat; // whether the caller may send the same request again unchanged
 };
 
-// A failed request on its way to the caller.
+// A failed request, as reported to the caller.
 struct Error {
     ErrorKind kind { ErrorKind::Internal };
-    std::string message {}; // for people
-    milliseconds retryAfter { 0 }; // when to come back; 0: not said
+    std::string message {}; // human-readable
+    milliseconds retryAfter { 0 }; // suggested delay before a retry; 0: none
     friend bool operator==(const Error&, const Error&) = default;
 };
 
--- a/src/decisions/member_queue.cpp
+++ b/src/decisions/member_queue.cpp
@@ -5,18 +5,17 @@
 
 namespace alderward::decisions {
 
-static constexpr double kCostSmoothing = 0.1; // weight of the newest operation: some tens of them are followed
+static constexpr double kCostSmoothing = 0.1; // weight of the newest operation
 static constexpr milliseconds kCountHalfLife { 1000 };
-static constexpr double kMinServedShare = 0.1; // of a kind's operations get a turn, whatever they cost
-static constexpr double kMinOffered = 5; // operations that make that share worth looking at
-static constexpr double kTolerableObjectiveShare = 0.125; // of what is left to the objective: a wait that its caller hardly notices; 0.06 to 0.2 serve as many
-static constexpr double kOverloadWaitFactor = 2; // short waits: a queue that is no longer than this is waited out
-static constexpr double kMinTolerableStatements = 4; // statements' usual times: below, the member runs empty between two bursts
-// Of a long queue. Most bursts of callers that come back after a fault are over by then. With half of it, a site whose overloads last for
-// some seconds lost 0.006 of its worth (12 days), one whose overload lasts all day gained nothing.
+static constexpr double kMinServedShare = 0.1; // of a kind's operations; below, the kind is starved
+static constexpr double kMinOffered = 5; // arrivals needed to judge a kind's share
+static constexpr double kTolerableObjectiveShare = 0.125; // tolerable wait, as a share of the time left to the objective
+static constexpr double kOverloadWaitFactor = 2; // overload begins above this multiple of the tolerable wait
+static constexpr double kMinTolerableStatements = 4; // lower bound of the tolerable wait, in typical statement times, so that the member does not idle between bursts
+// Long enough for most bursts of callers that reconnect after a fault to pass.
 static constexpr milliseconds kOverloadStartDelay { 2000 };
-static constexpr milliseconds kOverloadEndDelay { 500 }; // without a refusal
-static constexpr double kMaxWaitFactor = 2; // short waits; entries that others overtook for that long are given up
+static constexpr milliseconds kOverloadEndDelay { 500 }; // time without a refusal
+static constexpr double kMaxWaitFactor = 2; // multiple of the tolerable wait after which a queued entry is refused during overload
 
 static double getMs(TimePoint::duration time)
 {
@@ -70,7 +69,7 @@
         overload.isSustained = true;
         overload.lastRefusedAt = now;
     }
-    // A queue that is kept short is short: what shows that the load has gone is that nobody had to be refused.
+    // Refusals keep the wait tolerable during overload, so a tolerable wait alone does not show that the load has passed.
     if (overload.isSustained && isTolerable && now - overload.lastRefusedAt >= kOverloadEndDelay)
         overload.isSustained = false;
     return overload;
@@ -94,8 +93,8 @@
     return rank(a) < rank(b);
 }
 
-// The dearer a kind is, the shorter the queue must be for it to come in. So the queue settles where the member is full, whoever is
-// cheaper comes in, and whoever is dearer is refused on arrival and not after some waiting.
+// The more expensive a kind is, the smaller the share of the tolerable wait at which it is still admitted. Cheaper kinds fill the member,
+// and more expensive ones are refused on arrival rather than after waiting.
 static double getTolerableShare(const MemberQueue& queue, const OperationKind& kind)
 {
     if (isStarved(queue.costs, kind))
@@ -112,7 +111,7 @@
     return costlier / kinds;
 }
 
-// A statement that waits stands for its whole operation: the later ones of its transaction come before whoever waits behind it.
+// A first statement counts with its whole operation, because later statements of its transaction are scheduled ahead of other first ones.
 static double getEstimatedMs(const MemberQueue& queue, const QueueEntry& entry)
 {
     return entry.scheduling.isContinuation ? queue.workMs : getCostMs(queue.costs, entry.kind, queue.workMs);
@@ -141,7 +140,7 @@
     return !entry.scheduling.isContinuation && waitMs > getTolerableShare(queue, entry.kind) * getTolerableWaitMs(queue, entry);
 }
 
-// Refuses whoever would wait for too long of those that came before the load was known to last.
+// Refuses entries that were admitted before the overload was detected and would wait too long.
 static std::vector<QueueEntry> refuseExcess(MemberQueue& queue, TimePoint now)
 {
     std::vector<QueueEntry> refused;
--- a/src/decisions/member_queue.h
+++ b/src/decisions/member_queue.h
@@ -1,16 +1,14 @@
-// The queue of statements before one member: whose turn it is, and who is refused. Plain values; the caller brings the time.
+// The queue of statements for one member: admission control and scheduling. Plain values; the caller supplies the time.
 //
-// Two loads are answered. A short one, as after a restart of all hosts, is waited out: everybody whose answer can still come in time
-// stays. One that lasts, as when both replicas of a group are behind and its primary serves alone, cannot be waited out: whoever is
-// served has then waited for most of the objective, and the others are refused after as long. So once the queue has not been short
-// for a while it is kept short, the cheapest operations of each priority go first, and whoever is too much hears it at once.
+// A short burst is queued in full, as long as each statement can be answered before its deadline. In a sustained overload the queue
+// is kept short instead: expensive operations are refused on arrival, so that the admitted ones still meet their objectives.
 //
 // COMMON MISTAKES
-//   - Refusing a later statement of a transaction to shorten the queue: all that the transaction took of the member so far is lost.
+//   - Refusing a later statement of a transaction to shorten the queue: the work already done for the transaction is lost.
 //
-// [SECTION] Costs      what operations take of the member, learned from those that ended
-// [SECTION] Overload   whether the queue stands
-// [SECTION] Queue      admission and turns
+// [SECTION] Costs      member time used by operations, learned from completed ones
+// [SECTION] Overload   detection of sustained overload
+// [SECTION] Queue      admission and scheduling
 #pragma once
 #include "decisions/turns.h"
 #include <functional>
@@ -24,7 +22,7 @@
 // [SECTION] Costs
 //-----------------------------------------------------------------------------
 
-// Operations that are taken to cost alike.
+// Operations of one kind are assumed to have the same cost.
 struct OperationKind {
     uint32_t database { 0 }; // hash of its name
     bool isTransaction { false };
@@ -32,22 +30,22 @@
 };
 
 struct OperationCost {
-    double ms { 0 }; // of one place at the member, over all statements of the operation; smoothed
-    unsigned observations { 0 }; // operations that `ms` rests on
-    double offered { 0 }; // operations that came lately; halved each kCountsHalveIn
-    double served { 0 }; // of these, got their first turn
+    double ms { 0 }; // moving average of the slot time that all statements of one operation use at the member
+    unsigned observations { 0 }; // number of operations in the average
+    double offered { 0 }; // recent arrivals; halved every kCountHalfLife
+    double served { 0 }; // recent arrivals whose first statement was dequeued; halved likewise
     friend bool operator==(const OperationCost&, const OperationCost&) = default;
 };
 
 using OperationCosts = std::map<OperationKind, OperationCost>;
 
-inline constexpr unsigned kMinObservations = 8; // below, an operation is taken to cost one statement's usual time
+inline constexpr unsigned kMinObservations = 8; // with fewer, the cost is estimated as the typical time of one statement
 
-// An operation ended after `ms` of a place at the member.
+// Records a completed operation that used a slot at the member for `ms`.
 void recordOperation(OperationCosts& costs, const OperationKind& kind, double ms);
-// `workMs`: one statement's usual time, for kinds that were seen too seldom.
+// Returns the expected cost in ms. `workMs` is the typical time of one statement, used for kinds with too few observations.
 double getCostMs(const OperationCosts& costs, const OperationKind& kind, double workMs);
-// Whether so few of the kind get a turn that the next one goes first, whatever its priority.
+// Whether so few operations of this kind are served that the next one must be scheduled first, regardless of priority.
 bool isStarved(const OperationCosts& costs, const OperationKind& kind);
 
 //-----------------------------------------------------------------------------
@@ -56,12 +54,12 @@
 
 struct Overload {
     bool isSustained { false };
-    TimePoint lastTolerableAt {}; // when the queue was last short
-    TimePoint lastRefusedAt {}; // when somebody was last refused to keep it short
+    TimePoint lastTolerableAt {}; // when the queue's wait was last tolerable
+    TimePoint lastRefusedAt {}; // when a statement was last refused on arrival
     friend bool operator==(const Overload&, const Overload&) = default;
 };
 
-// The queue now takes `waitMs` to run empty; a wait of `shortMs` does not matter to callers.
+// Returns the state updated for a queue that takes `waitMs` to empty, where callers tolerate a wait of `tolerableMs`.
 Overload updateOverload(Overload overload, double waitMs, double tolerableMs, TimePoint now);
 
 //-----------------------------------------------------------------------------
@@ -69,38 +67,38 @@
 //-----------------------------------------------------------------------------
 
 struct QueueEntry {
-    uint64_t number { 0 }; // the caller's, unique
+    uint64_t number { 0 }; // unique, assigned by the caller of admit()
     SchedulingParameters scheduling {};
     OperationKind kind {};
     TimePoint arrivedAt {};
 
-    // The wait that its caller hardly notices, in ms.
+    // Returns the wait that uses only a small part of the time left to the objective, in ms.
     double getTolerableWaitMs() const;
 };
 
-// The entries before one member and what was learned there. Changed in place: it moves with each statement.
+// The statements queued for one member, with its learned costs and overload state. Modified in place, as it changes with each statement.
 struct MemberQueue {
     std::vector<QueueEntry> entries {};
     OperationCosts costs {};
     Overload overload {};
-    double workMs { 10 }; // usual time of one statement at the member
-    unsigned concurrency { 1 }; // statements at the member at a time
-    TimePoint countedAt {}; // when counts of operations were last halved
+    double workMs { 10 }; // typical time of one statement at the member
+    unsigned concurrency { 1 }; // maximum number of statements sent to the member at a time
+    TimePoint countedAt {}; // when the counts of operations were last halved
 };
 
-// Whether a goes before b, in the order that the queue follows now.
+// Whether `a` is scheduled before `b`. The order depends on whether the queue is in a sustained overload.
 bool isScheduledBefore(const MemberQueue& queue, const QueueEntry& a, const QueueEntry& b, TimePoint now);
-// How long the queue as it is takes to run empty, in ms.
+// Returns the estimated time until the queue is empty, in ms.
 double getTotalWaitMs(const MemberQueue& queue);
-// How long the entry, which waits or is about to, would wait for its turn.
+// Returns the estimated wait of an entry, queued or about to be, in ms.
 double getWaitMs(const MemberQueue& queue, const QueueEntry& entry, TimePoint now);
-// Adds an entry. Returns those that are refused because of it, unsent: itself, or others that it goes before.
+// Queues an entry. Returns the entries to refuse, now removed: the new one, or all that exceed the limits of an overload detected just now.
 std::vector<QueueEntry> admit(MemberQueue& queue, const QueueEntry& entry, TimePoint now);
-// Something else than load keeps entries from running, as writes during a planned change of primary: their wait says nothing.
+// Call it while something other than load blocks entries, such as a planned change of primary, so that their wait does not count as overload.
 void noteQueueHeld(MemberQueue& queue, TimePoint now);
-// Takes those out that have waited in vain. Call it every few tens of ms.
+// Removes and returns entries that are past their deadline or, in a sustained overload, have waited too long. Call it every few tens of ms.
 std::vector<QueueEntry> removeExpired(MemberQueue& queue, TimePoint now);
-// Takes out the one whose turn it is among those that can run.
+// Removes and returns the first runnable entry in scheduling order.
 std::optional<QueueEntry> popNextRunnable(MemberQueue& queue, TimePoint now, const std::function<bool(const QueueEntry&)>& isRunnable);
 
 }
--- a/src/decisions/routing.cpp
+++ b/src/decisions/routing.cpp
@@ -4,23 +4,23 @@
 
 namespace alderward::decisions {
 
-// A replica that is this far behind in time is still worth waiting for; beyond it the primary answers sooner.
+// A replica that lags by no more than this is asked to wait for the mark; otherwise the primary answers sooner.
 static constexpr milliseconds kCatchUpAllowance { 3 };
 
 namespace {
 
-// How well one member could serve a read.
+// A member that can serve a read, with the properties that rank it.
 struct Candidate {
     size_t index { 0 };
     bool mustWait { false };
-    bool mustConfirm { false }; // its age is known only after a confirmation
-    bool hasWaiting { false }; // statements wait for it
+    bool mustConfirm { false }; // its freshness is known only after a confirmation
+    bool hasWaiting { false }; // it has queued statements
     bool isPrimary { false };
     bool isFar { false };
     unsigned outstanding { 0 };
 
-    // The primary is left to writes as long as some replica has room: a way to another data centre costs a read a
-    // millisecond or two, a place at the primary costs a write its turn.
+    // A replica without a queue precedes the primary even in another data centre: the longer round trip costs a read less
+    // than a read at the primary costs the writes.
     auto rank() const { return std::tuple(mustWait || mustConfirm, hasWaiting, isPrimary, isFar, outstanding, index); }
 };
 
@@ -33,7 +33,7 @@
 
 }
 
-// The log that a member showed, brought up to the newest position seen in ordinary answers of the present term.
+// Returns the log state from the last probe, advanced to the newest position seen in answers to statements of the current term.
 static LogState getNewestLog(const MemberHealth& it, const TargetLoad& load, uint64_t term)
 {
     auto log = it.status.log;
@@ -56,7 +56,7 @@
     return static_cast<size_t>(n) > health.members.size() / 2;
 }
 
-// A replica that is only just behind is asked to wait for the position; the primary always has it.
+// Whether the replica is so little behind that it can be asked to wait for the mark.
 static bool canCatchUpSoon(const GroupHealth& health, const LogState& log, const Mark& mark, TimePoint now)
 {
     if (log.term != mark.term || log.term != health.term)
@@ -82,7 +82,7 @@
         faults.anyBehind = true;
         if (std::ranges::find(need.tried, i) != need.tried.end())
             return std::nullopt;
-        // The primary's position in the last probe is old; what the session saw of this term it has.
+        // The position from the last probe is outdated: the primary holds all that the session has seen of its term.
         if (isPrimary && need.mark.term == health.term)
             break;
         if (!canCatchUpSoon(health, log, need.mark, now))
@@ -94,7 +94,7 @@
     }
     if (isFreshEnough(health, log, need, now))
         return candidate;
-    // The primary of a term that a majority confirms after the read is as fresh as can be; with no majority it is not.
+    // The primary's data is current if a majority confirms its term after the read, which needs a reachable majority.
     candidate.mustConfirm = isPrimary && isMajorityReachable(health);
     if (!candidate.mustConfirm) {
         faults.anyTooOld = true;
@@ -146,7 +146,7 @@
         return false;
     auto reachable = std::ranges::count_if(view.health.members, &MemberHealth::isReachable);
     bool isMajorityReachable = static_cast<size_t>(reachable) >= view.majority;
-    // A host that has just become a home has not heard from every member yet: the primary may be among the others.
+    // A host that has just become a home has not yet probed every member, so one of the others may be the primary.
     bool isStarting = std::ranges::any_of(view.health.members, [](const MemberHealth& it) { return !it.isKnown && it.failures == 0; });
     return (isMajorityReachable || isStarting) && now - view.primaryLostAt < view.limit;
 }
@@ -162,7 +162,7 @@
         }
         bool stands = it.term == write.mark.term && it.fencedTerm <= write.mark.term;
         bool holds = it.position >= write.mark.position;
-        // A member that holds the entry was asked after it ran, whatever the clocks say: the entry itself shows it.
+        // Holding the entry proves that the member replied after the write ran, whatever the clocks say.
         if (stands && (holds || (!write.needsPosition && it.askedAt >= write.ranAt)))
             ++confirmed;
     }
--- a/src/decisions/session.cpp
+++ b/src/decisions/session.cpp
@@ -8,17 +8,17 @@
 namespace alderward::decisions {
 
 static constexpr size_t kSignatureSize = 16; // bytes
-static constexpr size_t kTokenLimit = 64 * 1024; // bytes; a session that touched a thousand groups fits
+static constexpr size_t kTokenLimit = 64 * 1024; // bytes
 
-// The term of the entry at `position`, or 0 when the history does not reach back to it.
+// Returns the term of the entry at `position`, or 0 if it precedes the history.
 static uint64_t getTermAt(const LogState& log, uint64_t position)
 {
     auto it = std::ranges::upper_bound(log.history, position, {}, &TermStart::position);
     return it == log.history.begin() ? 0 : std::prev(it)->term;
 }
 
-// An entry of term t can appear in a log only until the log takes entries of a term above t. So a log whose last term is
-// below or at the mark's term may still get the entry; one that has gone past it without the entry never will.
+// A log receives entries of a term only before its first entry of a later term. So a log whose last term is not later than the
+// mark's may still receive the entry; any other log without the entry never will.
 Containment getContainment(const LogState& log, const Mark& mark)
 {
     if (mark.term == 0)
@@ -57,9 +57,9 @@
 
 static Result<std::string> decodeBase64Url(std::string text)
 {
-    auto isOurs = [](char c) { return std::isalnum(static_cast<unsigned char>(c)) || c == '-' || c == '_'; };
-    if (!std::ranges::all_of(text, isOurs) || text.size() % 4 == 1)
-        return fail(ErrorKind::BadToken, "the session token has characters that no token has");
+    auto isBase64Url = [](char c) { return std::isalnum(static_cast<unsigned char>(c)) || c == '-' || c == '_'; };
+    if (!std::ranges::all_of(text, isBase64Url) || text.size() % 4 == 1)
+        return fail(ErrorKind::BadToken, "the session token has characters outside base64url");
     std::ranges::replace(text, '-', '+');
     std::ranges::replace(text, '_', '/');
     size_t padding = (4 - text.size() % 4) % 4;
@@ -67,7 +67,7 @@
     std::string bytes(text.size() / 4 * 3, '\0');
     int n = EVP_DecodeBlock(reinterpret_cast<unsigned char*>(bytes.data()), reinterpret_cast<const unsigned char*>(text.data()), static_cast<int>(text.size()));
     if (n < 0)
-        return fail(ErrorKind::BadToken, "the session token is not base64url");
+        return fail(ErrorKind::BadToken, "the session token is not valid base64url");
     bytes.resize(static_cast<size_t>(n) - padding);
     return bytes;
 }
@@ -90,17 +90,17 @@
     if (text.empty())
         return SessionMarks {};
     if (text.size() > kTokenLimit)
-        return fail(ErrorKind::BadToken, "the session token is too long");
+        return fail(ErrorKind::BadToken, "the session token is longer than 64 KiB");
     auto bytes = decodeBase64Url(text);
     if (!bytes)
         return tl::make_unexpected(bytes.error());
     if (bytes->size() < kSignatureSize)
-        return fail(ErrorKind::BadToken, "the session token is cut");
+        return fail(ErrorKind::BadToken, "the session token is truncated");
     auto payload = bytes->substr(kSignatureSize);
     auto expected = sign(payload, key);
     peer::SessionToken token;
     if (CRYPTO_memcmp(expected.data(), bytes->data(), kSignatureSize) != 0 || !token.ParseFromString(payload))
-        return fail(ErrorKind::BadToken, "the session token is cut or was not made here");
+        return fail(ErrorKind::BadToken, "the session token is truncated or was not signed with this system's key");
     SessionMarks marks;
     for (auto& it : token.marks())
         marks[it.group()] = { it.term(), it.position() };
--- a/src/decisions/session.h
+++ b/src/decisions/session.h
@@ -1,5 +1,5 @@
-// Sessions: what a session has seen of each database group, and whether a member's log holds it.
-// A session's whole state is the token that the caller carries (docs/design/0001-session-token.md).
+// Session marks: what a session has seen of each database group, and whether a member's log contains it.
+// The token that the caller sends holds the complete session state (docs/design/0001-session-token.md).
 #pragma once
 #include "decisions/errors.h"
 #include <cstdint>
@@ -9,21 +9,21 @@
 
 namespace alderward::decisions {
 
-// A place in a group's log. A larger term wins over any position.
+// A position in a group's log. Compared by term first.
 struct Mark {
     uint64_t term { 0 }; // 0: nothing seen yet
-    uint64_t position { 0 }; // number of the log entry, from 1
+    uint64_t position { 0 }; // index of the log entry, from 1
     friend auto operator<=>(const Mark&, const Mark&) = default;
 };
 
-// Where a term begins in a member's log. Every term begins with an entry of its own, written by promote.
+// The start of a term in a member's log. A promotion writes the first entry of its term.
 struct TermStart {
     uint64_t term { 0 };
     uint64_t position { 0 }; // of the term's first entry
     friend auto operator<=>(const TermStart&, const TermStart&) = default;
 };
 
-// What a member says of its log.
+// The state of a member's log, as the member reports it.
 struct LogState {
     uint64_t term { 0 }; // of the last entry
     uint64_t position { 0 }; // of the last entry
@@ -32,24 +32,24 @@
 };
 
 enum class Containment {
-    Contained, // the log holds the marked entry
-    Behind, // it does not yet, and may still
-    Lost, // it never will: a later term took the entry's place
+    Contained, // the log contains the marked entry
+    Behind, // the log may still receive the entry
+    Lost, // the log never will: a later term replaced the entry
 };
 
-// Compares a session's mark with a log. If the history is too short to tell, the answer is Lost: a session is told once
-// too often rather than never.
+// Compares a session's mark with a log. If the history is too short to tell, returns Lost: a false report of lost writes is
+// safer than a missed one.
 Containment getContainment(const LogState& log, const Mark& mark);
 
-// What one session has seen, by group.
+// A session's marks by group.
 using SessionMarks = std::map<std::string, Mark>;
 
-// Raises the session's mark of a group; marks never go back.
+// Raises the session's mark of a group, unless it is already higher.
 void raiseMark(SessionMarks& marks, const std::string& group, const Mark& mark);
 
-// Writes marks as a token, signed with `key` (HMAC-SHA256, first 16 bytes), base64url.
+// Encodes marks as a base64url token, signed with `key` (HMAC-SHA256, truncated to 16 bytes).
 std::string encodeToken(const SessionMarks& marks, const std::string& key);
-// Reads a token. An empty one is a new session; a cut or forged one is BadToken.
+// Decodes a token. An empty one yields a new session; a truncated or forged one fails with BadToken.
 Result<SessionMarks> decodeToken(const std::string& token, const std::string& key);
 
 }
--- a/src/decisions/statement.h
+++ b/src/decisions/statement.h
@@ -1,5 +1,5 @@
-// Statements of callers whose session is a connection: what was asked, how a route wants it served, and what came of it.
-// Wire forms are made and read by a codec (links/statement_codec.h); nothing here knows one.
+// Statements of callers whose session is a connection, their outcomes, and the routes that determine how they are served.
+// Independent of the wire format, which links/statement_codec.h encodes and decodes.
 //
 // [SECTION] Statements   Statement, SessionState
 // [SECTION] Outcomes     Outcome
@@ -26,39 +26,39 @@
     Rollback,
     Read,
     Write,
-    SetVariable, // a value of the session
+    SetVariable, // of the session
     Prepare,
     Execute, // of a prepared statement
     Deallocate,
-    Unknown, // not in the language; answered as a bad request
+    Unknown, // not recognized; answered as a bad request
 };
 
 struct Statement {
-    std::string id {}; // the caller's, unique for each attempt
+    std::string id {}; // assigned by the caller, unique for each attempt
     StatementKind kind { StatementKind::Unknown };
-    std::string text {}; // as it came; passed on unchanged
-    std::string name {}; // SetValue: the value's; Prepare, Execute, Deallocate: the prepared statement's
-    std::string argument {}; // SetValue: the value; Prepare: the shape; Execute: all behind the name
-    bool isWrite { false }; // Write, and Prepare of a write; an Execute takes it from what was prepared
+    std::string text {}; // as received; forwarded unchanged
+    std::string name {}; // SetVariable: the variable; Prepare, Execute, Deallocate: the prepared statement
+    std::string argument {}; // SetVariable: the value; Prepare: the shape; Execute: the text after the name
+    bool isWrite { false }; // for Write and Prepare of a write; for Execute, copied from the prepared statement
     friend bool operator==(const Statement&, const Statement&) = default;
 };
 
-// Where a session stands after an answer.
+// Transaction state of a session after an answer.
 enum class SessionState { Idle,
     InTransaction,
-    Failed }; // the transaction failed: only its end is taken
+    Failed }; // the transaction failed and can only be ended
 
 //-----------------------------------------------------------------------------
 // [SECTION] Outcomes
 //-----------------------------------------------------------------------------
 
-// What came of a statement.
+// The result of a statement.
 struct Outcome {
     std::vector<std::string> rows {};
-    std::string signature {}; // the target's proof that it ran the statement; empty with an error
+    std::string signature {}; // the target's proof that it executed the statement; empty on error
     std::optional<Error> error {};
-    Mark position {}; // of the target's log when it answered; term 0: not said
-    bool wasSent { false }; // the statement was written to a target, whatever came of it
+    Mark position {}; // end of the target's log when it answered; term 0: not reported
+    bool wasSent { false }; // the statement was written to a target, even if it then failed
     friend bool operator==(const Outcome&, const Outcome&) = default;
 };
 
@@ -70,43 +70,45 @@
     return outcome;
 }
 
-// Whether the target said that it did not run the statement, so that another may be asked.
+// Whether the error shows that the target did not execute the statement, so that another target may be tried.
 bool canTryOtherTarget(ErrorKind kind);
 
 //-----------------------------------------------------------------------------
 // [SECTION] Sessions
 //-----------------------------------------------------------------------------
 
+// A prepared statement without its name.
 struct PreparedShape {
     std::string shape {};
     bool isWrite { false };
     friend auto operator<=>(const PreparedShape&, const PreparedShape&) = default;
 };
 
-// A name for a shape at targets, the same for all sessions, so that sessions whose names collide can share a connection.
+// Returns the name under which a shape is prepared at targets. It is the same for all sessions, so that sessions with colliding names can
+// share a connection.
 std::string getPreparedName(const PreparedShape& shape);
 
 using SessionVariables = std::map<std::string, std::string>;
 
-// What a pooled connection carries from the sessions that it served before.
+// Session state left on a pooled connection by the sessions that it served before.
 struct ConnectionState {
     SessionVariables values {};
     std::set<PreparedShape> prepared {};
     friend bool operator==(const ConnectionState&, const ConnectionState&) = default;
 };
 
-// What has to be sent on a connection before it may serve a session.
+// What must be sent on a connection before it can serve a session.
 struct ConnectionPlan {
-    bool mustReset { false }; // it carries a value that the session does not have
-    std::vector<std::pair<std::string, std::string>> values {}; // to set
+    bool mustReset { false }; // it has a variable that the session has not set
+    std::vector<std::pair<std::string, std::string>> values {}; // variables to set
     bool mustPrepare { false };
     size_t getCost() const { return (mustReset ? 1 : 0) + values.size() + (mustPrepare ? 1 : 0); }
     friend bool operator==(const ConnectionPlan&, const ConnectionPlan&) = default;
 };
 
-// `shape` is the one that the next statement executes, if it executes one.
+// `shape` is the prepared statement that the session executes next, if any.
 ConnectionPlan planConnection(const ConnectionState& connection, const SessionVariables& session, const std::optional<PreparedShape>& shape);
-// The connection's state once the plan was carried out.
+// Returns the connection's state after the plan has been carried out.
 ConnectionState applyPlan(ConnectionState connection, const ConnectionPlan& plan, const std::optional<PreparedShape>& shape);
 
 //-----------------------------------------------------------------------------
@@ -114,21 +116,21 @@
 //-----------------------------------------------------------------------------
 
 enum class Consistency {
-    Primary, // sees every commit that was acknowledged before
-    BoundedStaleness, // may lack commits younger than `maximumAge`
-    ReadYourWrites, // the same, but never one of its own session
+    Primary, // reads see every commit acknowledged before
+    BoundedStaleness, // reads may miss commits younger than `maximumAge`
+    ReadYourWrites, // the same, but reads see all writes of their own session
 };
 
-// How the statements of one database are served, as operators wrote it.
+// How the statements of one database are served, as configured by operators.
 struct DatabaseRoute {
-    std::string database {}; // what callers connect to
+    std::string database {}; // the name that callers connect to
     std::string group {}; // the database group that serves it
     Consistency consistency { Consistency::Primary };
-    milliseconds maximumAge { 0 }; // of what a read may lack; not for Primary
+    milliseconds maximumAge { 0 }; // of commits that a read may miss; unused with Primary
     milliseconds statementLimit { 1000 }; // from a statement's arrival to its answer
-    milliseconds objective { 500 }; // a caller is content with an answer within this
-    int priority { 0 }; // 0 goes first
-    bool isPublic { false }; // callers need no key
+    milliseconds objective { 500 }; // latency objective of an operation
+    int priority { 0 }; // 0 is the highest
+    bool isPublic { false }; // callers need no API key
     friend bool operator==(const DatabaseRoute&, const DatabaseRoute&) = default;
 };
 
--- a/src/decisions/turns.cpp
+++ b/src/decisions/turns.cpp
@@ -5,13 +5,13 @@
 
 namespace alderward::decisions {
 
-// Of a statement's usual time must be left to its objective. In a long overload all statements are served just before they count as
-// too late for it; a margin of less than the slow tenth of them takes (2.3 times the mean, if times are exponential) makes most miss it.
+// Multiple of the typical statement time that must be left to the objective. In a long overload statements are dequeued just before they
+// count as late; the margin must cover slow ones, or most would miss the objective.
 static constexpr double kObjectiveMargin = 3;
-static constexpr double kMedianToMean = 0.7; // of exponential times
-static constexpr double kWorkTimeStep = 0.05; // a time that doubles is followed within fifteen statements
-static constexpr double kMinWorkMs = 0.5; // members answer in no less, and the way down must end
-static constexpr double kDeadlineMargin = 1.5; // of a statement's usual time must be left to its deadline: else it uses a place for nothing
+static constexpr double kMedianToMean = 0.7; // ratio for an exponential distribution
+static constexpr double kWorkTimeStep = 0.05; // relative change for each statement
+static constexpr double kMinWorkMs = 0.5; // lower bound, as repeated steps down would approach 0
+static constexpr double kDeadlineMargin = 1.5; // multiple of the typical statement time that must be left to the deadline
 
 static double getRemainingMs(TimePoint until, TimePoint now)
 {
--- a/src/decisions/turns.h
+++ b/src/decisions/turns.h
@@ -1,32 +1,32 @@
-// Whose turn it is before a busy member, and which statements cannot be answered in time any more.
+// Scheduling order of statements waiting for a busy member, and checks whether one can still be answered in time.
 #pragma once
 #include "decisions/freshness.h"
 
 namespace alderward::decisions {
 
-inline constexpr unsigned kMaxBusyAttempts = 8; // of a statement that members turn away; one that turns away half of them then takes all but 0.4%
+inline constexpr unsigned kMaxBusyAttempts = 8; // attempts at members that refuse the statement as busy
 
-// What decides a waiting statement's statement.
+// Properties of a waiting statement that determine its place in the scheduling order.
 struct SchedulingParameters {
-    bool isContinuation { false }; // the next statement of an open transaction, which holds a connection that others wait for
-    int priority { 0 }; // 0 goes first
-    TimePoint objective {}; // its answer must leave the member's connection by then to be in time
-    TimePoint deadline {}; // an answer after this is worth nothing
+    bool isContinuation { false }; // a later statement of an open transaction, which occupies a connection
+    int priority { 0 }; // 0 is the highest
+    TimePoint objective {}; // the member must have answered by then for the operation to meet its latency objective
+    TimePoint deadline {}; // later answers are of no use to the caller
 };
 
-// When the answer of an operation's next statement must be there. The objective is one for the whole operation: `spent` of it have passed under
-// its statements so far, pauses of its caller apart.
+// Returns when the next statement of an operation must be answered. The objective covers the whole operation: `spent` is the time that its
+// earlier statements took, without the caller's pauses between them.
 TimePoint getObjectiveEnd(TimePoint now, milliseconds objective, TimePoint::duration spent);
-// Whether a statement that is sent now will probably meet its objective. `workMs` is a statement's usual time at the member.
+// Whether a statement sent now is likely to meet its objective. `workMs` is the typical time of one statement at the member.
 bool canMeetObjective(const SchedulingParameters& statement, TimePoint now, double workMs);
-// A member's usual time after one more statement took `tookMs`. Follows the median, so that a member on which less than half of the
-// statements hang is not taken for one on which all are slow.
+// Returns the updated typical time after a statement took `tookMs`. Tracks the median, so that a minority of hanging statements does not
+// make the member look slow.
 double updateWorkTime(double workMs, double tookMs);
-// Whether there is still time for a statement to be worth sending.
+// Whether enough time is left to the deadline for a statement sent now to be useful.
 bool isWorthSending(const SchedulingParameters& statement, TimePoint now, double workMs);
-// Whether a goes before b: continuations first, then those that can still meet their objective, by priority, the soonest first.
+// Whether `a` is scheduled before `b`. Order: continuations, statements that can meet their objective, priority, earliest objective.
 bool isScheduledBefore(const SchedulingParameters& a, const SchedulingParameters& b, TimePoint now, double workMs);
-// Whether a statement with `ahead` others before it gets its turn while that is of use, where `concurrency` statements run at a time.
+// Whether a statement with `ahead` others before it starts early enough to be useful, where `concurrency` statements run at a time.
 bool canStartInTime(const SchedulingParameters& statement, size_t ahead, unsigned concurrency, TimePoint now, double workMs);
 
 }
