--- a/src/decisions/member_queue.cpp
+++ b/src/decisions/member_queue.cpp
@@ -22,7 +22,7 @@
     return std::chrono::duration<double, std::milli>(time).count();
 }
 
-void recordOperation(OperationCosts& costs, const OperationKind& kind, double ms)
+void recordOperationCost(OperationCosts& costs, const OperationKind& kind, double ms)
 {
     auto& cost = costs[kind];
     ms = std::max(0.0, ms);
@@ -170,14 +170,14 @@
     halveCounts(queue, now);
     if (!entry.scheduling.isContinuation)
         queue.costs[entry.kind].offered += 1;
-    bool wasStanding = queue.overload.isSustained;
+    bool wasSustained = queue.overload.isSustained;
     queue.overload = updateOverload(queue.overload, getTotalWaitMs(queue), getTolerableWaitMs(queue, entry), now);
     if (!isAdmitted(queue, entry, now)) {
         queue.overload.lastRefusedAt = now;
         return { entry };
     }
     queue.entries.push_back(entry);
-    bool hasBegun = queue.overload.isSustained && !wasStanding;
+    bool hasBegun = queue.overload.isSustained && !wasSustained;
     return hasBegun ? refuseExcess(queue, now) : std::vector<QueueEntry>();
 }
 
--- a/src/decisions/member_queue.h
+++ b/src/decisions/member_queue.h
@@ -42,7 +42,7 @@
 inline constexpr unsigned kMinObservations = 8; // with fewer, the cost is estimated as the typical time of one statement
 
 // Records a completed operation that used a slot at the member for `ms`.
-void recordOperation(OperationCosts& costs, const OperationKind& kind, double ms);
+void recordOperationCost(OperationCosts& costs, const OperationKind& kind, double ms);
 // Returns the expected cost in ms. `workMs` is the typical time of one statement, used for kinds with too few observations.
 double getCostMs(const OperationCosts& costs, const OperationKind& kind, double workMs);
 // Whether so few operations of this kind are served that the next one must be scheduled first, regardless of priority.
@@ -55,7 +55,7 @@
 struct Overload {
     bool isSustained { false };
     TimePoint lastTolerableAt {}; // when the queue's wait was last tolerable
-    TimePoint lastRefusedAt {}; // when a statement was last refused on arrival
+    TimePoint lastRefusedAt {}; // when a statement was last refused on arrival, or the overload began
     friend bool operator==(const Overload&, const Overload&) = default;
 };
 
--- a/src/decisions/statement.h
+++ b/src/decisions/statement.h
@@ -3,7 +3,7 @@
 //
 // [SECTION] Statements   Statement, SessionState
 // [SECTION] Outcomes     Outcome
-// [SECTION] Sessions     PreparedShape, SessionValues, planConnection()
+// [SECTION] Sessions     PreparedShape, SessionVariables, planConnection()
 // [SECTION] Routes       Consistency, DatabaseRoute
 #pragma once
 #include "decisions/errors.h"
--- a/src/gateway/target_pool.cpp
+++ b/src/gateway/target_pool.cpp
@@ -455,7 +455,7 @@
     std::chrono::duration<double, std::milli> took = Clock::now() - job.startedAt;
     m_queue.workMs = decisions::updateWorkTime(m_queue.workMs, took.count());
     if (!isInTransaction(job.order.kind))
-        decisions::recordOperation(m_queue.costs, { job.order.database, false }, took.count());
+        decisions::recordOperationCost(m_queue.costs, { job.order.database, false }, took.count());
     else if (auto it = m_transactions.find(job.order.transaction); it != m_transactions.end())
         it->second.spentMs += took.count();
 }
@@ -468,7 +468,7 @@
     if (it == m_transactions.end())
         return;
     if (it->second.spentMs > 0)
-        decisions::recordOperation(m_queue.costs, it->second.kind, it->second.spentMs);
+        decisions::recordOperationCost(m_queue.costs, it->second.kind, it->second.spentMs);
     m_transactions.erase(it);
 }
 
--- a/tests/unit/errors_test.cpp
+++ b/tests/unit/errors_test.cpp
@@ -1,4 +1,4 @@
-// The table of errors and its page hold each other.
+// The error table is consistent and matches docs/ERRORS.md.
 #include "decisions/errors.h"
 #include <boost/test/unit_test.hpp>
 #include <fmt/format.h>
@@ -23,7 +23,7 @@
     BOOST_TEST(!parseErrorKind("nothing"));
 }
 
-BOOST_AUTO_TEST_CASE(page_and_table_agree)
+BOOST_AUTO_TEST_CASE(documentation_and_table_agree)
 {
     std::ifstream file(std::string(ALDERWARD_SOURCE_DIR) + "/docs/ERRORS.md");
     size_t rows = 0;
--- a/tests/unit/member_queue_test.cpp
+++ b/tests/unit/member_queue_test.cpp
@@ -1,4 +1,4 @@
-// The queue before one member under loads that last and loads that pass, played in virtual time: what callers get.
+// Simulates one member, its queue and its callers in virtual time, under short bursts and sustained overloads.
 #include "decisions/member_queue.h"
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
@@ -26,25 +26,25 @@
 struct Load {
     std::vector<Kind> kinds { { 0.15, 3, 0.4, 1, 600, 800 }, { 0.15, 15, 0.1, 2, 800, 1200 }, { 0.7, 9, 0.12, 2, 1000, 800 } };
     unsigned slots { 2 };
-    double load { 1.6 }; // what callers ask for as a multiple of what the member can run
+    double load { 1.6 }; // offered load as a multiple of the member's capacity
     double endMs { 20000 };
-    double loadEndMs { 20000 }; // 0.6 of the capacity is asked for from then on
+    double loadEndMs { 20000 }; // the offered load is 0.6 of the capacity from then on
     unsigned statements { 4 }; // of a transaction
     double pauseMs { 30 }; // between them
     unsigned retries { 2 };
     double retryPauseMs { 100 };
-    bool isKeptShort { true }; // false: as it would be without any notion of a load that lasts
+    bool hasOverloadControl { true }; // false: sustained overload is never detected
     unsigned seed { 7 };
 };
 
 struct Result {
-    double owed { 0 };
+    double begun { 0 };
     double inTime { 0 };
     double late { 0 };
     double failed { 0 };
     std::vector<double> refusedAfterMs {};
-    std::vector<double> waitedMs {}; // of first statements that were sent
-    std::vector<double> inTimeOf {}; // by kind, share
+    std::vector<double> waitedMs {}; // of the first statements of operations
+    std::vector<double> inTimeByKind {}; // share of each kind's operations
     double busy { 0 }; // share of the member's slots
 
     double getMedian(std::vector<double> values) const
@@ -57,22 +57,22 @@
 struct Operation {
     size_t kind { 0 };
     bool isTransaction { false };
-    double beganMs { 0 };
+    double beginMs { 0 };
     unsigned done { 0 };
     unsigned tries { 0 };
-    double spentMs { 0 }; // of a place at the member
+    double spentMs { 0 }; // slot time used at the member
 };
 
 // One member, its queue and its callers.
-class Play {
+class Simulation {
 public:
-    explicit Play(const Load& load)
+    explicit Simulation(const Load& load)
         : m_load(load)
         , m_random(load.seed)
     {
         m_queue.concurrency = load.slots + 1;
-        m_result.inTimeOf.resize(load.kinds.size());
-        m_owedOf.resize(load.kinds.size());
+        m_result.inTimeByKind.resize(load.kinds.size());
+        m_begunByKind.resize(load.kinds.size());
     }
 
     Result run()
@@ -92,8 +92,8 @@
             event.run();
             dispatch();
         }
-        for (size_t i = 0; i < m_owedOf.size(); ++i)
-            m_result.inTimeOf[i] /= std::max(1.0, m_owedOf[i]);
+        for (size_t i = 0; i < m_begunByKind.size(); ++i)
+            m_result.inTimeByKind[i] /= std::max(1.0, m_begunByKind[i]);
         m_result.busy = m_busyMs / (m_load.slots * m_load.endMs);
         return m_result;
     }
@@ -117,9 +117,9 @@
         Operation operation;
         operation.kind = std::discrete_distribution<size_t>(shares.begin(), shares.end())(m_random);
         operation.isTransaction = std::bernoulli_distribution(m_load.kinds[operation.kind].transactions)(m_random);
-        operation.beganMs = m_now;
-        ++m_result.owed;
-        ++m_owedOf[operation.kind];
+        operation.beginMs = m_now;
+        ++m_result.begun;
+        ++m_begunByKind[operation.kind];
         submit(operation);
     }
 
@@ -134,7 +134,7 @@
         m_operations[entry.number] = operation;
         m_submittedMs[entry.number] = m_now;
         auto refused = admit(m_queue, entry, at(m_now));
-        if (!m_load.isKeptShort)
+        if (!m_load.hasOverloadControl)
             m_queue.overload = {};
         refuse(refused);
     }
@@ -194,18 +194,18 @@
             schedule(m_now + draw(m_load.pauseMs), [this, operation] { submit(operation); });
             return;
         }
-        recordOperation(m_queue.costs, entry.kind, operation.spentMs);
+        recordOperationCost(m_queue.costs, entry.kind, operation.spentMs);
         auto pauses = operation.isTransaction ? m_load.pauseMs * (m_load.statements - 1) : 0;
-        bool isInTime = m_now - operation.beganMs - pauses <= m_load.kinds[operation.kind].objectiveMs;
+        bool isInTime = m_now - operation.beginMs - pauses <= m_load.kinds[operation.kind].objectiveMs;
         ++(isInTime ? m_result.inTime : m_result.late);
-        m_result.inTimeOf[operation.kind] += isInTime ? 1 : 0;
+        m_result.inTimeByKind[operation.kind] += isInTime ? 1 : 0;
     }
 
     Load m_load;
     std::mt19937 m_random;
     MemberQueue m_queue;
     Result m_result;
-    std::vector<double> m_owedOf;
+    std::vector<double> m_begunByKind;
     std::priority_queue<Event> m_events;
     std::map<uint64_t, Operation> m_operations;
     std::map<uint64_t, double> m_submittedMs;
@@ -217,12 +217,12 @@
     uint64_t m_lastEntry { 0 };
 };
 
-Result play(const Load& load) { return Play(load).run(); }
+Result simulate(const Load& load) { return Simulation(load).run(); }
 
 std::ostream& operator<<(std::ostream& out, const Result& it)
 {
-    out << "in time " << it.inTime / it.owed << ", late " << it.late / it.owed << ", failed " << it.failed / it.owed << ", wait " << it.getMedian(it.waitedMs) << " ms, refused after " << it.getMedian(it.refusedAfterMs) << " ms (" << it.refusedAfterMs.size() << "), busy " << it.busy << ", by kind";
-    for (auto share : it.inTimeOf)
+    out << "in time " << it.inTime / it.begun << ", late " << it.late / it.begun << ", failed " << it.failed / it.begun << ", wait " << it.getMedian(it.waitedMs) << " ms, refused after " << it.getMedian(it.refusedAfterMs) << " ms (" << it.refusedAfterMs.size() << "), busy " << it.busy << ", by kind";
+    for (auto share : it.inTimeByKind)
         out << ' ' << share;
     return out;
 }
@@ -231,60 +231,59 @@
 
 BOOST_AUTO_TEST_SUITE(member_queue)
 
-// Seed 7, load 1.6: with two retries 0.518 in time where the queue is not kept short, after 640 ms of waiting at the median, and 0.766
-// after 110 ms where it is; without retries 0.626 and 0.794, and who is refused hears it after 790 ms or at once.
-BOOST_AUTO_TEST_CASE(a_load_that_lasts_is_served_in_time_for_a_quarter_more)
+// Guards against a queue under sustained load in which all statements are answered late or refused only after a long wait.
+BOOST_AUTO_TEST_CASE(overload_control_raises_throughput_within_objective_under_sustained_load)
 {
     for (unsigned seed : { 7U, 8U, 9U }) {
         for (unsigned retries : { 0U, 2U }) {
             Load load { .endMs = 40000, .loadEndMs = 40000, .retries = retries, .seed = seed };
-            auto now = play(load);
-            load.isKeptShort = false;
-            auto before = play(load);
-            BOOST_TEST_CONTEXT("seed " << seed << ", " << retries << " retries\n  before: " << before << "\n  now:    " << now)
+            auto withControl = simulate(load);
+            load.hasOverloadControl = false;
+            auto withoutControl = simulate(load);
+            BOOST_TEST_CONTEXT("seed " << seed << ", " << retries << " retries\n  without overload control: " << withoutControl << "\n  with overload control: " << withControl)
             {
-                BOOST_TEST(now.inTime > (retries == 0 ? 1.15 : 1.25) * before.inTime);
-                BOOST_TEST(now.busy > 0.98);
-                BOOST_TEST(now.getMedian(now.waitedMs) < 150);
-                BOOST_TEST(now.getMedian(now.refusedAfterMs) < 50);
-                BOOST_TEST(now.late < 0.01 * now.owed);
-                BOOST_TEST(now.inTimeOf[0] > 0.99); // goes first, by the operators' word
-                BOOST_TEST(now.inTimeOf[1] > 0.2); // the dearest
+                BOOST_TEST(withControl.inTime > (retries == 0 ? 1.15 : 1.25) * withoutControl.inTime);
+                BOOST_TEST(withControl.busy > 0.98);
+                BOOST_TEST(withControl.getMedian(withControl.waitedMs) < 150);
+                BOOST_TEST(withControl.getMedian(withControl.refusedAfterMs) < 50);
+                BOOST_TEST(withControl.late < 0.01 * withControl.begun);
+                BOOST_TEST(withControl.inTimeByKind[0] > 0.99); // highest priority
+                BOOST_TEST(withControl.inTimeByKind[1] > 0.2); // most expensive
             }
         }
     }
 }
 
-// 0.81 of them in time where the queue is not kept short, 0.78 where it is (seed 7).
-BOOST_AUTO_TEST_CASE(a_burst_of_a_second_is_waited_out)
+// Guards against overload control that refuses statements of a burst that would pass in time.
+BOOST_AUTO_TEST_CASE(a_short_burst_is_queued_rather_than_refused)
 {
     Load load { .load = 2.5, .endMs = 6000, .loadEndMs = 1000 };
-    double now = 0;
-    double before = 0;
+    double withControl = 0;
+    double withoutControl = 0;
     for (unsigned seed : { 7U, 8U, 9U, 10U, 11U }) {
         load.seed = seed;
-        load.isKeptShort = true;
-        auto kept = play(load);
-        now += kept.inTime / kept.owed / 5;
-        load.isKeptShort = false;
-        auto left = play(load);
-        before += left.inTime / left.owed / 5;
+        load.hasOverloadControl = true;
+        auto controlled = simulate(load);
+        withControl += controlled.inTime / controlled.begun / 5;
+        load.hasOverloadControl = false;
+        auto uncontrolled = simulate(load);
+        withoutControl += uncontrolled.inTime / uncontrolled.begun / 5;
     }
-    BOOST_TEST_CONTEXT("before " << before << ", now " << now)
-    BOOST_TEST(now > before - 0.03);
+    BOOST_TEST_CONTEXT("without overload control " << withoutControl << ", with overload control " << withControl)
+    BOOST_TEST(withControl > withoutControl - 0.03);
 }
 
-BOOST_AUTO_TEST_CASE(a_load_that_the_member_can_run_is_refused_nothing)
+BOOST_AUTO_TEST_CASE(a_load_within_capacity_meets_its_objectives)
 {
     for (double load : { 0.7, 0.9, 1.05 }) {
-        auto result = play({ .load = load });
+        auto result = simulate({ .load = load });
         BOOST_TEST_CONTEXT("load " << load << ": " << result)
-        BOOST_TEST(result.inTime > 0.99 * result.owed);
+        BOOST_TEST(result.inTime > 0.99 * result.begun);
     }
 }
 
-// Each is played at twice of what the member can run.
-BOOST_AUTO_TEST_CASE(unusual_members_and_databases_are_kept_full)
+// Each case offers twice the member's capacity.
+BOOST_AUTO_TEST_CASE(unusual_members_and_databases_stay_fully_used)
 {
     Kind plain { 1, 9, 0, 0, 1000, 800 };
     Kind transactionsOnly { 1, 9, 1, 0, 1000, 800 };
@@ -293,7 +292,7 @@
     struct Case {
         std::string name;
         Load load;
-        double served; // of what is asked for, at least
+        double served; // minimum share of operations answered in time
     };
     std::vector<Case> cases {
         { "one slot", { .kinds = { plain }, .slots = 1, .load = 2 }, 0.45 },
@@ -303,25 +302,25 @@
         { "an objective that nothing can meet", { .kinds = { tight }, .load = 2 }, 0 },
     };
     for (auto& it : cases) {
-        auto result = play(it.load);
+        auto result = simulate(it.load);
         BOOST_TEST_CONTEXT(it.name << ": " << result)
         {
-            BOOST_TEST(result.inTime >= it.served * result.owed);
-            BOOST_TEST(result.inTime + result.late + result.failed == result.owed);
-            BOOST_TEST(result.inTime + result.late >= 0.4 * result.owed);
+            BOOST_TEST(result.inTime >= it.served * result.begun);
+            BOOST_TEST(result.inTime + result.late + result.failed == result.begun);
+            BOOST_TEST(result.inTime + result.late >= 0.4 * result.begun);
         }
     }
 }
 
-BOOST_AUTO_TEST_CASE(no_database_starves_behind_one_that_goes_first)
+BOOST_AUTO_TEST_CASE(a_low_priority_database_does_not_starve)
 {
     Kind first { 0.8, 9, 0, 0, 1000, 800 };
     Kind second { 0.2, 9, 0, 5, 1000, 800 };
-    auto result = play({ .kinds = { first, second }, .load = 2, .retries = 0 });
+    auto result = simulate({ .kinds = { first, second }, .load = 2, .retries = 0 });
     BOOST_TEST_CONTEXT(result)
     {
-        BOOST_TEST(result.inTimeOf[1] > 0.08);
-        BOOST_TEST(result.inTimeOf[0] > result.inTimeOf[1]);
+        BOOST_TEST(result.inTimeByKind[1] > 0.08);
+        BOOST_TEST(result.inTimeByKind[0] > result.inTimeByKind[1]);
     }
 }
 
@@ -330,7 +329,7 @@
     return { number, { isContinuation, 0, at(objectiveMs), at(10000) }, {}, at(0) };
 }
 
-BOOST_AUTO_TEST_CASE(a_transaction_that_began_is_never_refused_for_the_length_of_the_queue)
+BOOST_AUTO_TEST_CASE(continuations_are_never_refused_because_of_overload)
 {
     MemberQueue queue;
     queue.overload = { true, at(0), at(0) };
@@ -343,7 +342,7 @@
     BOOST_TEST(refused.size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(absurd_times_refuse_and_serve_without_harm)
+BOOST_AUTO_TEST_CASE(zero_and_negative_times_are_handled)
 {
     MemberQueue queue;
     queue.workMs = 0;
@@ -354,14 +353,14 @@
     BOOST_REQUIRE(next);
     BOOST_TEST(next->number == 1U);
     BOOST_TEST(!popNextRunnable(queue, at(0), [](const QueueEntry&) { return true; }));
-    recordOperation(queue.costs, {}, -3);
-    BOOST_TEST(getCostMs(queue.costs, {}, 7) == 7); // too few were seen
+    recordOperationCost(queue.costs, {}, -3);
+    BOOST_TEST(getCostMs(queue.costs, {}, 7) == 7); // too few observations
     for (unsigned i = 0; i < kMinObservations; ++i)
-        recordOperation(queue.costs, {}, 20);
+        recordOperationCost(queue.costs, {}, 20);
     BOOST_TEST(getCostMs(queue.costs, {}, 7) > 7);
 }
 
-BOOST_AUTO_TEST_CASE(an_overload_begins_after_two_seconds_and_ends_once_nobody_is_refused)
+BOOST_AUTO_TEST_CASE(overload_begins_after_two_seconds_and_ends_after_a_period_without_refusals)
 {
     Overload overload;
     overload = updateOverload(overload, 50, 100, at(0));
@@ -377,8 +376,8 @@
     BOOST_TEST(!updateOverload(overload, 50, 100, at(3000)).isSustained);
 }
 
-// Writes wait up to two seconds while the primary is changed.
-BOOST_AUTO_TEST_CASE(a_queue_that_is_held_back_is_no_overload)
+// Writes wait during a planned change of primary; that wait is not load.
+BOOST_AUTO_TEST_CASE(a_queue_held_for_a_primary_change_is_not_an_overload)
 {
     MemberQueue queue;
     for (uint64_t i = 1; i <= 50; ++i) {
--- a/tests/unit/routing_test.cpp
+++ b/tests/unit/routing_test.cpp
@@ -1,4 +1,4 @@
-// Ages, routes and confirmation: the decisions that read-your-writes and acknowledgement rest on.
+// Freshness bounds, routing and write confirmation, which read-your-writes and acknowledged writes depend on.
 #include "decisions/routing.h"
 #include "fixtures.h"
 #include <boost/test/unit_test.hpp>
@@ -22,7 +22,7 @@
     return status;
 }
 
-// Primary a at 100, replicas b at 100 and c at 40, all asked at `ms`.
+// Primary a at position 100, replicas b at 100 and c at 40, all probed at `ms`.
 GroupHealth makeGroup(int ms)
 {
     auto health = makeHealth(makeRecord(), at(0));
@@ -44,7 +44,7 @@
     BOOST_TEST(route.member == 1u);
 }
 
-BOOST_AUTO_TEST_CASE(primary_is_left_to_writes_while_a_replica_has_room)
+BOOST_AUTO_TEST_CASE(read_prefers_a_replica_without_queue_to_the_primary)
 {
     std::vector<TargetLoad> loads(3);
     loads[0].isNear = true;
@@ -54,12 +54,12 @@
     BOOST_TEST(routeRead(makeGroup(10), loads, { { 1, 90 }, {}, {} }, at(11)).member == 0u);
 }
 
-BOOST_AUTO_TEST_CASE(read_ahead_of_everything_reachable_waits)
+BOOST_AUTO_TEST_CASE(read_ahead_of_all_reachable_members_waits)
 {
     auto health = makeGroup(10);
     std::vector<TargetLoad> loads(3);
     loads[0].isUsable = false;
-    // A replica that had all the primary had is asked once whether it has caught up since; c is too far behind to ask.
+    // Replica b was level with the primary, so it is tried once; c is too far behind.
     BOOST_TEST(routeRead(health, loads, { { 1, 500 }, {}, {} }, at(5000)).member == 1u);
     auto route = routeRead(health, loads, { { 1, 500 }, {}, { 1 } }, at(5000));
     BOOST_TEST((route.kind == RouteKind::Wait));
@@ -73,7 +73,7 @@
     BOOST_TEST(route.member == 0u);
 }
 
-BOOST_AUTO_TEST_CASE(lost_writes_are_told_and_never_read_past)
+BOOST_AUTO_TEST_CASE(session_with_lost_writes_is_refused_reads_and_writes)
 {
     auto health = makeHealth(makeRecord(), at(0));
     for (size_t i = 0; i < 3; ++i)
@@ -93,10 +93,10 @@
     BOOST_TEST(!getAgeBound(health, 2, 100, at(60)));
 }
 
-BOOST_AUTO_TEST_CASE(a_probe_that_no_majority_confirmed_makes_nothing_fresh)
+BOOST_AUTO_TEST_CASE(a_probe_without_majority_does_not_renew_freshness)
 {
     auto health = makeGroup(10);
-    // The cut-off primary still answers us and moves on; its replicas do not answer any more.
+    // The primary still answers this host and advances; its replicas are unreachable.
     health = takeStatus(health, 0, makeStatus(Role::Primary, 200), at(1000), at(1000));
     health = takeFailure(health, 1, false, at(1000));
     health = takeFailure(health, 2, false, at(1000));
@@ -105,7 +105,7 @@
     BOOST_TEST((route.kind != RouteKind::Member || route.member == 0u));
 }
 
-BOOST_AUTO_TEST_CASE(a_primary_that_a_majority_has_left_is_no_primary)
+BOOST_AUTO_TEST_CASE(a_primary_fenced_by_a_majority_is_not_primary)
 {
     auto health = makeGroup(10);
     health = takeStatus(health, 1, makeStatus(Role::Replica, 100, 1, 2), at(20), at(20));
@@ -132,7 +132,7 @@
 
 // ---- confirmation ----
 
-BOOST_AUTO_TEST_CASE(write_is_confirmed_by_a_majority_that_stood_after_it_ran)
+BOOST_AUTO_TEST_CASE(write_is_confirmed_by_a_majority_in_its_term_after_it_ran)
 {
     PendingWrite write { { 1, 100 }, at(50), false };
     BOOST_TEST((confirmWrite(write, { { 1, 0, 10, at(49) }, {} }, 3) == Confirmation::Pending));
@@ -146,12 +146,12 @@
     PendingWrite write { { 1, 100 }, at(50), true };
     BOOST_TEST((confirmWrite(write, { { 1, 0, 99, at(60) }, { 1, 0, 99, at(60) } }, 3) == Confirmation::Pending));
     BOOST_TEST((confirmWrite(write, { { 1, 0, 100, at(40) }, {} }, 3) == Confirmation::Confirmed));
-    // One that promised to a later term does not count, even if it holds the entry.
+    // A member fenced by a later term does not count, even if it holds the entry.
     BOOST_TEST((confirmWrite(write, { { 1, 2, 100, at(60) }, {} }, 3) == Confirmation::Pending));
     BOOST_TEST((confirmWrite(write, {}, 1) == Confirmation::Confirmed));
 }
 
-BOOST_AUTO_TEST_CASE(write_is_held_while_a_member_is_unheard_of_but_not_when_none_can_come)
+BOOST_AUTO_TEST_CASE(write_is_held_only_while_a_primary_can_become_available)
 {
     auto health = makeHealth(makeRecord(), at(0));
     WriteHoldConditions view { health };
@@ -159,7 +159,7 @@
     view.maxHeld = 10;
     view.primaryLostAt = at(0);
     BOOST_TEST(canHoldWrite(view, at(1)));
-    // The first replica answered; the primary may be among the two that have not been heard yet.
+    // One replica has answered; the primary may be one of the two that have not been probed yet.
     health = takeStatus(health, 1, makeStatus(Role::Replica, 100), at(1), at(1));
     BOOST_TEST(canHoldWrite(view, at(2)));
     health = takeFailure(health, 0, true, at(1));
--- a/tests/unit/session_test.cpp
+++ b/tests/unit/session_test.cpp
@@ -1,4 +1,4 @@
-// Tokens, marks and logs: what a session has seen, and whether a member holds it.
+// Session tokens and marks, and whether a member's log contains a mark.
 #include "decisions/session.h"
 #include <boost/test/unit_test.hpp>
 
@@ -8,7 +8,7 @@
 
 BOOST_AUTO_TEST_SUITE(session)
 
-BOOST_AUTO_TEST_CASE(token_comes_back_as_it_went)
+BOOST_AUTO_TEST_CASE(token_round_trip_preserves_marks)
 {
     SessionMarks marks { { "ledger1", { 3, 77 } }, { "ledger2", { 1, 1 } } };
     auto token = encodeToken(marks, kKey);
@@ -16,7 +16,7 @@
     BOOST_TEST(decodeToken("", kKey)->empty());
 }
 
-BOOST_AUTO_TEST_CASE(cut_forged_or_foreign_token_is_refused)
+BOOST_AUTO_TEST_CASE(truncated_forged_or_foreign_token_is_refused)
 {
     auto token = encodeToken({ { "ledger1", { 3, 77 } } }, kKey);
     for (size_t n = 1; n < token.size(); ++n)
@@ -25,7 +25,7 @@
         auto forged = token;
         forged[i] = forged[i] == 'A' ? 'B' : 'A';
         auto marks = decodeToken(forged, kKey);
-        // The last character carries bits that base64 drops; the marks themselves can never differ.
+        // Decoding ignores some bits of the last character, so a change there may be accepted, but the marks must be the same.
         BOOST_TEST((!marks || (i + 1 == token.size() && marks->at("ledger1") == Mark { 3, 77 })));
     }
     BOOST_TEST(!decodeToken(token, "another-key-of-16-chars"));
@@ -43,7 +43,7 @@
 
 BOOST_AUTO_TEST_CASE(containment_by_term_history)
 {
-    // Term 1 wrote 1..100, term 2 began at 90: entries 90..100 of term 1 are lost.
+    // Term 1 wrote entries 1 to 100, term 2 began at 90: entries 90 to 100 of term 1 are lost.
     LogState log { 2, 120, { { 1, 1 }, { 2, 90 } } };
     BOOST_TEST((getContainment(log, {}) == Containment::Contained));
     BOOST_TEST((getContainment(log, { 1, 89 }) == Containment::Contained));
@@ -53,7 +53,7 @@
     BOOST_TEST((getContainment(log, { 3, 95 }) == Containment::Behind));
 }
 
-BOOST_AUTO_TEST_CASE(a_history_too_short_to_tell_reads_as_lost)
+BOOST_AUTO_TEST_CASE(a_history_too_short_to_decide_counts_as_lost)
 {
     LogState log { 90, 5000, { { 80, 4000 }, { 90, 4500 } } };
     BOOST_TEST((getContainment(log, { 3, 10 }) == Containment::Lost));
--- a/tests/unit/turns_test.cpp
+++ b/tests/unit/turns_test.cpp
@@ -1,4 +1,4 @@
-// Whose turn it is before a busy member: the rules, and what they make of an overload that lasts, played in virtual time.
+// Scheduling order of statements at a busy member, and its effect on a sustained overload simulated in virtual time.
 #include "decisions/turns.h"
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
@@ -12,10 +12,10 @@
 
 TimePoint at(double ms) { return TimePoint(std::chrono::duration_cast<TimePoint::duration>(std::chrono::duration<double, std::milli>(1e6 + ms))); }
 
-struct Overload {
+struct LoadProfile {
     double workMs { 15 };
     unsigned slots { 3 };
-    double load { 1.3 }; // arrivals as a multiple of what the member can run
+    double load { 1.3 }; // arrival rate as a multiple of the member's capacity
     double objectiveMs { 500 };
     double deadlineMs { 800 };
 };
@@ -24,34 +24,34 @@
     unsigned inTime { 0 };
     unsigned late { 0 };
     unsigned refused { 0 };
-    double possible { 0 }; // what the member can run in that time
+    double possible { 0 }; // number of statements that the member has capacity for
 };
 
-// Plays 20 seconds: exponential gaps and times, each slot takes the next turn when it is free.
-Served play(const Overload& overload)
+// Simulates 20 seconds with exponential interarrival and execution times; a free slot takes the next statement in scheduling order.
+Served simulate(const LoadProfile& profile)
 {
-    std::mt19937 random(7); // fixed, so that the verdict is
-    std::exponential_distribution<double> gap(overload.load * overload.slots / overload.workMs);
-    std::exponential_distribution<double> work(1 / overload.workMs);
+    std::mt19937 random(7); // fixed seed, for a reproducible result
+    std::exponential_distribution<double> gap(profile.load * profile.slots / profile.workMs);
+    std::exponential_distribution<double> work(1 / profile.workMs);
     constexpr double kEndMs = 20000;
     Served served;
-    served.possible = kEndMs * overload.slots / overload.workMs;
-    std::vector<double> freeAt(overload.slots, 0);
+    served.possible = kEndMs * profile.slots / profile.workMs;
+    std::vector<double> freeAt(profile.slots, 0);
     std::vector<SchedulingParameters> waiting;
     double arrival = gap(random);
     for (double now = 0; now < kEndMs;) {
         auto slot = std::ranges::min_element(freeAt);
         if (arrival <= *slot || waiting.empty()) {
             now = arrival;
-            waiting.push_back({ false, 0, at(now + overload.objectiveMs), at(now + overload.deadlineMs) });
+            waiting.push_back({ false, 0, at(now + profile.objectiveMs), at(now + profile.deadlineMs) });
             arrival += gap(random);
             continue;
         }
         now = std::max(now, *slot);
-        auto next = std::ranges::min_element(waiting, [&](const SchedulingParameters& a, const SchedulingParameters& b) { return isScheduledBefore(a, b, at(now), overload.workMs); });
+        auto next = std::ranges::min_element(waiting, [&](const SchedulingParameters& a, const SchedulingParameters& b) { return isScheduledBefore(a, b, at(now), profile.workMs); });
         auto statement = *next;
         waiting.erase(next);
-        if (!isWorthSending(statement, at(now), overload.workMs)) {
+        if (!isWorthSending(statement, at(now), profile.workMs)) {
             ++served.refused;
             continue;
         }
@@ -65,7 +65,7 @@
 
 BOOST_AUTO_TEST_SUITE(turns)
 
-BOOST_AUTO_TEST_CASE(continuations_then_those_in_time_then_priority_then_the_soonest)
+BOOST_AUTO_TEST_CASE(order_is_continuation_then_feasibility_then_priority_then_objective)
 {
     auto now = at(0);
     SchedulingParameters soon { false, 1, at(100), at(1000) };
@@ -80,7 +80,7 @@
     BOOST_TEST(!isScheduledBefore(soon, soon, now, 10));
 }
 
-BOOST_AUTO_TEST_CASE(what_cannot_be_answered_in_time_is_refused_at_once)
+BOOST_AUTO_TEST_CASE(a_statement_that_cannot_be_answered_in_time_is_rejected)
 {
     SchedulingParameters statement { false, 0, at(500), at(1000) };
     BOOST_TEST(canStartInTime(statement, 100, 3, at(0), 15)); // 500 ms of waiting
@@ -91,8 +91,8 @@
     BOOST_TEST(!isWorthSending(statement, at(990), 15));
 }
 
-// Found at the bench: two of five statements hung at a primary, and its usual time went from 15 to 240 ms; all others were refused.
-BOOST_AUTO_TEST_CASE(the_usual_time_follows_the_others_while_some_hang)
+// Guards against an estimate that hanging statements raise so far that all other statements are refused.
+BOOST_AUTO_TEST_CASE(typical_time_ignores_a_minority_of_hanging_statements)
 {
     std::mt19937 random(7);
     std::exponential_distribution<double> work(1 / 15.0);
@@ -108,23 +108,23 @@
     }
     BOOST_TEST(most < 75);
     for (int i = 0; i < 100; ++i)
-        workMs = updateWorkTime(workMs, 4 * work(random)); // all are slow: followed
+        workMs = updateWorkTime(workMs, 4 * work(random)); // all statements are slow
     BOOST_TEST(workMs > 40);
 }
 
-// Statements are not all served just too late: most of what the member can run meets its objective.
-BOOST_AUTO_TEST_CASE(a_lasting_overload_is_answered_in_time_for_most_that_the_member_can_run)
+// Guards against a schedule that answers every statement just after its objective.
+BOOST_AUTO_TEST_CASE(sustained_overload_still_meets_objectives_for_most_of_the_capacity)
 {
     for (double load : { 1.15, 1.3, 2.0 }) {
-        auto served = play({ .load = load });
+        auto served = simulate({ .load = load });
         BOOST_TEST_CONTEXT("load " << load << ": " << served.inTime << " in time, " << served.late << " late, " << served.refused << " refused of " << served.possible)
         BOOST_TEST(served.inTime > 0.85 * served.possible);
     }
-    BOOST_TEST(play({ .load = 0.7 }).late < 0.01 * play({ .load = 0.7 }).possible);
+    BOOST_TEST(simulate({ .load = 0.7 }).late < 0.01 * simulate({ .load = 0.7 }).possible);
 }
 
-// A transaction's later statements had a whole objective each: at equal priority one that had used its time went behind one that had just begun.
-BOOST_AUTO_TEST_CASE(the_objective_is_one_for_all_statements_of_a_transaction)
+// Guards against a new objective for each statement, which schedules a transaction that has used up its time behind one that has just begun.
+BOOST_AUTO_TEST_CASE(the_objective_covers_all_statements_of_a_transaction)
 {
     SchedulingParameters used { true, 0, getObjectiveEnd(at(500), milliseconds(600), milliseconds(400)), at(1300) };
     SchedulingParameters fresh { true, 0, getObjectiveEnd(at(490), milliseconds(600), milliseconds(0)), at(1290) };
