--- a/src/alderward.h
+++ b/src/alderward.h
@@ -56,7 +56,7 @@
 #include "decisions/health.h"
 
 //-----------------------------------------------------------------------------
-// [SECTION] Routing: routeRead(), routeWrite(), mayHoldWrite(), confirmWrite()
+// [SECTION] Routing: routeRead(), routeWrite(), canHoldWrite(), confirmWrite()
 //-----------------------------------------------------------------------------
 #include "decisions/routing.h"
 
--- a/src/decisions/routing.cpp
+++ b/src/decisions/routing.cpp
@@ -66,20 +66,20 @@
     return age && now - *age + kCatchUpAllowance >= newest;
 }
 
-static std::optional<Candidate> evaluateMember(const GroupHealth& health, size_t i, const TargetLoad& load, const ReadRequirements& need, TimePoint now, ReadRejections& faults)
+static std::optional<Candidate> evaluateMember(const GroupHealth& health, size_t i, const TargetLoad& load, const ReadRequirements& need, TimePoint now, ReadRejections& rejections)
 {
     if (!load.isUsable)
         return std::nullopt;
-    faults.anyReachable = true;
+    rejections.anyReachable = true;
     auto log = getNewestLog(health.members[i], load, health.term);
     bool isPrimary = health.primary == i;
     Candidate candidate { i, false, false, load.waiting > 0, isPrimary, !load.isNear, load.waiting + load.running };
     switch (getContainment(log, need.mark)) {
     case Containment::Lost:
-        ++faults.lost;
+        ++rejections.lost;
         return std::nullopt;
     case Containment::Behind:
-        faults.anyBehind = true;
+        rejections.anyBehind = true;
         if (std::ranges::find(need.tried, i) != need.tried.end())
             return std::nullopt;
         // The position from the last probe is outdated: the primary holds all that the session has seen of its term.
@@ -97,19 +97,19 @@
     // The primary's data is current if a majority confirms its term after the read, which needs a reachable majority.
     candidate.mustConfirm = isPrimary && isMajorityReachable(health);
     if (!candidate.mustConfirm) {
-        faults.anyTooOld = true;
+        rejections.anyTooOld = true;
         return std::nullopt;
     }
     return candidate;
 }
 
-static Route refuseRead(const ReadRejections& faults, const GroupHealth& health)
+static Route refuseRead(const ReadRejections& rejections, const GroupHealth& health)
 {
-    if (faults.lost > 0 && faults.lost > health.members.size() / 2)
+    if (rejections.lost > 0 && rejections.lost > health.members.size() / 2)
         return { RouteKind::Refuse, 0, {}, ErrorKind::SessionWritesLost };
-    if (faults.anyTooOld)
+    if (rejections.anyTooOld)
         return { RouteKind::Wait, 0, {}, ErrorKind::TooStale };
-    if (faults.anyBehind || faults.anyReachable)
+    if (rejections.anyBehind || rejections.anyReachable)
         return { RouteKind::Wait, 0, {}, ErrorKind::NotCaughtUp };
     return { RouteKind::Wait, 0, {}, ErrorKind::NoPrimary };
 }
@@ -117,14 +117,14 @@
 Route routeRead(const GroupHealth& health, const std::vector<TargetLoad>& loads, const ReadRequirements& need, TimePoint now)
 {
     std::optional<Candidate> best;
-    ReadRejections faults;
+    ReadRejections rejections;
     for (size_t i = 0; i < health.members.size(); ++i) {
-        auto candidate = evaluateMember(health, i, loads[i], need, now, faults);
+        auto candidate = evaluateMember(health, i, loads[i], need, now, rejections);
         if (candidate && (!best || candidate->rank() < best->rank()))
             best = candidate;
     }
     if (!best)
-        return refuseRead(faults, health);
+        return refuseRead(rejections, health);
     return { RouteKind::Member, best->index, best->mustWait ? kCatchUpAllowance * 2 : milliseconds(0), {} };
 }
 
@@ -140,15 +140,15 @@
     return { RouteKind::Member, *health.primary, {}, {} };
 }
 
-bool canHoldWrite(const WriteHoldConditions& view, TimePoint now)
+bool canHoldWrite(const WriteHoldConditions& conditions, TimePoint now)
 {
-    if (view.held >= view.maxHeld || view.isPromotionHeldBack || view.isPathFault)
+    if (conditions.held >= conditions.maxHeld || conditions.isPromotionHeldBack || conditions.isPathFault)
         return false;
-    auto reachable = std::ranges::count_if(view.health.members, &MemberHealth::isReachable);
-    bool isMajorityReachable = static_cast<size_t>(reachable) >= view.majority;
+    auto reachable = std::ranges::count_if(conditions.health.members, &MemberHealth::isReachable);
+    bool isMajorityReachable = static_cast<size_t>(reachable) >= conditions.majority;
     // A host that has just become a home has not yet probed every member, so one of the others may be the primary.
-    bool isStarting = std::ranges::any_of(view.health.members, [](const MemberHealth& it) { return !it.isKnown && it.failures == 0; });
-    return (isMajorityReachable || isStarting) && now - view.primaryLostAt < view.limit;
+    bool isStarting = std::ranges::any_of(conditions.health.members, [](const MemberHealth& it) { return !it.isKnown && it.failures == 0; });
+    return (isMajorityReachable || isStarting) && now - conditions.primaryLostAt < conditions.limit;
 }
 
 Confirmation confirmWrite(const PendingWrite& write, const std::vector<ConfirmationReply>& replies, size_t members)
@@ -160,10 +160,10 @@
             ++later;
             continue;
         }
-        bool stands = it.term == write.mark.term && it.fencedTerm <= write.mark.term;
-        bool holds = it.position >= write.mark.position;
+        bool isInTerm = it.term == write.mark.term && it.fencedTerm <= write.mark.term;
+        bool hasEntry = it.position >= write.mark.position;
         // Holding the entry proves that the member replied after the write ran, whatever the clocks say.
-        if (stands && (holds || (!write.needsPosition && it.askedAt >= write.ranAt)))
+        if (isInTerm && (hasEntry || (!write.needsPosition && it.askedAt >= write.ranAt)))
             ++confirmed;
     }
     size_t majority = members / 2 + 1;
--- a/src/decisions/routing.h
+++ b/src/decisions/routing.h
@@ -58,7 +58,7 @@
 };
 
 // Whether a write may wait for a new primary. If not, it fails immediately.
-bool canHoldWrite(const WriteHoldConditions& view, TimePoint now);
+bool canHoldWrite(const WriteHoldConditions& conditions, TimePoint now);
 
 // An executed write that awaits confirmation.
 struct PendingWrite {
