--- a/src/decisions/routing.cpp
+++ b/src/decisions/routing.cpp
@@ -4,27 +4,27 @@
 
 namespace alderward::decisions {
 
-// A replica that is this far behind in time is still worth waiting for; beyond it the primary answers sooner.
-static constexpr milliseconds kWorthWaiting { 3 };
+// A replica that lags by no more than this is asked to wait for the mark; otherwise the primary answers sooner.
+static constexpr milliseconds kCatchUpAllowance { 3 };
 
 namespace {
 
-// How well one member could serve a read.
+// A member that can serve a read, with the properties that rank it.
 struct Candidate {
     size_t index { 0 };
     bool mustWait { false };
-    bool mustConfirm { false }; // its age is known only after a confirmation
-    bool isCrowded { false }; // statements wait for it
+    bool mustConfirm { false }; // its freshness is known only after a confirmation
+    bool hasWaiting { false }; // it has queued statements
     bool isPrimary { false };
     bool isFar { false };
-    unsigned busy { 0 };
+    unsigned outstanding { 0 };
 
-    // The primary is left to writes as long as some replica has room: a way to another data centre costs a read a
-    // millisecond or two, a place at the primary costs a write its turn.
-    auto rank() const { return std::tuple(mustWait || mustConfirm, isCrowded, isPrimary, isFar, busy, index); }
+    // A replica without a queue precedes the primary even in another data centre: the longer round trip costs a read less
+    // than a read at the primary costs the writes.
+    auto rank() const { return std::tuple(mustWait || mustConfirm, hasWaiting, isPrimary, isFar, outstanding, index); }
 };
 
-struct ReadFaults {
+struct ReadRejections {
     bool anyReachable { false };
     bool anyBehind { false };
     bool anyTooOld { false };
@@ -33,7 +33,7 @@
 
 }
 
-// The log that a member showed, brought up to the newest position seen in ordinary answers of the present term.
+// Returns the log state from the last probe, advanced to the newest position seen in answers to statements of the current term.
 static LogState getNewestLog(const MemberHealth& it, const TargetLoad& load, uint64_t term)
 {
     auto log = it.status.log;
@@ -42,7 +42,7 @@
     return log;
 }
 
-static bool isYoungEnough(const GroupHealth& health, const LogState& log, const ReadNeed& need, TimePoint now)
+static bool isFreshEnough(const GroupHealth& health, const LogState& log, const ReadRequirements& need, TimePoint now)
 {
     if (!need.maximumAge)
         return true;
@@ -56,76 +56,76 @@
     return static_cast<size_t>(n) > health.members.size() / 2;
 }
 
-// A replica that is only just behind is asked to wait for the position; the primary always has it.
-static bool isWorthWaiting(const GroupHealth& health, const LogState& log, const Mark& mark, TimePoint now)
+// Whether the replica is so little behind that it can be asked to wait for the mark.
+static bool canCatchUpSoon(const GroupHealth& health, const LogState& log, const Mark& mark, TimePoint now)
 {
     if (log.term != mark.term || log.term != health.term)
         return false;
     auto age = getStalenessBound(health, log.term, log.position, now);
     auto newest = health.freshnessCheckpoints.empty() ? TimePoint {} : health.freshnessCheckpoints.back().askedAt;
-    return age && now - *age + kWorthWaiting >= newest;
+    return age && now - *age + kCatchUpAllowance >= newest;
 }
 
-static std::optional<Candidate> considerMember(const GroupHealth& health, size_t i, const TargetLoad& load, const ReadNeed& need, TimePoint now, ReadFaults& faults)
+static std::optional<Candidate> evaluateMember(const GroupHealth& health, size_t i, const TargetLoad& load, const ReadRequirements& need, TimePoint now, ReadRejections& rejections)
 {
     if (!load.isUsable)
         return std::nullopt;
-    faults.anyReachable = true;
+    rejections.anyReachable = true;
     auto log = getNewestLog(health.members[i], load, health.term);
     bool isPrimary = health.primary == i;
     Candidate candidate { i, false, false, load.waiting > 0, isPrimary, !load.isNear, load.waiting + load.running };
     switch (getContainment(log, need.mark)) {
     case Containment::Lost:
-        ++faults.lost;
+        ++rejections.lost;
         return std::nullopt;
     case Containment::Behind:
-        faults.anyBehind = true;
+        rejections.anyBehind = true;
         if (std::ranges::find(need.tried, i) != need.tried.end())
             return std::nullopt;
-        // The primary's position in the last probe is old; what the session saw of this term it has.
+        // The position from the last probe is outdated: the primary holds all that the session has seen of its term.
         if (isPrimary && need.mark.term == health.term)
             break;
-        if (!isWorthWaiting(health, log, need.mark, now))
+        if (!canCatchUpSoon(health, log, need.mark, now))
             return std::nullopt;
         candidate.mustWait = true;
         break;
     case Containment::Contained:
         break;
     }
-    if (isYoungEnough(health, log, need, now))
+    if (isFreshEnough(health, log, need, now))
         return candidate;
-    // The primary of a term that a majority confirms after the read is as fresh as can be; with no majority it is not.
+    // The primary's data is current if a majority confirms its term after the read, which needs a reachable majority.
     candidate.mustConfirm = isPrimary && isMajorityReachable(health);
     if (!candidate.mustConfirm) {
-        faults.anyTooOld = true;
+        rejections.anyTooOld = true;
         return std::nullopt;
     }
     return candidate;
 }
 
-static Route refuseRead(const ReadFaults& faults, const GroupHealth& health)
+static Route refuseRead(const ReadRejections& rejections, const GroupHealth& health)
 {
-    if (faults.lost > 0 && faults.lost > health.members.size() / 2)
+    if (rejections.lost > 0 && rejections.lost > health.members.size() / 2)
         return { RouteKind::Refuse, 0, {}, ErrorKind::SessionWritesLost };
-    if (faults.anyTooOld)
+    if (rejections.anyTooOld)
         return { RouteKind::Wait, 0, {}, ErrorKind::TooStale };
-    if (faults.anyBehind || faults.anyReachable)
+    if (rejections.anyBehind || rejections.anyReachable)
         return { RouteKind::Wait, 0, {}, ErrorKind::NotCaughtUp };
     return { RouteKind::Wait, 0, {}, ErrorKind::NoPrimary };
 }
 
-Route routeRead(const GroupHealth& health, const std::vector<TargetLoad>& loads, const ReadNeed& need, TimePoint now)
+Route routeRead(const GroupHealth& health, const std::vector<TargetLoad>& loads, const ReadRequirements& need, TimePoint now)
 {
     std::optional<Candidate> best;
-    ReadFaults faults;
+    ReadRejections rejections;
     for (size_t i = 0; i < health.members.size(); ++i) {
-        auto candidate = considerMember(health, i, loads[i], need, now, faults);
+        auto candidate = evaluateMember(health, i, loads[i], need, now, rejections);
         if (candidate && (!best || candidate->rank() < best->rank()))
             best = candidate;
     }
     if (!best)
-        return refuseRead(faults, health);
-    return { RouteKind::Member, best->index, best->mustWait ? kWorthWaiting * 2 : milliseconds(0), {} };
+        return refuseRead(rejections, health);
+    return { RouteKind::Member, best->index, best->mustWait ? kCatchUpAllowance * 2 : milliseconds(0), {} };
 }
 
 Route routeWrite(const GroupHealth& health, const std::vector<TargetLoad>& loads, const Mark& mark)
@@ -140,30 +140,30 @@
     return { RouteKind::Member, *health.primary, {}, {} };
 }
 
-bool mayHoldWrite(const HoldView& view, TimePoint now)
+bool canHoldWrite(const WriteHoldConditions& conditions, TimePoint now)
 {
-    if (view.held >= view.heldMost || view.isHeldBack || view.isPathFault)
+    if (conditions.held >= conditions.maxHeld || conditions.isPromotionHeldBack || conditions.isPathFault)
         return false;
-    auto reachable = std::ranges::count_if(view.health.members, &MemberHealth::isReachable);
-    bool isMajorityReachable = static_cast<size_t>(reachable) >= view.majority;
-    // A host that has just become a home has not heard from every member yet: the primary may be among the others.
-    bool isStarting = std::ranges::any_of(view.health.members, [](const MemberHealth& it) { return !it.isKnown && it.failures == 0; });
-    return (isMajorityReachable || isStarting) && now - view.lostAt < view.limit;
+    auto reachable = std::ranges::count_if(conditions.health.members, &MemberHealth::isReachable);
+    bool isMajorityReachable = static_cast<size_t>(reachable) >= conditions.majority;
+    // A host that has just become a home has not yet probed every member, so one of the others may be the primary.
+    bool isStarting = std::ranges::any_of(conditions.health.members, [](const MemberHealth& it) { return !it.isKnown && it.failures == 0; });
+    return (isMajorityReachable || isStarting) && now - conditions.primaryLostAt < conditions.limit;
 }
 
-Confirmation confirmWrite(const PendingWrite& write, const std::vector<Standing>& standings, size_t members)
+Confirmation confirmWrite(const PendingWrite& write, const std::vector<ConfirmationReply>& replies, size_t members)
 {
     size_t confirmed = 1;
     size_t later = 0;
-    for (auto& it : standings) {
+    for (auto& it : replies) {
         if (std::max(it.term, it.fencedTerm) > write.mark.term) {
             ++later;
             continue;
         }
-        bool stands = it.term == write.mark.term && it.fencedTerm <= write.mark.term;
-        bool holds = it.position >= write.mark.position;
-        // A member that holds the entry was asked after it ran, whatever the clocks say: the entry itself shows it.
-        if (stands && (holds || (!write.needsPosition && it.askedAt >= write.ranAt)))
+        bool isInTerm = it.term == write.mark.term && it.fencedTerm <= write.mark.term;
+        bool hasEntry = it.position >= write.mark.position;
+        // Holding the entry proves that the member replied after the write ran, whatever the clocks say.
+        if (isInTerm && (hasEntry || (!write.needsPosition && it.askedAt >= write.ranAt)))
             ++confirmed;
     }
     size_t majority = members / 2 + 1;
--- a/src/gateway/target_pool.cpp
+++ b/src/gateway/target_pool.cpp
@@ -39,7 +39,7 @@
 void TargetPool::setLimits(const PoolLimits& limits)
 {
     m_limits = limits;
-    m_queue.places = limits.running;
+    m_queue.concurrency = limits.running;
 }
 
 static bool isInTransaction(OrderKind kind)
@@ -47,7 +47,7 @@
     return kind == OrderKind::Begin || kind == OrderKind::Continue;
 }
 
-static decisions::Turn getTurn(const Order& order)
+static decisions::SchedulingParameters getTurn(const Order& order)
 {
     return { order.kind == OrderKind::Continue, order.priority, order.objective, order.deadline };
 }
@@ -94,9 +94,9 @@
     for (auto& it : entries) {
         auto job = m_waiting.at(it.number);
         m_waiting.erase(it.number);
-        auto wait = milliseconds(static_cast<int64_t>(decisions::getWholeWaitMs(m_queue)));
+        auto wait = milliseconds(static_cast<int64_t>(decisions::getTotalWaitMs(m_queue)));
         auto comeBack = decisions::jitterRetryAfter(std::max(wait, kComeBackLeast), base::getRandom());
-        finish(job, decisions::makeFailure(ErrorKind::Overloaded, reason.empty() ? fmt::format("{} statements wait before it, {:.0f} ms each{}; come back in {} ms", m_waiting.size(), m_queue.workMs, m_queue.overload.isStanding ? ", for long" : "", comeBack.count()) : reason));
+        finish(job, decisions::makeFailure(ErrorKind::Overloaded, reason.empty() ? fmt::format("{} statements wait before it, {:.0f} ms each{}; come back in {} ms", m_waiting.size(), m_queue.workMs, m_queue.overload.isSustained ? ", for long" : "", comeBack.count()) : reason));
     }
 }
 
@@ -146,7 +146,7 @@
 
 TargetPool::JobPtr TargetPool::popNext(TimePoint now)
 {
-    auto next = decisions::takeNext(m_queue, now, [&](const decisions::QueueEntry& it) { return isRunnable(*m_waiting.at(it.number), now); });
+    auto next = decisions::popNextRunnable(m_queue, now, [&](const decisions::QueueEntry& it) { return isRunnable(*m_waiting.at(it.number), now); });
     if (!next)
         return nullptr;
     auto job = m_waiting.at(next->number);
@@ -188,7 +188,7 @@
         return isDone;
     });
     if (now < m_holdUntil)
-        decisions::noteHeld(m_queue, now);
+        decisions::noteQueueHeld(m_queue, now);
     while (!m_waiting.empty() && countRunning() < m_limits.running) {
         auto job = popNext(now);
         if (!job)
@@ -208,7 +208,7 @@
 
 size_t TargetPool::countWaitingForConnection() const
 {
-    return static_cast<size_t>(std::ranges::count_if(m_queue.entries, [](const decisions::QueueEntry& it) { return !it.turn.isContinuation; }));
+    return static_cast<size_t>(std::ranges::count_if(m_queue.entries, [](const decisions::QueueEntry& it) { return !it.scheduling.isContinuation; }));
 }
 
 // As many connections as statements wait for, within the limits.
@@ -263,8 +263,8 @@
 std::vector<decisions::AccountDemand> TargetPool::getDemands(TimePoint now) const
 {
     auto entries = m_queue.entries;
-    std::erase_if(entries, [&](const decisions::QueueEntry& it) { return it.turn.isContinuation || !mayRun(*m_waiting.at(it.number), now); });
-    std::ranges::sort(entries, [&](const decisions::QueueEntry& a, const decisions::QueueEntry& b) { return decisions::goesBefore(m_queue, a, b, now); });
+    std::erase_if(entries, [&](const decisions::QueueEntry& it) { return it.scheduling.isContinuation || !mayRun(*m_waiting.at(it.number), now); });
+    std::ranges::sort(entries, [&](const decisions::QueueEntry& a, const decisions::QueueEntry& b) { return decisions::isScheduledBefore(m_queue, a, b, now); });
     std::vector<decisions::AccountDemand> demands;
     for (auto& it : entries) {
         std::string_view account = m_waiting.at(it.number)->order.account;
@@ -381,7 +381,7 @@
     for (const auto& [name, value] : plan.values)
         session->ask(m_codec.formatSetValue(name, value), check);
     if (plan.mustPrepare)
-        session->ask(m_codec.formatPrepare(decisions::nameShape(*order.shape), *order.shape), check);
+        session->ask(m_codec.formatPrepare(decisions::getPreparedName(*order.shape), *order.shape), check);
     session->state = decisions::applyPlan(std::move(session->state), plan, order.shape);
 }
 
@@ -421,7 +421,7 @@
     base::checkInvariant(session->transaction == order.transaction || order.kind == OrderKind::Single || order.kind == OrderKind::ProvenSingle, "a statement was about to run in another transaction than its own", m_target.member);
     base::checkInvariant(session->state.values == order.values, "a statement was about to run with values that are not its session's", m_target.member);
     auto atLeast = order.kind == OrderKind::Single ? order.atLeast : Mark {};
-    auto bytes = m_codec.formatStatement(order.statement, atLeast, order.shape ? decisions::nameShape(*order.shape) : "");
+    auto bytes = m_codec.formatStatement(order.statement, atLeast, order.shape ? decisions::getPreparedName(*order.shape) : "");
     auto sentAt = Clock::now();
     auto known = m_observer.getKnown(m_target);
     session->ask(bytes, [self = shared_from_this(), job, session, sentAt, known](const Outcome& outcome) {
@@ -453,9 +453,9 @@
 void TargetPool::takeWorkTime(const Job& job)
 {
     std::chrono::duration<double, std::milli> took = Clock::now() - job.startedAt;
-    m_queue.workMs = decisions::takeWorkTime(m_queue.workMs, took.count());
+    m_queue.workMs = decisions::updateWorkTime(m_queue.workMs, took.count());
     if (!isInTransaction(job.order.kind))
-        decisions::takeOperation(m_queue.costs, { job.order.database, false }, took.count());
+        decisions::recordOperationCost(m_queue.costs, { job.order.database, false }, took.count());
     else if (auto it = m_transactions.find(job.order.transaction); it != m_transactions.end())
         it->second.spentMs += took.count();
 }
@@ -468,7 +468,7 @@
     if (it == m_transactions.end())
         return;
     if (it->second.spentMs > 0)
-        decisions::takeOperation(m_queue.costs, it->second.kind, it->second.spentMs);
+        decisions::recordOperationCost(m_queue.costs, it->second.kind, it->second.spentMs);
     m_transactions.erase(it);
 }
 
@@ -519,7 +519,7 @@
 {
     bool wasBusy = outcome.error && outcome.error->kind == ErrorKind::Overloaded && outcome.wasSent;
     bool isInTransaction = job.order.kind == OrderKind::Continue && session->isOpen() && session->getTargetState() == decisions::SessionState::InTransaction;
-    return wasBusy && isInTransaction && !job.isDone() && job.timesBusy < decisions::kBusyTries && Clock::now() + kBusyPause < job.order.deadline;
+    return wasBusy && isInTransaction && !job.isDone() && job.timesBusy < decisions::kMaxBusyAttempts && Clock::now() + kBusyPause < job.order.deadline;
 }
 
 // Only a connection on which no transaction is open may serve another caller: a statement that a target failed to run, be it our
--- a/tests/unit/gateway_decisions_test.cpp
+++ b/tests/unit/gateway_decisions_test.cpp
@@ -376,8 +376,8 @@
     BOOST_TEST(plan.mustReset);
     BOOST_TEST(plan.mustPrepare); // a reset drops prepared statements
     connection = applyPlan(connection, plan, PreparedShape { "q", false });
-    BOOST_TEST((connection.values == SessionValues { { "lang", "mn" } }));
-    BOOST_TEST(nameShape({ "q", false }) != nameShape({ "q", true }));
+    BOOST_TEST((connection.values == SessionVariables { { "lang", "mn" } }));
+    BOOST_TEST(getPreparedName({ "q", false }) != getPreparedName({ "q", true }));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
