--- a/src/base/event_log.cpp
+++ b/src/base/event_log.cpp
@@ -14,27 +14,27 @@
 namespace {
 
 constexpr int kBurstSeconds = 2; // a budget that was not used may be saved up for this long
-constexpr size_t kClasses = 3;
-constexpr milliseconds kLeftOutInterval { 1000 }; // between two lines on what was left out
+constexpr size_t kLogClassCount = 3;
+constexpr milliseconds kDropReportInterval { 1000 }; // between two lines on what was left out
 
-// One class's allowance, filled once a second.
-struct Allowance {
-    double lines { 0 };
-    double perSecond { 0 };
+// One class's bucket, filled once a second.
+struct TokenBucket {
+    double tokens { 0 };
+    double refillPerSecond { 0 };
 };
 
 struct EventLog {
     std::mutex mutex;
     std::string host;
     LogBudget budget;
-    std::array<Allowance, kClasses> allowances;
+    std::array<TokenBucket, kLogClassCount> buckets;
     TimePoint refilledAt {};
     std::string buffer; // waiting for the reader
     uint64_t written { 0 };
-    uint64_t leftOut { 0 };
-    uint64_t leftOutSaid { 0 };
-    TimePoint leftOutSaidAt {};
-    bool isBegun { false };
+    uint64_t droppedLines { 0 };
+    uint64_t reportedDrops { 0 };
+    TimePoint dropsReportedAt {};
+    bool isOpen { false };
 };
 
 EventLog& getLog()
@@ -43,20 +43,20 @@
     return log;
 }
 
-void applyBudget(EventLog& log)
+void setRefillRates(EventLog& log)
 {
     auto lines = static_cast<double>(log.budget.linesPerSecond);
-    log.allowances[static_cast<size_t>(LogClass::State)].perSecond = lines;
-    log.allowances[static_cast<size_t>(LogClass::Failure)].perSecond = lines * 0.75;
-    log.allowances[static_cast<size_t>(LogClass::Request)].perSecond = lines * 0.25;
+    log.buckets[static_cast<size_t>(LogClass::State)].refillPerSecond = lines;
+    log.buckets[static_cast<size_t>(LogClass::Failure)].refillPerSecond = lines * 0.75;
+    log.buckets[static_cast<size_t>(LogClass::Request)].refillPerSecond = lines * 0.25;
 }
 
-void refill(EventLog& log, TimePoint now)
+void refillBuckets(EventLog& log, TimePoint now)
 {
     std::chrono::duration<double> passed = now - log.refilledAt;
     log.refilledAt = now;
-    for (auto& it : log.allowances)
-        it.lines = std::min(it.perSecond * kBurstSeconds, it.lines + it.perSecond * std::min(passed.count(), static_cast<double>(kBurstSeconds)));
+    for (auto& it : log.buckets)
+        it.tokens = std::min(it.refillPerSecond * kBurstSeconds, it.tokens + it.refillPerSecond * std::min(passed.count(), static_cast<double>(kBurstSeconds)));
 }
 
 std::string formatValue(const LogField& field)
@@ -83,7 +83,7 @@
 }
 
 // Only ever writes as much as the reader takes now.
-void writeOut(EventLog& log)
+void writeBuffer(EventLog& log)
 {
     while (!log.buffer.empty()) {
         auto n = ::write(STDOUT_FILENO, log.buffer.data(), log.buffer.size());
@@ -96,7 +96,7 @@
 bool append(EventLog& log, std::string line)
 {
     if (log.buffer.size() + line.size() > static_cast<size_t>(log.budget.bufferBytes))
-        writeOut(log);
+        writeBuffer(log);
     if (log.buffer.size() + line.size() > static_cast<size_t>(log.budget.bufferBytes))
         return false;
     log.buffer += line;
@@ -106,15 +106,15 @@
 
 }
 
-void beginEventLog(std::string host, const LogBudget& budget)
+void openEventLog(std::string host, const LogBudget& budget)
 {
     auto& log = getLog();
     std::lock_guard lock(log.mutex);
     log.host = std::move(host);
     log.budget = budget;
-    applyBudget(log);
+    setRefillRates(log);
     log.refilledAt = Clock::now() - std::chrono::seconds(kBurstSeconds);
-    log.isBegun = true;
+    log.isOpen = true;
     ::fcntl(STDOUT_FILENO, F_SETFL, ::fcntl(STDOUT_FILENO, F_GETFL) | O_NONBLOCK);
 }
 
@@ -123,19 +123,19 @@
     auto& log = getLog();
     std::lock_guard lock(log.mutex);
     log.budget = budget;
-    applyBudget(log);
+    setRefillRates(log);
 }
 
 bool hasLogBudget(LogClass logClass)
 {
     auto& log = getLog();
     std::lock_guard lock(log.mutex);
-    if (!log.isBegun)
+    if (!log.isOpen)
         return false;
-    refill(log, Clock::now());
-    bool has = log.allowances[static_cast<size_t>(logClass)].lines >= 1;
+    refillBuckets(log, Clock::now());
+    bool has = log.buckets[static_cast<size_t>(logClass)].tokens >= 1;
     if (!has)
-        ++log.leftOut;
+        ++log.droppedLines;
     return has;
 }
 
@@ -143,38 +143,38 @@
 {
     auto& log = getLog();
     std::lock_guard lock(log.mutex);
-    if (!log.isBegun)
+    if (!log.isOpen)
         return;
-    refill(log, Clock::now());
-    auto& allowance = log.allowances[static_cast<size_t>(logClass)];
-    if (allowance.lines < 1 || !append(log, formatLine(log.host, event, fields))) {
-        ++log.leftOut;
+    refillBuckets(log, Clock::now());
+    auto& bucket = log.buckets[static_cast<size_t>(logClass)];
+    if (bucket.tokens < 1 || !append(log, formatLine(log.host, event, fields))) {
+        ++log.droppedLines;
         return;
     }
-    allowance.lines -= 1;
+    bucket.tokens -= 1;
 }
 
 void flushEventLog()
 {
     auto& log = getLog();
     std::lock_guard lock(log.mutex);
-    if (!log.isBegun)
+    if (!log.isOpen)
         return;
     auto now = Clock::now();
-    if (log.leftOut > log.leftOutSaid && now - log.leftOutSaidAt >= kLeftOutInterval) {
-        log.leftOutSaidAt = now;
-        auto n = static_cast<int64_t>(log.leftOut - log.leftOutSaid);
+    if (log.droppedLines > log.reportedDrops && now - log.dropsReportedAt >= kDropReportInterval) {
+        log.dropsReportedAt = now;
+        auto n = static_cast<int64_t>(log.droppedLines - log.reportedDrops);
         if (append(log, formatLine(log.host, "lines-left-out", { { "lines", n } })))
-            log.leftOutSaid = log.leftOut;
+            log.reportedDrops = log.droppedLines;
     }
-    writeOut(log);
+    writeBuffer(log);
 }
 
-LogCounts getLogCounts()
+LogLineCounts getLogCounts()
 {
     auto& log = getLog();
     std::lock_guard lock(log.mutex);
-    return { log.written, log.leftOut };
+    return { log.written, log.droppedLines };
 }
 
 }
--- a/src/base/event_log.h
+++ b/src/base/event_log.h
@@ -27,7 +27,7 @@
 };
 
 // Call once, before the first event. Makes standard output non-blocking.
-void beginEventLog(std::string host, const LogBudget& budget);
+void openEventLog(std::string host, const LogBudget& budget);
 void setLogBudget(const LogBudget& budget);
 // Writes {"t":steady ms,"wall":"...","host":...,"event":kind,...fields}. Any thread.
 void logEvent(LogClass logClass, std::string_view event, std::initializer_list<LogField> fields);
@@ -36,10 +36,10 @@
 // Writes out what it can. Call before the process ends.
 void flushEventLog();
 
-struct LogCounts {
+struct LogLineCounts {
     uint64_t written { 0 }; // lines
-    uint64_t leftOut { 0 }; // lines, over budget or over the buffer
+    uint64_t droppedLines { 0 }; // lines, over budget or over the buffer
 };
-LogCounts getLogCounts();
+LogLineCounts getLogCounts();
 
 }
--- a/src/daemon/gateway.cpp
+++ b/src/daemon/gateway.cpp
@@ -80,7 +80,7 @@
         return 0;
     }
     ::signal(SIGPIPE, SIG_IGN);
-    base::beginEventLog(settings->name, { settings->logLinesPerSecond, settings->logBufferKb * 1024 });
+    base::openEventLog(settings->name, { settings->logLinesPerSecond, settings->logBufferKb * 1024 });
     asio::io_context context(1);
     auto timers = base::makeTimerService();
     auto adapter = platform::makeAdapter(context.get_executor(), { settings->storeAddress, settings->ordersAddress });
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -112,7 +112,7 @@
     base::setTo(Family::InvariantViolations, {}, static_cast<double>(base::getCount(base::Counter::InvariantViolations)));
     auto lines = base::getLogCounts();
     base::setTo(Family::LogLines, { { "result", "written" } }, static_cast<double>(lines.written));
-    base::setTo(Family::LogLines, { { "result", "left-out" } }, static_cast<double>(lines.leftOut));
+    base::setTo(Family::LogLines, { { "result", "left-out" } }, static_cast<double>(lines.droppedLines));
     base::measureProcess();
 }
 
