--- a/src/base/families.cpp
+++ b/src/base/families.cpp
@@ -13,33 +13,33 @@
 
 namespace {
 
-constexpr std::array kRows {
-    FamilyRow { Family::Statements, "alderward_statements_total", FamilyType::Counter, "database,kind,outcome", "callers' statements by outcome" },
-    FamilyRow { Family::StatementSeconds, "alderward_statement_seconds", FamilyType::Histogram, "database,kind", "from a statement's arrival to its answer" },
-    FamilyRow { Family::QueueSeconds, "alderward_queue_seconds", FamilyType::Histogram, "member", "from an order's arrival at its carrier until it is sent" },
-    FamilyRow { Family::TargetSeconds, "alderward_target_seconds", FamilyType::Histogram, "member", "from sending a statement to a target until its answer" },
-    FamilyRow { Family::ConnectionsOpened, "alderward_connections_opened_total", FamilyType::Counter, "member,result", "connections to targets that were tried" },
-    FamilyRow { Family::ConnectionsClosed, "alderward_connections_closed_total", FamilyType::Counter, "member", "connections to targets that ended" },
-    FamilyRow { Family::ConnectionsGivenUp, "alderward_connections_given_up_total", FamilyType::Counter, "member", "connections of one client account closed to make room for one of another" },
-    FamilyRow { Family::QuotaRefused, "alderward_quota_refused_total", FamilyType::Counter, "reason", "operations of client accounts refused because of their quotas" },
-    FamilyRow { Family::StoreCalls, "alderward_store_calls_total", FamilyType::Counter, "call,result", "calls to the platform's store" },
-    FamilyRow { Family::StoreSeconds, "alderward_store_seconds", FamilyType::Histogram, "call", "calls to the platform's store, watches apart" },
-    FamilyRow { Family::EntriesRefused, "alderward_entries_refused_total", FamilyType::Counter, "result", "entries in the store that could not be used: members, hosts, successions" },
-    FamilyRow { Family::PromotionOrders, "alderward_promotion_orders_total", FamilyType::Counter, "group,result", "orders to make a member the primary" },
-    FamilyRow { Family::HostChanges, "alderward_host_changes_total", FamilyType::Counter, "peer,change", "other hosts lost and regained" },
-    FamilyRow { Family::PoolConnections, "alderward_pool_connections", FamilyType::Gauge, "member", "open connections to a target" },
-    FamilyRow { Family::PoolWaiting, "alderward_pool_waiting", FamilyType::Gauge, "member", "orders that wait for a turn" },
-    FamilyRow { Family::PoolRunning, "alderward_pool_running", FamilyType::Gauge, "member", "orders at the target" },
-    FamilyRow { Family::FloorAge, "alderward_floor_age_seconds", FamilyType::Gauge, "group", "age of the newest floor for reads" },
-    FamilyRow { Family::Term, "alderward_term", FamilyType::Gauge, "group", "newest term that was heard of" },
-    FamilyRow { Family::LeavingPrimary, "alderward_leaving_primary_seconds", FamilyType::Gauge, "group", "how long this host has known that the group's primary leaves; no value: it does not" },
-    FamilyRow { Family::ConfigurationVersion, "alderward_configuration_version", FamilyType::Gauge, "", "version in force" },
-    FamilyRow { Family::Sessions, "alderward_sessions", FamilyType::Gauge, "", "callers' sessions" },
-    FamilyRow { Family::Ready, "alderward_ready", FamilyType::Gauge, "", "1 if this host takes callers" },
-    FamilyRow { Family::InvariantViolations, "alderward_invariant_violations_total", FamilyType::Counter, "", "rules of the program itself that were found broken; any is a bug (event invariant-broken)" },
-    FamilyRow { Family::LogLines, "alderward_log_lines", FamilyType::Gauge, "result", "log lines since the start, written and left out" },
-    FamilyRow { Family::ResidentBytes, "process_resident_memory_bytes", FamilyType::Gauge, "", "resident memory" },
-    FamilyRow { Family::CpuSeconds, "process_cpu_seconds", FamilyType::Gauge, "", "processor time since the start" },
+constexpr std::array kFamilies {
+    MetricFamilyInfo { MetricFamily::Statements, "alderward_statements_total", MetricType::Counter, "database,kind,outcome", "callers' statements by outcome" },
+    MetricFamilyInfo { MetricFamily::StatementSeconds, "alderward_statement_seconds", MetricType::Histogram, "database,kind", "from a statement's arrival to its answer" },
+    MetricFamilyInfo { MetricFamily::QueueSeconds, "alderward_queue_seconds", MetricType::Histogram, "member", "from an order's arrival at its carrier until it is sent" },
+    MetricFamilyInfo { MetricFamily::TargetSeconds, "alderward_target_seconds", MetricType::Histogram, "member", "from sending a statement to a target until its answer" },
+    MetricFamilyInfo { MetricFamily::ConnectionsOpened, "alderward_connections_opened_total", MetricType::Counter, "member,result", "connections to targets that were tried" },
+    MetricFamilyInfo { MetricFamily::ConnectionsClosed, "alderward_connections_closed_total", MetricType::Counter, "member", "connections to targets that ended" },
+    MetricFamilyInfo { MetricFamily::ConnectionsGivenUp, "alderward_connections_given_up_total", MetricType::Counter, "member", "connections of one client account closed to make room for one of another" },
+    MetricFamilyInfo { MetricFamily::QuotaRefused, "alderward_quota_refused_total", MetricType::Counter, "reason", "operations of client accounts refused because of their quotas" },
+    MetricFamilyInfo { MetricFamily::StoreCalls, "alderward_store_calls_total", MetricType::Counter, "call,result", "calls to the platform's store" },
+    MetricFamilyInfo { MetricFamily::StoreSeconds, "alderward_store_seconds", MetricType::Histogram, "call", "calls to the platform's store, watches apart" },
+    MetricFamilyInfo { MetricFamily::EntriesRefused, "alderward_entries_refused_total", MetricType::Counter, "result", "entries in the store that could not be used: members, hosts, successions" },
+    MetricFamilyInfo { MetricFamily::PromotionOrders, "alderward_promotion_orders_total", MetricType::Counter, "group,result", "orders to make a member the primary" },
+    MetricFamilyInfo { MetricFamily::HostChanges, "alderward_host_changes_total", MetricType::Counter, "peer,change", "other hosts lost and regained" },
+    MetricFamilyInfo { MetricFamily::PoolConnections, "alderward_pool_connections", MetricType::Gauge, "member", "open connections to a target" },
+    MetricFamilyInfo { MetricFamily::PoolWaiting, "alderward_pool_waiting", MetricType::Gauge, "member", "orders that wait for a turn" },
+    MetricFamilyInfo { MetricFamily::PoolRunning, "alderward_pool_running", MetricType::Gauge, "member", "orders at the target" },
+    MetricFamilyInfo { MetricFamily::FloorAge, "alderward_floor_age_seconds", MetricType::Gauge, "group", "age of the newest floor for reads" },
+    MetricFamilyInfo { MetricFamily::Term, "alderward_term", MetricType::Gauge, "group", "newest term that was heard of" },
+    MetricFamilyInfo { MetricFamily::LeavingPrimary, "alderward_leaving_primary_seconds", MetricType::Gauge, "group", "how long this host has known that the group's primary leaves; no value: it does not" },
+    MetricFamilyInfo { MetricFamily::ConfigurationVersion, "alderward_configuration_version", MetricType::Gauge, "", "version in force" },
+    MetricFamilyInfo { MetricFamily::Sessions, "alderward_sessions", MetricType::Gauge, "", "callers' sessions" },
+    MetricFamilyInfo { MetricFamily::Ready, "alderward_ready", MetricType::Gauge, "", "1 if this host takes callers" },
+    MetricFamilyInfo { MetricFamily::InvariantViolations, "alderward_invariant_violations_total", MetricType::Counter, "", "rules of the program itself that were found broken; any is a bug (event invariant-broken)" },
+    MetricFamilyInfo { MetricFamily::LogLines, "alderward_log_lines", MetricType::Gauge, "result", "log lines since the start, written and left out" },
+    MetricFamilyInfo { MetricFamily::ResidentBytes, "process_resident_memory_bytes", MetricType::Gauge, "", "resident memory" },
+    MetricFamilyInfo { MetricFamily::CpuSeconds, "process_cpu_seconds", MetricType::Gauge, "", "processor time since the start" },
 };
 
 // Seconds. From an answer within a data centre to a caller's longest deadline, each about twice the one before.
@@ -51,18 +51,18 @@
     std::vector<uint64_t> buckets;
 };
 
-struct Store {
+struct MetricRegistry {
     std::mutex mutex;
-    std::array<std::map<std::string, Series>, static_cast<size_t>(Family::Count)> series;
+    std::array<std::map<std::string, Series>, static_cast<size_t>(MetricFamily::Count)> series;
 };
 
-Store& getStore()
+MetricRegistry& getRegistry()
 {
-    static Store store;
-    return store;
+    static MetricRegistry registry;
+    return registry;
 }
 
-std::string escape(std::string_view value)
+std::string escapeLabelValue(std::string_view value)
 {
     std::string escaped;
     for (char c : value) {
@@ -78,62 +78,62 @@
 {
     std::string text;
     for (auto& it : labels)
-        text += fmt::format("{}{}=\"{}\"", text.empty() ? "" : ",", it.name, escape(it.value));
+        text += fmt::format("{}{}=\"{}\"", text.empty() ? "" : ",", it.name, escapeLabelValue(it.value));
     return text;
 }
 
-Series& find(Store& store, Family family, std::initializer_list<Label> labels)
+Series& findOrAddSeries(MetricRegistry& registry, MetricFamily family, std::initializer_list<Label> labels)
 {
-    return store.series[static_cast<size_t>(family)][formatLabels(labels)];
+    return registry.series[static_cast<size_t>(family)][formatLabels(labels)];
 }
 
-std::string brace(const std::string& labels, const std::string& more = {})
+std::string formatLabelSet(const std::string& labels, const std::string& extraLabel = {})
 {
-    auto joined = labels + (labels.empty() || more.empty() ? "" : ",") + more;
+    auto joined = labels + (labels.empty() || extraLabel.empty() ? "" : ",") + extraLabel;
     return joined.empty() ? "" : "{" + joined + "}";
 }
 
-void formatHistogram(std::string& text, const FamilyRow& row, const std::string& labels, const Series& series)
+void formatHistogram(std::string& text, const MetricFamilyInfo& row, const std::string& labels, const Series& series)
 {
     for (size_t i = 0; i < kBuckets.size(); ++i)
-        text += fmt::format("{}_bucket{} {}\n", row.name, brace(labels, fmt::format("le=\"{}\"", kBuckets[i])), series.buckets[i]);
-    text += fmt::format("{}_bucket{} {}\n", row.name, brace(labels, "le=\"+Inf\""), series.count);
-    text += fmt::format("{}_sum{} {}\n{}_count{} {}\n", row.name, brace(labels), series.value, row.name, brace(labels), series.count);
+        text += fmt::format("{}_bucket{} {}\n", row.name, formatLabelSet(labels, fmt::format("le=\"{}\"", kBuckets[i])), series.buckets[i]);
+    text += fmt::format("{}_bucket{} {}\n", row.name, formatLabelSet(labels, "le=\"+Inf\""), series.count);
+    text += fmt::format("{}_sum{} {}\n{}_count{} {}\n", row.name, formatLabelSet(labels), series.value, row.name, formatLabelSet(labels), series.count);
 }
 
 }
 
-std::span<const FamilyRow> getFamilies()
+std::span<const MetricFamilyInfo> getMetricFamilies()
 {
-    return kRows;
+    return kFamilies;
 }
 
-void addTo(Family family, std::initializer_list<Label> labels, double n)
+void incrementCounter(MetricFamily family, std::initializer_list<Label> labels, double n)
 {
-    auto& store = getStore();
-    std::lock_guard lock(store.mutex);
-    find(store, family, labels).value += n;
+    auto& registry = getRegistry();
+    std::lock_guard lock(registry.mutex);
+    findOrAddSeries(registry, family, labels).value += n;
 }
 
-void setTo(Family family, std::initializer_list<Label> labels, double value)
+void setGauge(MetricFamily family, std::initializer_list<Label> labels, double value)
 {
-    auto& store = getStore();
-    std::lock_guard lock(store.mutex);
-    find(store, family, labels).value = value;
+    auto& registry = getRegistry();
+    std::lock_guard lock(registry.mutex);
+    findOrAddSeries(registry, family, labels).value = value;
 }
 
-void clear(Family family)
+void clearMetric(MetricFamily family)
 {
-    auto& store = getStore();
-    std::lock_guard lock(store.mutex);
-    store.series[static_cast<size_t>(family)].clear();
+    auto& registry = getRegistry();
+    std::lock_guard lock(registry.mutex);
+    registry.series[static_cast<size_t>(family)].clear();
 }
 
-void observe(Family family, std::initializer_list<Label> labels, double seconds)
+void observeHistogram(MetricFamily family, std::initializer_list<Label> labels, double seconds)
 {
-    auto& store = getStore();
-    std::lock_guard lock(store.mutex);
-    auto& series = find(store, family, labels);
+    auto& registry = getRegistry();
+    std::lock_guard lock(registry.mutex);
+    auto& series = findOrAddSeries(registry, family, labels);
     series.buckets.resize(kBuckets.size());
     series.value += seconds;
     ++series.count;
@@ -141,33 +141,33 @@
         series.buckets[i] += seconds <= kBuckets[i] ? 1 : 0;
 }
 
-void measureProcess()
+void updateProcessMetrics()
 {
     std::ifstream file("/proc/self/statm");
     uint64_t total = 0;
     uint64_t resident = 0;
     file >> total >> resident;
-    setTo(Family::ResidentBytes, {}, static_cast<double>(resident) * static_cast<double>(sysconf(_SC_PAGESIZE)));
+    setGauge(MetricFamily::ResidentBytes, {}, static_cast<double>(resident) * static_cast<double>(sysconf(_SC_PAGESIZE)));
     rusage usage {};
     if (getrusage(RUSAGE_SELF, &usage) == 0) {
         auto seconds = [](const timeval& it) { return static_cast<double>(it.tv_sec) + static_cast<double>(it.tv_usec) / 1e6; };
-        setTo(Family::CpuSeconds, {}, seconds(usage.ru_utime) + seconds(usage.ru_stime));
+        setGauge(MetricFamily::CpuSeconds, {}, seconds(usage.ru_utime) + seconds(usage.ru_stime));
     }
 }
 
-std::string formatFamilies()
+std::string formatMetricFamilies()
 {
-    auto& store = getStore();
-    std::lock_guard lock(store.mutex);
+    auto& registry = getRegistry();
+    std::lock_guard lock(registry.mutex);
     std::string text;
     static constexpr std::array types { "counter", "gauge", "histogram" };
-    for (auto& row : kRows) {
+    for (auto& row : kFamilies) {
         text += fmt::format("# HELP {} {}\n# TYPE {} {}\n", row.name, row.help, row.name, types[static_cast<size_t>(row.type)]);
-        for (auto& [labels, series] : store.series[static_cast<size_t>(row.family)]) {
-            if (row.type == FamilyType::Histogram)
+        for (auto& [labels, series] : registry.series[static_cast<size_t>(row.family)]) {
+            if (row.type == MetricType::Histogram)
                 formatHistogram(text, row, labels, series);
             else
-                text += fmt::format("{}{} {}\n", row.name, brace(labels), series.value);
+                text += fmt::format("{}{} {}\n", row.name, formatLabelSet(labels), series.value);
         }
     }
     return text;
--- a/src/base/families.h
+++ b/src/base/families.h
@@ -10,11 +10,11 @@
 
 namespace alderward::base {
 
-enum class FamilyType { Counter,
+enum class MetricType { Counter,
     Gauge,
     Histogram };
 
-enum class Family {
+enum class MetricFamily {
     Statements,
     StatementSeconds,
     QueueSeconds,
@@ -44,28 +44,28 @@
     Count,
 };
 
-struct FamilyRow {
-    Family family;
+struct MetricFamilyInfo {
+    MetricFamily family;
     std::string_view name;
-    FamilyType type;
+    MetricType type;
     std::string_view labels; // comma-separated
     std::string_view help;
 };
 
-std::span<const FamilyRow> getFamilies();
+std::span<const MetricFamilyInfo> getMetricFamilies();
 
 struct Label {
     std::string_view name;
     std::string_view value;
 };
 
-void addTo(Family family, std::initializer_list<Label> labels, double n = 1);
-void setTo(Family family, std::initializer_list<Label> labels, double value);
+void incrementCounter(MetricFamily family, std::initializer_list<Label> labels, double n = 1);
+void setGauge(MetricFamily family, std::initializer_list<Label> labels, double value);
 // Forgets a gauge's values, before they are set anew.
-void clear(Family family);
-void observe(Family family, std::initializer_list<Label> labels, double seconds);
-std::string formatFamilies();
+void clearMetric(MetricFamily family);
+void observeHistogram(MetricFamily family, std::initializer_list<Label> labels, double seconds);
+std::string formatMetricFamilies();
 // Memory and processor time of this process.
-void measureProcess();
+void updateProcessMetrics();
 
 }
--- a/src/base/metrics.cpp
+++ b/src/base/metrics.cpp
@@ -12,16 +12,16 @@
 
 namespace acc = boost::accumulators;
 
-static constexpr size_t kCounters = static_cast<size_t>(Counter::Count);
-static constexpr size_t kLatencies = static_cast<size_t>(Latency::Count);
+static constexpr size_t kCounterCount = static_cast<size_t>(Counter::Count);
+static constexpr size_t kLatencyCount = static_cast<size_t>(Latency::Count);
 
-static constexpr std::array<const char*, kCounters> kCounterNames {
+static constexpr std::array<const char*, kCounterCount> kCounterNames {
     "requests", "requests_relayed", "relays_declined", "requests_refused", "requests_unknown", "reads_by_primary", "reads_by_replica",
     "writes", "writes_replayed", "transactions", "retries", "connections_opened", "connections_closed_late",
     "connections_refused", "probes", "probe_bytes", "confirmations", "confirmation_bytes", "promotions", "promotions_held_back", "exchanges",
     "exchange_bytes", "exchange_host_bytes", "exchange_record_bytes", "exchange_group_bytes", "relay_bytes", "platform_calls", "platform_bytes", "records_applied", "records_refused", "invariant_violations"
 };
-static constexpr std::array<const char*, kLatencies> kLatencyNames { "request", "read", "write", "connection_wait",
+static constexpr std::array<const char*, kLatencyCount> kLatencyNames { "request", "read", "write", "connection_wait",
     "confirmation" };
 static constexpr std::array kQuantiles { 0.5, 0.9, 0.99 };
 
@@ -32,11 +32,11 @@
     Quantiles quantiles { acc::tag::extended_p_square::probabilities = kQuantiles };
 };
 
-static std::array<std::atomic<uint64_t>, kCounters> counters {};
+static std::array<std::atomic<uint64_t>, kCounterCount> counters {};
 
 static LatencyMetric& getLatency(size_t index)
 {
-    static std::array<LatencyMetric, kLatencies> latencies;
+    static std::array<LatencyMetric, kLatencyCount> latencies;
     return latencies[index];
 }
 
@@ -60,9 +60,9 @@
 std::string formatMetrics()
 {
     std::string text;
-    for (size_t i = 0; i < kCounters; ++i)
+    for (size_t i = 0; i < kCounterCount; ++i)
         text += fmt::format("# TYPE alderward_{0}_total counter\nalderward_{0}_total {1}\n", kCounterNames[i], counters[i].load());
-    for (size_t i = 0; i < kLatencies; ++i) {
+    for (size_t i = 0; i < kLatencyCount; ++i) {
         auto& metric = getLatency(i);
         std::lock_guard lock(metric.mutex);
         text += fmt::format("# TYPE alderward_{}_ms summary\n", kLatencyNames[i]);
--- a/src/gateway/directory.cpp
+++ b/src/gateway/directory.cpp
@@ -478,7 +478,7 @@
 // A line a change, not a heartbeat: the store tells of an entry when more than its count has changed.
 void Directory::noteUnreadable(const links::StoreItem& item, const std::string& reason)
 {
-    base::addTo(base::Family::EntriesRefused, { { "result", "unreadable" } });
+    base::incrementCounter(base::MetricFamily::EntriesRefused, { { "result", "unreadable" } });
     base::logEvent(LogClass::State, "entry-unreadable", { { "key", std::string_view(item.key) }, { "reason", std::string_view(reason) }, { "revision", static_cast<int64_t>(item.revision) } });
 }
 
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -72,7 +72,7 @@
             measure();
             links::HttpAnswer answer;
             answer.contentType = "text/plain; version=0.0.4";
-            answer.body = base::formatFamilies();
+            answer.body = base::formatMetricFamilies();
             co_return answer;
         });
         if (!metrics)
@@ -88,32 +88,32 @@
 // Gauges are set when somebody asks for them.
 void Gateway::measure() const
 {
-    using base::Family;
+    using base::MetricFamily;
     auto now = Clock::now();
-    for (auto family : { Family::PoolConnections, Family::PoolWaiting, Family::PoolRunning, Family::FloorAge, Family::Term, Family::LeavingPrimary })
-        base::clear(family);
+    for (auto family : { MetricFamily::PoolConnections, MetricFamily::PoolWaiting, MetricFamily::PoolRunning, MetricFamily::FloorAge, MetricFamily::Term, MetricFamily::LeavingPrimary })
+        base::clearMetric(family);
     for (auto& [member, pool] : m_pools) {
         auto load = pool->getLoad();
-        base::setTo(Family::PoolConnections, { { "member", member } }, static_cast<double>(pool->getOpen()));
-        base::setTo(Family::PoolWaiting, { { "member", member } }, load.waiting);
-        base::setTo(Family::PoolRunning, { { "member", member } }, load.running);
+        base::setGauge(MetricFamily::PoolConnections, { { "member", member } }, static_cast<double>(pool->getOpen()));
+        base::setGauge(MetricFamily::PoolWaiting, { { "member", member } }, load.waiting);
+        base::setGauge(MetricFamily::PoolRunning, { { "member", member } }, load.running);
     }
     for (auto& [name, group] : m_view.groups) {
-        base::setTo(Family::Term, { { "group", name } }, static_cast<double>(group.lead.term));
+        base::setGauge(MetricFamily::Term, { { "group", name } }, static_cast<double>(group.lead.term));
         if (!group.floors.isEmpty())
-            base::setTo(Family::FloorAge, { { "group", name } }, std::chrono::duration<double>(now - group.floors.floors.back().since).count());
+            base::setGauge(MetricFamily::FloorAge, { { "group", name } }, std::chrono::duration<double>(now - group.floors.floors.back().since).count());
         auto primary = m_view.members.find(group.lead.member);
         if (primary != m_view.members.end() && primary->second.leavingSince)
-            base::setTo(Family::LeavingPrimary, { { "group", name } }, std::chrono::duration<double>(now - *primary->second.leavingSince).count());
+            base::setGauge(MetricFamily::LeavingPrimary, { { "group", name } }, std::chrono::duration<double>(now - *primary->second.leavingSince).count());
     }
-    base::setTo(Family::ConfigurationVersion, {}, static_cast<double>(m_view.configuration.version));
-    base::setTo(Family::Sessions, {}, static_cast<double>(m_sessions.size()));
-    base::setTo(Family::Ready, {}, isReady() ? 1 : 0);
-    base::setTo(Family::InvariantViolations, {}, static_cast<double>(base::getCount(base::Counter::InvariantViolations)));
+    base::setGauge(MetricFamily::ConfigurationVersion, {}, static_cast<double>(m_view.configuration.version));
+    base::setGauge(MetricFamily::Sessions, {}, static_cast<double>(m_sessions.size()));
+    base::setGauge(MetricFamily::Ready, {}, isReady() ? 1 : 0);
+    base::setGauge(MetricFamily::InvariantViolations, {}, static_cast<double>(base::getCount(base::Counter::InvariantViolations)));
     auto lines = base::getLogCounts();
-    base::setTo(Family::LogLines, { { "result", "written" } }, static_cast<double>(lines.written));
-    base::setTo(Family::LogLines, { { "result", "left-out" } }, static_cast<double>(lines.droppedLines));
-    base::measureProcess();
+    base::setGauge(MetricFamily::LogLines, { { "result", "written" } }, static_cast<double>(lines.written));
+    base::setGauge(MetricFamily::LogLines, { { "result", "left-out" } }, static_cast<double>(lines.droppedLines));
+    base::updateProcessMetrics();
 }
 
 asio::awaitable<links::HttpAnswer> Gateway::answerReady(links::HttpRequest request)
@@ -364,7 +364,7 @@
     service.answerQuotaAsk = [this](const peer::QuotaAsk& ask) { return m_quotas.answerAsk(ask); };
     service.onQuotaState = [this](const std::string& host, const peer::QuotaState& state) { m_quotas.takeState(host, state); };
     service.onQuotaAnswer = [this](const std::string& host, const peer::QuotaAnswer& answer) { m_quotas.takeAnswer(host, answer); };
-    service.onLink = [](const std::string& host, bool isUp, const std::string& reason) { base::addTo(base::Family::HostChanges, {{"peer", host}, {"change", isUp ? "regained" : "lost"}}); base::logEvent(LogClass::State, isUp ? "host-regained" : "host-lost", { { "peer", std::string_view(host) }, { "reason", std::string_view(reason) } }); };
+    service.onLink = [](const std::string& host, bool isUp, const std::string& reason) { base::incrementCounter(base::MetricFamily::HostChanges, {{"peer", host}, {"change", isUp ? "regained" : "lost"}}); base::logEvent(LogClass::State, isUp ? "host-regained" : "host-lost", { { "peer", std::string_view(host) }, { "reason", std::string_view(reason) } }); };
     return service;
 }
 
--- a/src/gateway/promoter.cpp
+++ b/src/gateway/promoter.cpp
@@ -106,7 +106,7 @@
     // Whoever starts now finds none and would begin with token 1: those who know the last one write the next.
     state.mustRenew = item.isDeleted || !succession;
     if (state.mustRenew) {
-        base::addTo(base::Family::EntriesRefused, { { "result", item.isDeleted ? "gone" : "unreadable" } });
+        base::incrementCounter(base::MetricFamily::EntriesRefused, { { "result", item.isDeleted ? "gone" : "unreadable" } });
         base::logEvent(LogClass::State, "entry-unreadable", { { "key", std::string_view(item.key) }, { "reason", item.isDeleted ? std::string_view("a record of who may order is gone") : std::string_view("no record of who may order") }, { "revision", static_cast<int64_t>(item.revision) } });
         return;
     }
@@ -426,7 +426,7 @@
         static constexpr std::array names { "done", "outranked", "not-running", "busy", "unknown" };
         std::chrono::duration<double, std::milli> took = Clock::now() - askedAt;
         base::logEvent(LogClass::State, "promotion-ordered", { { "group", std::string_view(group) }, { "member", std::string_view(member) }, { "token", static_cast<int64_t>(*token) }, { "result", std::string_view(names[static_cast<size_t>(result)]) }, { "ms", took.count() } });
-        base::addTo(base::Family::PromotionOrders, { { "group", group }, { "result", names[static_cast<size_t>(result)] } });
+        base::incrementCounter(base::MetricFamily::PromotionOrders, { { "group", group }, { "result", names[static_cast<size_t>(result)] } });
         // One without an answer may yet be carried out, unless a deputy's higher token comes in between: that is no reason to leave it to others.
         m_ordersLostAt = result == PromotionResult::Busy ? Clock::now() : TimePoint {};
         bool isDone = result == PromotionResult::Done;
--- a/src/gateway/quota_exchange.cpp
+++ b/src/gateway/quota_exchange.cpp
@@ -164,7 +164,7 @@
 void QuotaExchange::refuse(const std::string& account, std::string_view reason, milliseconds comeBack, const QuotaDone& done) const
 {
     auto spread = decisions::spreadRetryAfter(std::max(comeBack, milliseconds(1)), base::getRandom());
-    base::addTo(base::Family::QuotaRefused, { { "reason", reason } });
+    base::incrementCounter(base::MetricFamily::QuotaRefused, { { "reason", reason } });
     done(decisions::Error { ErrorKind::QuotaExceeded, fmt::format("client account {}: {}; come back in {} ms", account, reason, spread.count()), spread });
 }
 
--- a/src/gateway/statement_router.cpp
+++ b/src/gateway/statement_router.cpp
@@ -254,8 +254,8 @@
     std::chrono::duration<double, std::milli> took = Clock::now() - routed.arrivedAt;
     std::string_view kind = routed.order.statement.kind == StatementKind::Commit ? "commit" : routed.order.statement.isWrite ? "write"
                                                                                                                              : "read";
-    base::addTo(base::Family::Statements, { { "database", routed.route.database }, { "kind", kind }, { "outcome", outcome.error ? decisions::getErrorRow(outcome.error->kind).name : "served" } });
-    base::observe(base::Family::StatementSeconds, { { "database", routed.route.database }, { "kind", kind } }, took.count() / 1000);
+    base::incrementCounter(base::MetricFamily::Statements, { { "database", routed.route.database }, { "kind", kind }, { "outcome", outcome.error ? decisions::getErrorRow(outcome.error->kind).name : "served" } });
+    base::observeHistogram(base::MetricFamily::StatementSeconds, { { "database", routed.route.database }, { "kind", kind } }, took.count() / 1000);
     bool isLate = Clock::now() > routed.order.objective;
     auto logClass = outcome.error || isLate ? LogClass::Failure : LogClass::Request;
     if (base::hasLogBudget(logClass)) {
--- a/src/gateway/target_pool.cpp
+++ b/src/gateway/target_pool.cpp
@@ -244,8 +244,8 @@
 // Nothing runs on it.
 void TargetPool::giveUp(const SessionPtr& session)
 {
-    base::addTo(base::Family::ConnectionsClosed, { { "member", m_target.member } });
-    base::addTo(base::Family::ConnectionsGivenUp, { { "member", m_target.member } });
+    base::incrementCounter(base::MetricFamily::ConnectionsClosed, { { "member", m_target.member } });
+    base::incrementCounter(base::MetricFamily::ConnectionsGivenUp, { { "member", m_target.member } });
     session->close();
     std::erase(m_sessions, SessionPtr(session));
 }
@@ -321,7 +321,7 @@
     --m_opening;
     if (--m_openingFor[session->account] == 0)
         m_openingFor.erase(session->account);
-    base::addTo(base::Family::ConnectionsOpened, { { "member", m_target.member }, { "result", outcome.error ? decisions::getErrorRow(outcome.error->kind).name : "opened" } });
+    base::incrementCounter(base::MetricFamily::ConnectionsOpened, { { "member", m_target.member }, { "result", outcome.error ? decisions::getErrorRow(outcome.error->kind).name : "opened" } });
     m_isSuspect = outcome.error.has_value();
     if (outcome.error) {
         bool isRefused = outcome.error->kind == ErrorKind::TooManyConnections;
@@ -351,7 +351,7 @@
 void TargetPool::start(const JobPtr& job, const SessionPtr& session)
 {
     job->startedAt = Clock::now();
-    base::observe(base::Family::QueueSeconds, { { "member", m_target.member } }, std::chrono::duration<double>(job->startedAt - job->submittedAt).count());
+    base::observeHistogram(base::MetricFamily::QueueSeconds, { { "member", m_target.member } }, std::chrono::duration<double>(job->startedAt - job->submittedAt).count());
     bool isOwn = job->order.kind == OrderKind::Continue;
     base::checkInvariant(!session->isBusy && (session->transaction != 0) == isOwn, "a connection was given away that somebody else holds", m_target.member);
     session->isBusy = true;
@@ -492,7 +492,7 @@
     if (session->isOpen()) {
         std::chrono::duration<double, std::milli> took = Clock::now() - job->startedAt;
         m_answeredAt = Clock::now();
-        base::observe(base::Family::TargetSeconds, { { "member", m_target.member } }, took.count() / 1000);
+        base::observeHistogram(base::MetricFamily::TargetSeconds, { { "member", m_target.member } }, took.count() / 1000);
         m_observer.onAnswer(m_target);
         if (outcome.position.term != 0)
             m_observer.onPosition(m_target, outcome.position);
@@ -561,7 +561,7 @@
     if (it == m_sessions.end())
         return;
     m_sessions.erase(it);
-    base::addTo(base::Family::ConnectionsClosed, { { "member", m_target.member } });
+    base::incrementCounter(base::MetricFamily::ConnectionsClosed, { { "member", m_target.member } });
     closeTransaction(session);
     bool wasAsked = session->getPending() > 0;
     auto askedAt = session->getAskedAt();
--- a/tests/unit/gateway_decisions_test.cpp
+++ b/tests/unit/gateway_decisions_test.cpp
@@ -462,14 +462,14 @@
 BOOST_AUTO_TEST_CASE(every_metric_is_documented_and_named_after_the_conventions)
 {
     auto page = readPage("docs/METRICS.md");
-    for (auto& it : base::getFamilies()) {
+    for (auto& it : base::getMetricFamilies()) {
         BOOST_TEST(page.find(fmt::format("| `{}` |", it.name)) != std::string::npos, it.name << " is not in docs/METRICS.md");
         BOOST_TEST(std::regex_match(std::string(it.name), std::regex("[a-z][a-z0-9_]*")));
-        BOOST_TEST((it.type != base::FamilyType::Counter || it.name.ends_with("_total")), it.name);
+        BOOST_TEST((it.type != base::MetricType::Counter || it.name.ends_with("_total")), it.name);
     }
-    base::addTo(base::Family::StoreCalls, { { "call", "get" }, { "result", "a\"b\\" } });
-    base::observe(base::Family::StoreSeconds, { { "call", "get" } }, 0.02);
-    auto text = base::formatFamilies();
+    base::incrementCounter(base::MetricFamily::StoreCalls, { { "call", "get" }, { "result", "a\"b\\" } });
+    base::observeHistogram(base::MetricFamily::StoreSeconds, { { "call", "get" } }, 0.02);
+    auto text = base::formatMetricFamilies();
     BOOST_TEST(text.find("alderward_store_calls_total{call=\"get\",result=\"a\\\"b\\\\\"} 1") != std::string::npos);
     BOOST_TEST(text.find("alderward_store_seconds_bucket{call=\"get\",le=\"0.01\"} 0") != std::string::npos);
     BOOST_TEST(text.find("alderward_store_seconds_bucket{call=\"get\",le=\"+Inf\"} 1") != std::string::npos);
