--- a/src/base/contexts.cpp
+++ b/src/base/contexts.cpp
@@ -3,7 +3,7 @@
 
 namespace alderward::base {
 
-Contexts::Contexts(int threads)
+IoContextPool::IoContextPool(int threads)
 {
     for (int i = 0; i < threads; ++i) {
         m_contexts.push_back(std::make_unique<boost::asio::io_context>(1));
@@ -11,12 +11,12 @@
     }
 }
 
-boost::asio::io_context& Contexts::getNext()
+boost::asio::io_context& IoContextPool::getNext()
 {
     return *m_contexts[m_next.fetch_add(1, std::memory_order_relaxed) % m_contexts.size()];
 }
 
-void Contexts::run()
+void IoContextPool::run()
 {
     std::vector<std::jthread> threads;
     for (size_t i = 1; i < m_contexts.size(); ++i)
@@ -24,7 +24,7 @@
     m_contexts.front()->run();
 }
 
-void Contexts::stop()
+void IoContextPool::stop()
 {
     for (auto& it : m_contexts)
         it->stop();
--- a/src/base/contexts.h
+++ b/src/base/contexts.h
@@ -9,9 +9,9 @@
 
 namespace alderward::base {
 
-class Contexts {
+class IoContextPool {
 public:
-    explicit Contexts(int threads);
+    explicit IoContextPool(int threads);
     // The next one in turn. Any thread.
     boost::asio::io_context& getNext();
     // Runs them all; returns after stop(). The calling thread is one of them.
--- a/src/controllers/node.h
+++ b/src/controllers/node.h
@@ -10,7 +10,7 @@
 
 struct Node {
     const base::Settings& settings;
-    base::Contexts& contexts;
+    base::IoContextPool& contexts;
     base::TimerService& timers;
     links::PeerClient& peers;
     links::PlatformClient platform;
--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -164,7 +164,7 @@
     }
 
     base::Settings m_settings;
-    base::Contexts m_contexts;
+    base::IoContextPool m_contexts;
     links::PeerCuts m_cuts;
     daemon::DrainState m_drainState;
     std::unique_ptr<base::TimerService> m_timers;
--- a/src/links/peer.cpp
+++ b/src/links/peer.cpp
@@ -45,7 +45,7 @@
 
 class PeerService : public peer::Peer::CallbackService {
 public:
-    PeerService(base::Contexts& contexts, PeerHandlers handlers, const PeerCuts& cuts)
+    PeerService(base::IoContextPool& contexts, PeerHandlers handlers, const PeerCuts& cuts)
         : m_contexts(contexts)
         , m_handlers(std::move(handlers))
         , m_cuts(cuts)
@@ -91,14 +91,14 @@
         reactor->Finish(isCut ? grpc::Status(grpc::StatusCode::DEADLINE_EXCEEDED, "cut") : grpc::Status::OK);
     }
 
-    base::Contexts& m_contexts;
+    base::IoContextPool& m_contexts;
     PeerHandlers m_handlers;
     const PeerCuts& m_cuts;
 };
 
 class GrpcServer : public PeerServer {
 public:
-    GrpcServer(base::Contexts& contexts, PeerHandlers handlers, const PeerCuts& cuts)
+    GrpcServer(base::IoContextPool& contexts, PeerHandlers handlers, const PeerCuts& cuts)
         : m_service(contexts, std::move(handlers), cuts)
     {
     }
@@ -234,7 +234,7 @@
 }
 
 tl::expected<std::unique_ptr<PeerServer>, std::string> beginPeerServer(
-    base::Contexts& contexts, const std::string& address, PeerHandlers handlers, const PeerCuts& cuts)
+    base::IoContextPool& contexts, const std::string& address, PeerHandlers handlers, const PeerCuts& cuts)
 {
     auto server = std::make_unique<GrpcServer>(contexts, std::move(handlers), cuts);
     if (!server->listen(address))
--- a/src/links/peer.h
+++ b/src/links/peer.h
@@ -39,7 +39,7 @@
 
 // Serves peers on `address`; handlers run as coroutines on `contexts` in turn.
 tl::expected<std::unique_ptr<PeerServer>, std::string> beginPeerServer(
-    base::Contexts& contexts, const std::string& address, PeerHandlers handlers, const PeerCuts& cuts);
+    base::IoContextPool& contexts, const std::string& address, PeerHandlers handlers, const PeerCuts& cuts);
 
 // Calls to other hosts, over one channel for each address. Thread safe.
 class PeerClient {
--- a/tests/process/hosts_test.cpp
+++ b/tests/process/hosts_test.cpp
@@ -82,7 +82,7 @@
     }
 
 private:
-    base::Contexts m_contexts { 1 };
+    base::IoContextPool m_contexts { 1 };
     links::PeerCuts m_cuts;
     std::unique_ptr<links::PeerClient> m_client;
     std::unique_ptr<links::PeerServer> m_server;
