--- a/src/base/clock.cpp
+++ b/src/base/clock.cpp
@@ -67,11 +67,11 @@
 public:
     TimePoint getNow() const override { return Clock::now(); }
 
-    Subscription subscribe(asio::any_io_executor executor, milliseconds period, std::function<void()> callback) override
+    TimerSubscription subscribe(asio::any_io_executor executor, milliseconds period, std::function<void()> callback) override
     {
         auto timer = std::make_shared<PeriodicTimer>(executor, period, std::move(callback));
         asio::post(executor, [timer] { timer->begin(); });
-        return Subscription([timer, executor] {
+        return TimerSubscription([timer, executor] {
             timer->isStopped = true;
             asio::post(executor, [timer] { timer->timer.cancel(); });
         });
--- a/src/base/clock.h
+++ b/src/base/clock.h
@@ -35,26 +35,26 @@
 
 // A subscription to the timer service. The callback stops being called when it is destroyed or stopped.
 // Destroy it on the executor it was made with; a callback that was already posted may run once more otherwise.
-class Subscription {
+class TimerSubscription {
 public:
-    Subscription() = default;
-    explicit Subscription(std::function<void()> stop)
+    TimerSubscription() = default;
+    explicit TimerSubscription(std::function<void()> stop)
         : m_stop(std::move(stop))
     {
     }
-    Subscription(Subscription&& other) noexcept
+    TimerSubscription(TimerSubscription&& other) noexcept
         : m_stop(std::move(other.m_stop))
     {
         other.m_stop = nullptr;
     }
-    Subscription& operator=(Subscription&& other) noexcept
+    TimerSubscription& operator=(TimerSubscription&& other) noexcept
     {
         stop();
         m_stop = std::move(other.m_stop);
         other.m_stop = nullptr;
         return *this;
     }
-    ~Subscription() { stop(); }
+    ~TimerSubscription() { stop(); }
     void stop()
     {
         if (m_stop)
@@ -72,7 +72,7 @@
     virtual ~TimerService() = default;
     virtual TimePoint getNow() const = 0;
     // Calls `callback` on `executor` every `period`, first after one period, until the subscription ends.
-    virtual Subscription subscribe(boost::asio::any_io_executor executor, milliseconds period, std::function<void()> callback) = 0;
+    virtual TimerSubscription subscribe(boost::asio::any_io_executor executor, milliseconds period, std::function<void()> callback) = 0;
 };
 
 // Runs on the monotonic clock.
--- a/src/controllers/group.h
+++ b/src/controllers/group.h
@@ -198,7 +198,7 @@
     std::map<std::string, std::shared_ptr<Transaction>> m_transactions;
     std::atomic<size_t> m_openTransactions { 0 };
     base::Snapshot<GroupStatus> m_status;
-    base::Subscription m_tick;
+    base::TimerSubscription m_tick;
     base::TimePoint m_publishedAt {};
     uint64_t m_epoch { 0 }; // raised when work begins or ends: loops of older epochs stop
     bool m_isActive { false }; // a home: takes new orders
--- a/src/controllers/hosts.h
+++ b/src/controllers/hosts.h
@@ -63,7 +63,7 @@
     std::function<void()> m_onChange;
     std::function<void(const peer::GroupNews&)> m_onGroupNews;
     unsigned m_hostMismatches { 0 }; // exchanges in a row whose host digests differed
-    base::Subscription m_rounds;
+    base::TimerSubscription m_rounds;
     std::shared_ptr<const Configuration> m_listedConfiguration; // whose host list was taken in last
     uint64_t m_round { 0 };
     std::set<std::string> m_checking; // hosts that checkHost() is asking now
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -103,7 +103,7 @@
     std::unique_ptr<links::HttpServer> m_ready;
     std::unique_ptr<links::HttpServer> m_metrics;
     base::TimerService& m_timers;
-    base::Subscription m_sweep;
+    base::TimerSubscription m_sweep;
     TimePoint m_startedAt {};
     TimePoint m_stopBegan {};
     bool m_isDraining { false };
