--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -96,13 +96,13 @@
         : m_settings(std::move(settings))
         , m_contexts(m_settings.threads)
         , m_timers(base::makeTimerService())
-        , m_peers(links::makePeerClient(m_cuts))
+        , m_peers(links::makePeerClient(m_blockedPeers))
         , m_node { m_settings, m_contexts, *m_timers, *m_peers, { m_settings.platformAddress, m_settings.name } }
         , m_configuration(m_node)
         , m_hosts(m_node, m_configuration, base::getWallMs(base::getHybridClock().tick()))
         , m_groups(m_node, m_configuration, m_hosts)
         , m_services { m_node, m_configuration, m_hosts, m_groups, m_drainState.isDraining }
-        , m_operatorServices { m_node, m_configuration, m_hosts, m_groups, m_drainState, m_cuts }
+        , m_operatorServices { m_node, m_configuration, m_hosts, m_groups, m_drainState, m_blockedPeers }
         , m_signals(m_contexts.getNext(), SIGTERM, SIGINT)
     {
     }
@@ -113,7 +113,7 @@
         links::PeerHandlers handlers;
         handlers.relay = [this](peer::RelayRequest request) { return serveRelay(m_services, m_drainState, std::move(request)); };
         handlers.exchange = [this](peer::ExchangeRequest request) { return m_hosts.handleExchange(std::move(request)); };
-        auto peerServer = links::beginPeerServer(m_contexts, m_settings.peerAddress, std::move(handlers), m_cuts);
+        auto peerServer = links::startPeerServer(m_contexts, m_settings.peerAddress, std::move(handlers), m_blockedPeers);
         if (!peerServer)
             return tl::make_unexpected(peerServer.error());
         m_peerServer = std::move(*peerServer);
@@ -165,7 +165,7 @@
 
     base::Settings m_settings;
     base::IoContextPool m_contexts;
-    links::PeerCuts m_cuts;
+    links::BlockedPeers m_blockedPeers;
     daemon::DrainState m_drainState;
     std::unique_ptr<base::TimerService> m_timers;
     std::unique_ptr<links::PeerClient> m_peers;
--- a/src/daemon/operators.cpp
+++ b/src/daemon/operators.cpp
@@ -129,7 +129,7 @@
         for (auto& it : hosts->get_array())
             names.insert(std::string(it.get_string()));
     }
-    services.cuts.set(std::move(names));
+    services.blockedPeers.set(std::move(names));
     return answerJson(json::object {});
 }
 
--- a/src/daemon/operators.h
+++ b/src/daemon/operators.h
@@ -13,7 +13,7 @@
     controllers::HostsController& hosts;
     controllers::GroupsController& groups;
     DrainState& drainState;
-    links::PeerCuts& cuts;
+    links::BlockedPeers& blockedPeers;
 };
 
 links::HttpAnswer answerOperator(const OperatorServices& services, const links::HttpRequest& request);
--- a/src/links/peer.cpp
+++ b/src/links/peer.cpp
@@ -15,23 +15,23 @@
 
 namespace asio = boost::asio;
 
-static constexpr base::milliseconds kStopGrace { 200 };
+static constexpr base::milliseconds kShutdownGracePeriod { 200 };
 // A frozen host keeps its connections open: pings find it out, and calls that wait for it end as "may have arrived".
 static constexpr int kPingIntervalMs = 500;
 static constexpr int kPingTimeoutMs = 400;
-static constexpr size_t kKeptChannels = 32; // with more, idle channels are closed: exchanges reach every host in time
-static constexpr base::milliseconds kChannelIdle { 10000 };
-static constexpr int kReconnectLeastMs = 50;
-static constexpr int kReconnectMostMs = 500;
+static constexpr size_t kMaxIdleChannels = 32; // with more, idle channels are closed: exchanges reach every host in time
+static constexpr base::milliseconds kChannelIdleTimeout { 10000 };
+static constexpr int kMinReconnectBackoffMs = 50;
+static constexpr int kMaxReconnectBackoffMs = 500;
 
-void PeerCuts::set(std::set<std::string> names)
+void BlockedPeers::set(std::set<std::string> names)
 {
     std::lock_guard lock(m_mutex);
     m_names = std::move(names);
     m_isEmpty = m_names.empty();
 }
 
-bool PeerCuts::contains(const std::string& name) const
+bool BlockedPeers::contains(const std::string& name) const
 {
     if (m_isEmpty.load(std::memory_order_relaxed))
         return false;
@@ -45,10 +45,10 @@
 
 class PeerService : public peer::Peer::CallbackService {
 public:
-    PeerService(base::IoContextPool& contexts, PeerHandlers handlers, const PeerCuts& cuts)
+    PeerService(base::IoContextPool& contexts, PeerHandlers handlers, const BlockedPeers& blockedPeers)
         : m_contexts(contexts)
         , m_handlers(std::move(handlers))
-        , m_cuts(cuts)
+        , m_blockedPeers(blockedPeers)
     {
     }
 
@@ -73,33 +73,33 @@
     {
         auto* reactor = new Reactor;
         base::getHybridClock().merge(request->clock());
-        bool isCut = m_cuts.contains(request->from());
-        asio::co_spawn(asio::make_strand(m_contexts.getNext()), run(handler, *request, reply, reactor, isCut), asio::detached);
+        bool isBlocked = m_blockedPeers.contains(request->from());
+        asio::co_spawn(asio::make_strand(m_contexts.getNext()), run(handler, *request, reply, reactor, isBlocked), asio::detached);
         return reactor;
     }
 
     template <typename Request, typename Reply, typename Handler>
-    asio::awaitable<void> run(const Handler& handler, Request request, Reply* reply, Reactor* reactor, bool isCut)
+    asio::awaitable<void> run(const Handler& handler, Request request, Reply* reply, Reactor* reactor, bool isBlocked)
     {
         auto from = request.from();
-        if (!isCut)
+        if (!isBlocked)
             *reply = co_await handler(std::move(request));
         reply->set_clock(base::getHybridClock().tick());
         // A cut peer gets no answer in time and cannot tell whether we ran its request.
-        if (isCut || m_cuts.contains(from))
+        if (isBlocked || m_blockedPeers.contains(from))
             co_await base::sleepFor(base::milliseconds(3000));
-        reactor->Finish(isCut ? grpc::Status(grpc::StatusCode::DEADLINE_EXCEEDED, "cut") : grpc::Status::OK);
+        reactor->Finish(isBlocked ? grpc::Status(grpc::StatusCode::DEADLINE_EXCEEDED, "cut") : grpc::Status::OK);
     }
 
     base::IoContextPool& m_contexts;
     PeerHandlers m_handlers;
-    const PeerCuts& m_cuts;
+    const BlockedPeers& m_blockedPeers;
 };
 
 class GrpcServer : public PeerServer {
 public:
-    GrpcServer(base::IoContextPool& contexts, PeerHandlers handlers, const PeerCuts& cuts)
-        : m_service(contexts, std::move(handlers), cuts)
+    GrpcServer(base::IoContextPool& contexts, PeerHandlers handlers, const BlockedPeers& blockedPeers)
+        : m_service(contexts, std::move(handlers), blockedPeers)
     {
     }
 
@@ -119,7 +119,7 @@
     void stop() override
     {
         if (m_server)
-            m_server->Shutdown(std::chrono::system_clock::now() + kStopGrace);
+            m_server->Shutdown(std::chrono::system_clock::now() + kShutdownGracePeriod);
     }
 
     ~GrpcServer() override { stop(); }
@@ -133,8 +133,8 @@
 
 class GrpcClient : public PeerClient {
 public:
-    explicit GrpcClient(const PeerCuts& cuts)
-        : m_cuts(cuts)
+    explicit GrpcClient(const BlockedPeers& blockedPeers)
+        : m_blockedPeers(blockedPeers)
     {
     }
 
@@ -165,7 +165,7 @@
     template <typename Reply, typename Request, typename Begin>
     asio::awaitable<LinkResult<Reply>> call(std::string name, std::string address, Request request, base::milliseconds limit, Begin begin)
     {
-        if (m_cuts.contains(name)) {
+        if (m_blockedPeers.contains(name)) {
             co_await base::sleepFor(limit);
             co_return tl::make_unexpected(LinkFailure { true, false, "cut" });
         }
@@ -193,24 +193,24 @@
     // server never answers UNAVAILABLE, so the text can only come from the channel.
     static LinkFailure describeFailure(const grpc::Status& status)
     {
-        bool neverLeft = status.error_code() == grpc::StatusCode::UNAVAILABLE && status.error_message().starts_with("failed to connect to all addresses");
-        return { !neverLeft, neverLeft, status.error_message() };
+        bool wasNeverSent = status.error_code() == grpc::StatusCode::UNAVAILABLE && status.error_message().starts_with("failed to connect to all addresses");
+        return { !wasNeverSent, wasNeverSent, status.error_message() };
     }
 
     std::shared_ptr<peer::Peer::Stub> getStub(const std::string& address)
     {
         std::lock_guard lock(m_mutex);
         auto now = base::Clock::now();
-        if (m_channels.size() > kKeptChannels)
-            std::erase_if(m_channels, [now](auto& it) { return now - it.second.usedAt > kChannelIdle; });
+        if (m_channels.size() > kMaxIdleChannels)
+            std::erase_if(m_channels, [now](auto& it) { return now - it.second.usedAt > kChannelIdleTimeout; });
         auto& channel = m_channels[address];
         channel.usedAt = now;
         auto& stub = channel.stub;
         if (!stub) {
             grpc::ChannelArguments arguments;
-            arguments.SetInt(GRPC_ARG_INITIAL_RECONNECT_BACKOFF_MS, kReconnectLeastMs);
-            arguments.SetInt(GRPC_ARG_MIN_RECONNECT_BACKOFF_MS, kReconnectLeastMs);
-            arguments.SetInt(GRPC_ARG_MAX_RECONNECT_BACKOFF_MS, kReconnectMostMs);
+            arguments.SetInt(GRPC_ARG_INITIAL_RECONNECT_BACKOFF_MS, kMinReconnectBackoffMs);
+            arguments.SetInt(GRPC_ARG_MIN_RECONNECT_BACKOFF_MS, kMinReconnectBackoffMs);
+            arguments.SetInt(GRPC_ARG_MAX_RECONNECT_BACKOFF_MS, kMaxReconnectBackoffMs);
             arguments.SetInt(GRPC_ARG_ENABLE_HTTP_PROXY, 0);
             arguments.SetInt(GRPC_ARG_KEEPALIVE_TIME_MS, kPingIntervalMs);
             arguments.SetInt(GRPC_ARG_KEEPALIVE_TIMEOUT_MS, kPingTimeoutMs);
@@ -226,25 +226,25 @@
         base::TimePoint usedAt {};
     };
 
-    const PeerCuts& m_cuts;
+    const BlockedPeers& m_blockedPeers;
     std::mutex m_mutex;
     std::map<std::string, Channel> m_channels; // by address
 };
 
 }
 
-tl::expected<std::unique_ptr<PeerServer>, std::string> beginPeerServer(
-    base::IoContextPool& contexts, const std::string& address, PeerHandlers handlers, const PeerCuts& cuts)
+tl::expected<std::unique_ptr<PeerServer>, std::string> startPeerServer(
+    base::IoContextPool& contexts, const std::string& address, PeerHandlers handlers, const BlockedPeers& blockedPeers)
 {
-    auto server = std::make_unique<GrpcServer>(contexts, std::move(handlers), cuts);
+    auto server = std::make_unique<GrpcServer>(contexts, std::move(handlers), blockedPeers);
     if (!server->listen(address))
         return tl::make_unexpected("cannot listen for peers on " + address);
     return server;
 }
 
-std::unique_ptr<PeerClient> makePeerClient(const PeerCuts& cuts)
+std::unique_ptr<PeerClient> makePeerClient(const BlockedPeers& blockedPeers)
 {
-    return std::make_unique<GrpcClient>(cuts);
+    return std::make_unique<GrpcClient>(blockedPeers);
 }
 
 }
--- a/src/links/peer.h
+++ b/src/links/peer.h
@@ -15,7 +15,7 @@
 namespace alderward::links {
 
 // Test aid, off unless [debug] allow_faults is set: peers that this process neither calls nor answers.
-class PeerCuts {
+class BlockedPeers {
 public:
     void set(std::set<std::string> names);
     bool contains(const std::string& name) const;
@@ -38,8 +38,8 @@
 };
 
 // Serves peers on `address`; handlers run as coroutines on `contexts` in turn.
-tl::expected<std::unique_ptr<PeerServer>, std::string> beginPeerServer(
-    base::IoContextPool& contexts, const std::string& address, PeerHandlers handlers, const PeerCuts& cuts);
+tl::expected<std::unique_ptr<PeerServer>, std::string> startPeerServer(
+    base::IoContextPool& contexts, const std::string& address, PeerHandlers handlers, const BlockedPeers& blockedPeers);
 
 // Calls to other hosts, over one channel for each address. Thread safe.
 class PeerClient {
@@ -49,6 +49,6 @@
     virtual boost::asio::awaitable<LinkResult<peer::ExchangeReply>> exchange(std::string name, std::string address, peer::ExchangeRequest request, base::milliseconds limit) = 0;
 };
 
-std::unique_ptr<PeerClient> makePeerClient(const PeerCuts& cuts);
+std::unique_ptr<PeerClient> makePeerClient(const BlockedPeers& blockedPeers);
 
 }
--- a/tests/process/hosts_test.cpp
+++ b/tests/process/hosts_test.cpp
@@ -34,7 +34,7 @@
 class DecliningPeer {
 public:
     explicit DecliningPeer(const std::string& address)
-        : m_client(links::makePeerClient(m_cuts))
+        : m_client(links::makePeerClient(m_blockedPeers))
     {
         links::PeerHandlers handlers;
         handlers.exchange = [this, address](peer::ExchangeRequest) -> asio::awaitable<peer::ExchangeReply> {
@@ -54,7 +54,7 @@
             reply.set_not_home(true);
             co_return reply;
         };
-        m_server = links::beginPeerServer(m_contexts, address, std::move(handlers), m_cuts).value();
+        m_server = links::startPeerServer(m_contexts, address, std::move(handlers), m_blockedPeers).value();
         m_thread = std::thread([this] { m_contexts.run(); });
     }
     DecliningPeer(const DecliningPeer&) = delete;
@@ -83,7 +83,7 @@
 
 private:
     base::IoContextPool m_contexts { 1 };
-    links::PeerCuts m_cuts;
+    links::BlockedPeers m_blockedPeers;
     std::unique_ptr<links::PeerClient> m_client;
     std::unique_ptr<links::PeerServer> m_server;
     std::thread m_thread;
