--- a/src/controllers/group.cpp
+++ b/src/controllers/group.cpp
@@ -203,9 +203,9 @@
             co_return decisions::ProbeFailed { index, opened.error().wasRefused, askedAt };
         }
     }
-    auto before = link->getTransferred();
+    auto before = link->getTransferredBytes();
     auto status = co_await links::askStatus(*link, m_node.settings.name, deadline);
-    base::count(base::Counter::ProbeBytes, link->getTransferred() - before);
+    base::count(base::Counter::ProbeBytes, link->getTransferredBytes() - before);
     if (!status)
         co_return decisions::ProbeFailed { index, false, askedAt };
     co_return decisions::StatusAnswered { index, std::move(*status), askedAt };
--- a/src/controllers/group_confirm.cpp
+++ b/src/controllers/group_confirm.cpp
@@ -90,9 +90,9 @@
         }
     }
     auto askedAt = Clock::now();
-    auto before = link->getTransferred();
+    auto before = link->getTransferredBytes();
     auto answer = co_await links::awaitPosition(*link, m_node.settings.name, wanted, kAwaitLimit, deadline);
-    base::count(base::Counter::ConfirmationBytes, link->getTransferred() - before);
+    base::count(base::Counter::ConfirmationBytes, link->getTransferredBytes() - before);
     if (!answer || epoch != m_epoch)
         co_return false;
     takeStanding(index, *answer, askedAt);
--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -51,14 +51,14 @@
     daemon::DrainState& m_state;
 };
 
-asio::awaitable<links::HttpAnswer> serveCaller(const filters::Services& services, daemon::DrainState& state, links::HttpRequest request)
+asio::awaitable<links::HttpResponse> serveCaller(const filters::Services& services, daemon::DrainState& state, links::HttpRequest request)
 {
     InFlight guard(state);
     filters::RequestContext context;
     context.path = std::move(request.path);
     context.body = std::move(request.body);
     auto reply = co_await filters::runChain(services, std::move(context));
-    links::HttpAnswer answer { reply.status, std::move(reply.body) };
+    links::HttpResponse answer { reply.status, std::move(reply.body) };
     answer.retryAfter = reply.retryAfter;
     answer.mustClose = state.isDraining; // the caller's next request goes to another host
     co_return answer;
@@ -81,7 +81,7 @@
     co_return answer;
 }
 
-links::HttpAnswer answerForError(unsigned status)
+links::HttpResponse makeErrorResponse(unsigned status)
 {
     auto kind = status == 413 ? decisions::ErrorKind::BodyTooLarge : status == 408 ? decisions::ErrorKind::SlowSender
                                                                                    : decisions::ErrorKind::BadRequest;
@@ -120,14 +120,14 @@
         links::HttpServerOptions options;
         options.bodyLimit = static_cast<size_t>(m_settings.bodyLimitKb) * 1024;
         options.requestTimeout = milliseconds(m_settings.requestTimeoutMs);
-        options.answerForError = answerForError;
+        options.makeErrorResponse = makeErrorResponse;
         options.nextContext = [this]() -> asio::io_context& { return m_contexts.getNext(); };
-        auto callers = links::beginHttpServer(
+        auto callers = links::startHttpServer(
             m_contexts.getNext(), m_settings.callerAddress, [this](links::HttpRequest request) { return serveCaller(m_services, m_drainState, std::move(request)); }, options);
         if (!callers)
             return tl::make_unexpected(callers.error());
         m_callers = std::move(*callers);
-        auto operators = links::beginHttpServer(m_contexts.getNext(), m_settings.operatorAddress, [this](links::HttpRequest request) -> asio::awaitable<links::HttpAnswer> { co_return daemon::answerOperator(m_operatorServices, request); });
+        auto operators = links::startHttpServer(m_contexts.getNext(), m_settings.operatorAddress, [this](links::HttpRequest request) -> asio::awaitable<links::HttpResponse> { co_return daemon::answerOperator(m_operatorServices, request); });
         if (!operators)
             return tl::make_unexpected(operators.error());
         m_operators = std::move(*operators);
--- a/src/daemon/operators.cpp
+++ b/src/daemon/operators.cpp
@@ -9,11 +9,11 @@
 namespace json = boost::json;
 using base::Clock;
 using base::milliseconds;
-using links::HttpAnswer;
+using links::HttpResponse;
 
 static constexpr std::string_view kTracePath = "/debug/trace?group=";
 
-static HttpAnswer answerJson(const json::value& body, unsigned status = 200)
+static HttpResponse answerJson(const json::value& body, unsigned status = 200)
 {
     return { status, json::serialize(body) };
 }
@@ -111,7 +111,7 @@
     return status;
 }
 
-static HttpAnswer answerTimeline()
+static HttpResponse answerTimeline()
 {
     json::array events;
     for (auto& it : base::getTimeline().getEvents())
@@ -119,7 +119,7 @@
     return answerJson(json::object { { "events", std::move(events) } });
 }
 
-static HttpAnswer setCuts(const OperatorServices& services, const std::string& body)
+static HttpResponse setCuts(const OperatorServices& services, const std::string& body)
 {
     auto object = links::parseObject(body);
     if (!services.node.settings.allowFaults || !object)
@@ -133,7 +133,7 @@
     return answerJson(json::object {});
 }
 
-static HttpAnswer answerTrace(const OperatorServices& services, const std::string& path)
+static HttpResponse answerTrace(const OperatorServices& services, const std::string& path)
 {
     auto table = services.groups.getTable().read();
     auto it = table->find(path.substr(kTracePath.size()));
@@ -142,7 +142,7 @@
     return { 200, it->second.controller->getTrace(), "text/plain" };
 }
 
-HttpAnswer answerOperator(const OperatorServices& services, const links::HttpRequest& request)
+HttpResponse answerOperator(const OperatorServices& services, const links::HttpRequest& request)
 {
     if (request.path == "/healthz") {
         bool isReady = !services.drainState.isDraining && services.configuration.getSnapshot().read()->isLoaded;
--- a/src/daemon/operators.h
+++ b/src/daemon/operators.h
@@ -16,6 +16,6 @@
     links::BlockedPeers& blockedPeers;
 };
 
-links::HttpAnswer answerOperator(const OperatorServices& services, const links::HttpRequest& request);
+links::HttpResponse answerOperator(const OperatorServices& services, const links::HttpRequest& request);
 
 }
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -63,14 +63,14 @@
     if (auto listening = links::beginListening(m_acceptor, m_settings.callerAddress); !listening)
         return listening;
     accept();
-    auto ready = links::beginHttpServer(m_context, m_settings.readyAddress, [this](links::HttpRequest request) { return answerReady(std::move(request)); });
+    auto ready = links::startHttpServer(m_context, m_settings.readyAddress, [this](links::HttpRequest request) { return answerReady(std::move(request)); });
     if (!ready)
         return tl::make_unexpected(ready.error());
     m_ready = std::move(*ready);
     if (!m_settings.metricsAddress.empty()) {
-        auto metrics = links::beginHttpServer(m_context, m_settings.metricsAddress, [this](links::HttpRequest) -> asio::awaitable<links::HttpAnswer> {
+        auto metrics = links::startHttpServer(m_context, m_settings.metricsAddress, [this](links::HttpRequest) -> asio::awaitable<links::HttpResponse> {
             measure();
-            links::HttpAnswer answer;
+            links::HttpResponse answer;
             answer.contentType = "text/plain; version=0.0.4";
             answer.body = base::formatMetricFamilies();
             co_return answer;
@@ -116,9 +116,9 @@
     base::updateProcessMetrics();
 }
 
-asio::awaitable<links::HttpAnswer> Gateway::answerReady(links::HttpRequest request)
+asio::awaitable<links::HttpResponse> Gateway::answerReady(links::HttpRequest request)
 {
-    links::HttpAnswer answer;
+    links::HttpResponse answer;
     if (request.path != m_platform->getReadyPath())
         answer.status = 404;
     else if (!isReady())
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -68,7 +68,7 @@
     void sweepHosts(TimePoint now);
     milliseconds getDrainTime() const { return milliseconds(m_settings.memberDrainMs); }
     HostPlace getPlace() const;
-    boost::asio::awaitable<links::HttpAnswer> answerReady(links::HttpRequest request);
+    boost::asio::awaitable<links::HttpResponse> answerReady(links::HttpRequest request);
     void noteReadiness();
     void measure() const;
     boost::asio::awaitable<void> finishStop();
--- a/src/links/http.h
+++ b/src/links/http.h
@@ -24,13 +24,13 @@
     std::vector<std::pair<std::string, std::string>> headers {}; // client side: further ones to send; server side: all that came
 };
 
-struct HttpAnswer {
+struct HttpResponse {
     unsigned status { 200 };
     std::string body {};
     std::string contentType { "application/json" };
     base::milliseconds retryAfter { 0 }; // sent as Retry-After, rounded up to seconds; 0: not sent
     bool mustClose { false }; // server side: close the connection after this answer
-    bool mustDrop { false }; // server side: never answer (stand-ins use it for cuts)
+    bool mustNotAnswer { false }; // server side: never answer (stand-ins use it for cuts)
 };
 
 // Why an exchange failed, and whether the far side may have seen it.
@@ -48,12 +48,12 @@
 struct HttpServerOptions {
     size_t bodyLimit { 1 << 20 }; // bytes
     base::milliseconds requestTimeout { 10000 }; // from the first byte of a request to its last
-    std::function<HttpAnswer(unsigned status)> answerForError {}; // body for 400, 408 and 413
+    std::function<HttpResponse(unsigned status)> makeErrorResponse {}; // body for 400, 408 and 413
     std::function<void(uint64_t connection)> onClose {}; // after a connection ended
     std::function<boost::asio::io_context&()> nextContext {}; // where the next connection runs; empty: on the server's own
 };
 
-using HttpHandler = std::function<boost::asio::awaitable<HttpAnswer>(HttpRequest)>;
+using HttpHandler = std::function<boost::asio::awaitable<HttpResponse>(HttpRequest)>;
 
 class HttpServer {
 public:
@@ -64,7 +64,7 @@
 };
 
 // Listens on `address` ("127.0.0.1:8080") and serves each connection on a strand of its own.
-tl::expected<std::unique_ptr<HttpServer>, std::string> beginHttpServer(
+tl::expected<std::unique_ptr<HttpServer>, std::string> startHttpServer(
     boost::asio::io_context& context, const std::string& address, HttpHandler handler, HttpServerOptions options = {});
 
 // ---- client ----
@@ -77,13 +77,13 @@
     // Connects. A failure never has `mayHaveArrived`.
     virtual boost::asio::awaitable<LinkResult<void>> open(base::TimePoint deadline) = 0;
     // Sends one request and reads its answer, which must carry the same request id.
-    virtual boost::asio::awaitable<LinkResult<HttpAnswer>> exchange(HttpRequest request, base::TimePoint deadline) = 0;
+    virtual boost::asio::awaitable<LinkResult<HttpResponse>> exchange(HttpRequest request, base::TimePoint deadline) = 0;
     // Whether the next exchange has a connection to go out on; looks at the socket, so call it between exchanges only.
     virtual bool isOpen() = 0;
     // Also ends an exchange in flight: it fails as one that may have arrived.
     virtual void close() = 0;
     // Bytes of HTTP written and read since the connection was made, for metrics.
-    virtual uint64_t getTransferred() const = 0;
+    virtual uint64_t getTransferredBytes() const = 0;
 };
 
 struct HttpClientOptions {
--- a/src/links/http_client.cpp
+++ b/src/links/http_client.cpp
@@ -45,7 +45,7 @@
         co_return LinkResult<void> {};
     }
 
-    asio::awaitable<LinkResult<HttpAnswer>> exchange(HttpRequest request, base::TimePoint deadline) override
+    asio::awaitable<LinkResult<HttpResponse>> exchange(HttpRequest request, base::TimePoint deadline) override
     {
         if (!m_isOpen)
             co_return tl::make_unexpected(LinkFailure { false, false, "not connected" });
@@ -69,7 +69,7 @@
         }
         if (!reply.keep_alive())
             close();
-        HttpAnswer answer;
+        HttpResponse answer;
         answer.status = reply.result_int();
         answer.body = std::move(reply.body());
         co_return answer;
@@ -95,7 +95,7 @@
         m_stream.close();
     }
 
-    uint64_t getTransferred() const override { return m_transferred; }
+    uint64_t getTransferredBytes() const override { return m_transferred; }
 
 private:
     static http::request<http::string_body> makeMessage(HttpRequest request, const std::string& requestId)
--- a/src/links/http_server.cpp
+++ b/src/links/http_server.cpp
@@ -20,7 +20,7 @@
 using asio::ip::tcp;
 
 static constexpr auto kUse = asio::as_tuple(asio::use_awaitable);
-static constexpr base::milliseconds kAnswerTimeout { 30000 }; // for a caller that does not read its answer
+static constexpr base::milliseconds kResponseWriteTimeout { 30000 }; // for a caller that does not read its answer
 static constexpr size_t kHeaderLimit = 16 * 1024;
 
 tl::expected<tcp::endpoint, std::string> parseEndpoint(const std::string& address)
@@ -146,9 +146,9 @@
         if (waitError)
             co_return false;
         connection->isBusy = true;
-        auto goesOn = co_await readAndAnswer(*connection);
+        auto isKeptAlive = co_await readAndAnswer(*connection);
         connection->isBusy = false;
-        co_return goesOn;
+        co_return isKeptAlive;
     }
 
     asio::awaitable<bool> readAndAnswer(Connection& connection)
@@ -182,7 +182,7 @@
         for (auto& it : message)
             request.headers.emplace_back(std::string(it.name_string()), std::string(it.value()));
         auto answer = co_await m_handler(std::move(request));
-        if (answer.mustDrop)
+        if (answer.mustNotAnswer)
             co_return co_await waitForClose(stream);
         keepAlive = keepAlive && !answer.mustClose && !m_isClosing;
         co_return co_await write(stream, std::move(answer), requestId, keepAlive) && keepAlive;
@@ -197,16 +197,16 @@
             status = 408;
         else if (ec == http::error::end_of_stream || ec.category() != make_error_code(http::error::bad_method).category())
             co_return;
-        if (!m_options.answerForError || !stream.socket().is_open())
+        if (!m_options.makeErrorResponse || !stream.socket().is_open())
             co_return;
-        auto answer = m_options.answerForError(status);
+        auto answer = m_options.makeErrorResponse(status);
         if (co_await write(stream, std::move(answer), std::string(), false))
-            co_await discardRest(stream);
+            co_await drainInput(stream);
     }
 
     // Reads what the sender is still sending, for a bounded time: closing at once would reset the connection and could
     // take our answer with it.
-    static asio::awaitable<void> discardRest(boost::beast::tcp_stream& stream)
+    static asio::awaitable<void> drainInput(boost::beast::tcp_stream& stream)
     {
         boost::system::error_code shutdownError;
         stream.socket().shutdown(tcp::socket::shutdown_send, shutdownError);
@@ -225,7 +225,7 @@
         co_return false;
     }
 
-    static asio::awaitable<bool> write(boost::beast::tcp_stream& stream, HttpAnswer answer, const std::string& requestId, bool keepAlive)
+    static asio::awaitable<bool> write(boost::beast::tcp_stream& stream, HttpResponse answer, const std::string& requestId, bool keepAlive)
     {
         http::response<http::string_body> message { static_cast<http::status>(answer.status), 11 };
         message.set(http::field::content_type, answer.contentType);
@@ -236,7 +236,7 @@
         message.keep_alive(keepAlive);
         message.body() = std::move(answer.body);
         message.prepare_payload();
-        stream.expires_after(kAnswerTimeout);
+        stream.expires_after(kResponseWriteTimeout);
         auto [ec, n] = co_await http::async_write(stream, message, kUse);
         stream.expires_never();
         co_return !ec;
@@ -268,7 +268,7 @@
 
 }
 
-tl::expected<std::unique_ptr<HttpServer>, std::string> beginHttpServer(
+tl::expected<std::unique_ptr<HttpServer>, std::string> startHttpServer(
     asio::io_context& context, const std::string& address, HttpHandler handler, HttpServerOptions options)
 {
     auto endpoint = parseEndpoint(address);
--- a/src/links/platform.cpp
+++ b/src/links/platform.cpp
@@ -17,9 +17,9 @@
     request.path = std::move(path);
     request.body = json::serialize(body);
     request.from = client.from;
-    auto before = link.getTransferred();
+    auto before = link.getTransferredBytes();
     auto answer = co_await link.exchange(std::move(request), deadline);
-    base::count(base::Counter::PlatformBytes, link.getTransferred() - before);
+    base::count(base::Counter::PlatformBytes, link.getTransferredBytes() - before);
     if (!answer)
         co_return tl::make_unexpected(answer.error());
     auto object = parseObject(answer->body);
--- a/tests/standins/answers.h
+++ b/tests/standins/answers.h
@@ -7,16 +7,16 @@
 
 namespace standins {
 
-inline alderward::links::HttpAnswer answerJson(const boost::json::object& body, unsigned status = 200)
+inline alderward::links::HttpResponse answerJson(const boost::json::object& body, unsigned status = 200)
 {
     return { status, boost::json::serialize(body) };
 }
 
 // No answer ever: what a cut looks like to the one who asked.
-inline alderward::links::HttpAnswer dropAnswer()
+inline alderward::links::HttpResponse dropAnswer()
 {
-    alderward::links::HttpAnswer answer;
-    answer.mustDrop = true;
+    alderward::links::HttpResponse answer;
+    answer.mustNotAnswer = true;
     return answer;
 }
 
--- a/tests/standins/kv_store.cpp
+++ b/tests/standins/kv_store.cpp
@@ -11,7 +11,7 @@
 namespace asio = boost::asio;
 namespace json = boost::json;
 using namespace alderward;
-using alderward::links::HttpAnswer;
+using alderward::links::HttpResponse;
 using Clock = std::chrono::steady_clock;
 
 static constexpr uint64_t kFirstBorn = 1789000000000; // ms since 1970
@@ -51,9 +51,9 @@
     return text;
 }
 
-static HttpAnswer makeAnswer(unsigned status, const json::value& body)
+static HttpResponse makeAnswer(unsigned status, const json::value& body)
 {
-    HttpAnswer answer;
+    HttpResponse answer;
     answer.status = status;
     answer.body = json::serialize(body);
     return answer;
@@ -64,7 +64,7 @@
     , m_address(fmt::format("127.0.0.1:{}", port))
     , m_groups(std::move(groups))
 {
-    auto server = links::beginHttpServer(context, m_address, [this](links::HttpRequest request) { return serve(std::move(request)); });
+    auto server = links::startHttpServer(context, m_address, [this](links::HttpRequest request) { return serve(std::move(request)); });
     if (!server)
         throw std::runtime_error(server.error());
     m_server = std::move(*server);
@@ -140,7 +140,7 @@
     }
 }
 
-HttpAnswer KvStore::list(const std::string& prefix) const
+HttpResponse KvStore::list(const std::string& prefix) const
 {
     json::array items;
     for (auto& [key, item] : m_items) {
@@ -150,7 +150,7 @@
     return makeAnswer(200, json::object { { "items", items }, { "HasMore", false }, { "CurrentRev", m_revision } });
 }
 
-asio::awaitable<HttpAnswer> KvStore::watch(std::string prefix, uint64_t after, int waitMs)
+asio::awaitable<HttpResponse> KvStore::watch(std::string prefix, uint64_t after, int waitMs)
 {
     auto until = Clock::now() + milliseconds(waitMs);
     for (;;) {
@@ -172,7 +172,7 @@
     }
 }
 
-HttpAnswer KvStore::change(const std::string& body)
+HttpResponse KvStore::change(const std::string& body)
 {
     auto request = json::parse(body).as_object();
     json::array conflicts;
@@ -228,7 +228,7 @@
     return true;
 }
 
-HttpAnswer KvStore::promote(const links::HttpRequest& request)
+HttpResponse KvStore::promote(const links::HttpRequest& request)
 {
     PromotionSeen seen;
     seen.holder = getHolder(request);
@@ -248,12 +248,12 @@
     return makeAnswer(seen.status, json::object { { "Error", seen.status == 409 ? "refused" : "" } });
 }
 
-asio::awaitable<HttpAnswer> KvStore::serve(links::HttpRequest request)
+asio::awaitable<HttpResponse> KvStore::serve(links::HttpRequest request)
 {
     ++m_calls;
     expire();
-    HttpAnswer dropped;
-    dropped.mustDrop = true;
+    HttpResponse dropped;
+    dropped.mustNotAnswer = true;
     auto& path = request.path;
     if (path == "/promote") {
         if (faults.refusesPromotions)
--- a/tests/standins/kv_store.h
+++ b/tests/standins/kv_store.h
@@ -62,12 +62,12 @@
         bool isDeleted;
         Item item;
     };
-    boost::asio::awaitable<links::HttpAnswer> serve(links::HttpRequest request);
-    boost::asio::awaitable<links::HttpAnswer> watch(std::string prefix, uint64_t after, int waitMs);
-    links::HttpAnswer change(const std::string& body);
-    links::HttpAnswer promote(const links::HttpRequest& request);
+    boost::asio::awaitable<links::HttpResponse> serve(links::HttpRequest request);
+    boost::asio::awaitable<links::HttpResponse> watch(std::string prefix, uint64_t after, int waitMs);
+    links::HttpResponse change(const std::string& body);
+    links::HttpResponse promote(const links::HttpRequest& request);
     bool carryOut(LineGroup& group, const std::string& member);
-    links::HttpAnswer list(const std::string& prefix) const;
+    links::HttpResponse list(const std::string& prefix) const;
     void expire();
 
     boost::asio::io_context& m_context;
--- a/tests/standins/member.cpp
+++ b/tests/standins/member.cpp
@@ -24,7 +24,7 @@
 using base::milliseconds;
 using links::getNumber;
 using links::getString;
-using links::HttpAnswer;
+using links::HttpResponse;
 using links::HttpRequest;
 using standins::answerJson;
 using standins::dropAnswer;
@@ -67,7 +67,7 @@
     std::optional<Transaction> transaction;
 };
 
-HttpAnswer refuse(const char* kind, std::string message)
+HttpResponse refuse(const char* kind, std::string message)
 {
     return { 409, json::serialize(json::object { { "refused", kind }, { "message", std::move(message) } }) };
 }
@@ -88,11 +88,11 @@
             append({ 1, {}, {}, "null", false, {} });
     }
 
-    asio::awaitable<HttpAnswer> handle(HttpRequest request)
+    asio::awaitable<HttpResponse> handle(HttpRequest request)
     {
         auto body = links::parseObject(request.body.empty() ? "{}" : request.body);
         if (!body)
-            co_return HttpAnswer { 400, "{}" };
+            co_return HttpResponse { 400, "{}" };
         if (request.path.starts_with("/admin/"))
             co_return handleAdmin(request.path, *body);
         if (m_cut.contains(request.from))
@@ -228,7 +228,7 @@
         return { { "t", entry.term }, { "e", std::move(effects) }, { "k", entry.requestKey }, { "r", entry.result }, { "c", entry.isClosing }, { "w", entry.writtenAt.time_since_epoch().count() } };
     }
 
-    asio::awaitable<HttpAnswer> serveLog(const json::object& body)
+    asio::awaitable<HttpResponse> serveLog(const json::object& body)
     {
         if (!m_isPrimary || getNumber(body, "term") != m_term)
             co_return refuse("role", "not the primary of that term");
@@ -283,7 +283,7 @@
 
     // ---- statements ----
 
-    asio::awaitable<HttpAnswer> handleMember(const HttpRequest& request, const json::object& body)
+    asio::awaitable<HttpResponse> handleMember(const HttpRequest& request, const json::object& body)
     {
         auto operation = request.path.substr(std::string("/member/").size());
         if (operation == "log")
@@ -311,10 +311,10 @@
             session.transaction.reset();
             co_return answerJson({});
         }
-        co_return HttpAnswer { 404, "{}" };
+        co_return HttpResponse { 404, "{}" };
     }
 
-    asio::awaitable<HttpAnswer> handleHello(Session& session, const json::object& body)
+    asio::awaitable<HttpResponse> handleHello(Session& session, const json::object& body)
     {
         session.hasHello = true;
         if (getString(body, "purpose") != "work")
@@ -333,7 +333,7 @@
         co_return answerJson({ { "member", m_options.name } });
     }
 
-    HttpAnswer handleStatus() const
+    HttpResponse handleStatus() const
     {
         auto body = describeLog();
         body["member"] = m_options.name;
@@ -346,7 +346,7 @@
         return answerJson(body);
     }
 
-    asio::awaitable<HttpAnswer> handleAwait(const json::object& body)
+    asio::awaitable<HttpResponse> handleAwait(const json::object& body)
     {
         auto term = getNumber(body, "term");
         auto position = getNumber(body, "position");
@@ -361,7 +361,7 @@
         co_await waitForChange(std::min(until, Clock::now() + milliseconds(20)));
     }
 
-    HttpAnswer handleBegin(Session& session, const json::object& body)
+    HttpResponse handleBegin(Session& session, const json::object& body)
     {
         if (auto refusal = checkWriter(getNumber(body, "term")))
             return *refusal;
@@ -371,7 +371,7 @@
         return answerJson({});
     }
 
-    std::optional<HttpAnswer> checkWriter(uint64_t term) const
+    std::optional<HttpResponse> checkWriter(uint64_t term) const
     {
         if (term != m_term || m_fencedTerm > m_term)
             return refuse("term", fmt::format("works in term {}, promised {}", m_term, m_fencedTerm));
@@ -380,7 +380,7 @@
         return std::nullopt;
     }
 
-    asio::awaitable<HttpAnswer> runInSlot(uint64_t connection, const std::string& operation, const json::object& body)
+    asio::awaitable<HttpResponse> runInSlot(uint64_t connection, const std::string& operation, const json::object& body)
     {
         while (m_busySlots >= m_options.slots) {
             m_slotFreed.expires_at(Clock::time_point::max());
@@ -389,7 +389,7 @@
         ++m_busySlots;
         if (m_serviceTime.count() > 0)
             co_await base::sleepFor(m_serviceTime);
-        HttpAnswer answer;
+        HttpResponse answer;
         auto it = m_sessions.find(connection);
         if (it != m_sessions.end())
             answer = co_await run(it->second, operation, body);
@@ -398,7 +398,7 @@
         co_return answer;
     }
 
-    asio::awaitable<HttpAnswer> run(Session& session, const std::string& operation, const json::object& body)
+    asio::awaitable<HttpResponse> run(Session& session, const std::string& operation, const json::object& body)
     {
         if (operation == "commit")
             co_return commit(session, body);
@@ -433,12 +433,12 @@
         return it == m_data.end() ? std::string() : it->second;
     }
 
-    HttpAnswer answerRun(const std::string& result, bool wasReplayed, uint64_t position) const
+    HttpResponse answerRun(const std::string& result, bool wasReplayed, uint64_t position) const
     {
         return answerJson({ { "result", json::parse(result) }, { "term", getLogTerm() }, { "position", position }, { "replayed", wasReplayed }, { "memberTerm", m_term }, { "fencedTerm", m_fencedTerm } });
     }
 
-    std::optional<HttpAnswer> replay(const std::string& requestKey) const
+    std::optional<HttpResponse> replay(const std::string& requestKey) const
     {
         auto it = m_keys.find(requestKey);
         if (requestKey.empty() || it == m_keys.end())
@@ -448,7 +448,7 @@
         return answerRun(it->second.result, true, getPosition());
     }
 
-    HttpAnswer write(Session& session, const json::object& body)
+    HttpResponse write(Session& session, const json::object& body)
     {
         if (auto refusal = checkWriter(getNumber(body, "term")))
             return *refusal;
@@ -468,7 +468,7 @@
         return answerRun(result, false, getPosition());
     }
 
-    HttpAnswer commit(Session& session, const json::object& body)
+    HttpResponse commit(Session& session, const json::object& body)
     {
         if (!session.transaction)
             return refuse("transaction", "no transaction is open");
@@ -483,7 +483,7 @@
         return answerRun("null", false, getPosition());
     }
 
-    HttpAnswer settle(const json::object& body)
+    HttpResponse settle(const json::object& body)
     {
         if (auto refusal = checkWriter(getNumber(body, "term")))
             return *refusal;
@@ -496,7 +496,7 @@
         return answerJson({ { "ran", didRun }, { "result", json::parse(didRun ? it->second.result : "null") }, { "term", getLogTerm() }, { "position", getPosition() }, { "replayed", didRun } });
     }
 
-    asio::awaitable<HttpAnswer> read(Session& session, const json::object& body)
+    asio::awaitable<HttpResponse> read(Session& session, const json::object& body)
     {
         decisions::Mark mark;
         if (auto* atLeast = body.if_contains("atLeast"))
@@ -520,7 +520,7 @@
 
     // ---- arbitration ----
 
-    HttpAnswer handleFence(const json::object& body)
+    HttpResponse handleFence(const json::object& body)
     {
         if (!m_options.canFence)
             return refuse("statement", "fence is not supported");
@@ -540,7 +540,7 @@
         return answerJson(answer);
     }
 
-    HttpAnswer handlePromote(const json::object& body)
+    HttpResponse handlePromote(const json::object& body)
     {
         auto term = getNumber(body, "term");
         bool isGranted = m_options.canFence ? (term == m_fencedTerm && getString(body, "proposer") == m_proposer) : term > m_term;
@@ -556,7 +556,7 @@
         return answerJson({});
     }
 
-    HttpAnswer handleFollow(const json::object& body)
+    HttpResponse handleFollow(const json::object& body)
     {
         auto term = getNumber(body, "term");
         if (term < m_term || term < m_fencedTerm || (term == m_term && m_isPrimary))
@@ -580,7 +580,7 @@
 
     // ---- commands of the tests ----
 
-    HttpAnswer handleAdmin(const std::string& path, const json::object& body)
+    HttpResponse handleAdmin(const std::string& path, const json::object& body)
     {
         if (path == "/admin/set") {
             if (body.contains("lagMs"))
@@ -654,7 +654,7 @@
     links::HttpServerOptions serverOptions;
     serverOptions.onClose = [&member](uint64_t connection) { member.endConnection(connection); };
     serverOptions.bodyLimit = 8 << 20;
-    auto server = links::beginHttpServer(
+    auto server = links::startHttpServer(
         context, options.address, [&member](HttpRequest request) { return member.handle(std::move(request)); }, serverOptions);
     if (!server) {
         fmt::print(stderr, "{}\n", server.error());
--- a/tests/standins/platform.cpp
+++ b/tests/standins/platform.cpp
@@ -21,7 +21,7 @@
 using base::milliseconds;
 using links::getNumber;
 using links::getString;
-using links::HttpAnswer;
+using links::HttpResponse;
 using links::HttpRequest;
 using standins::answerJson;
 using standins::dropAnswer;
@@ -49,11 +49,11 @@
     {
     }
 
-    asio::awaitable<HttpAnswer> handle(HttpRequest request)
+    asio::awaitable<HttpResponse> handle(HttpRequest request)
     {
         auto body = links::parseObject(request.body.empty() ? "{}" : request.body);
         if (!body)
-            co_return HttpAnswer { 400, "{}" };
+            co_return HttpResponse { 400, "{}" };
         if (request.path.starts_with("/admin/"))
             co_return handleAdmin(request.path, *body);
         ++m_calls;
@@ -98,7 +98,7 @@
             co_await base::sleepFor(milliseconds(5));
     }
 
-    asio::awaitable<HttpAnswer> handleStore(const std::string& path, const json::object& body)
+    asio::awaitable<HttpResponse> handleStore(const std::string& path, const json::object& body)
     {
         if (path == "/kv/get")
             co_return get(getString(body, "key"));
@@ -119,10 +119,10 @@
             it->second = Clock::now() + milliseconds(getNumber(body, "ttlMs"));
             co_return answerJson({});
         }
-        co_return HttpAnswer { 404, "{}" };
+        co_return HttpResponse { 404, "{}" };
     }
 
-    HttpAnswer get(const std::string& key) const
+    HttpResponse get(const std::string& key) const
     {
         auto it = m_data.find(key);
         if (it == m_data.end())
@@ -130,7 +130,7 @@
         return answerJson({ { "value", it->second.value }, { "revision", it->second.revision } });
     }
 
-    HttpAnswer list(const json::object& body) const
+    HttpResponse list(const json::object& body) const
     {
         json::array entries;
         for (auto& prefix : getPrefixes(body)) {
@@ -140,7 +140,7 @@
         return answerJson({ { "entries", std::move(entries) }, { "revision", m_revision } });
     }
 
-    HttpAnswer compareAndSwap(const json::object& body)
+    HttpResponse compareAndSwap(const json::object& body)
     {
         auto key = getString(body, "key");
         auto value = getString(body, "value");
@@ -198,7 +198,7 @@
         return prefixes;
     }
 
-    asio::awaitable<HttpAnswer> watch(const json::object& body)
+    asio::awaitable<HttpResponse> watch(const json::object& body)
     {
         auto prefixes = getPrefixes(body);
         auto after = getNumber(body, "afterRevision");
@@ -231,7 +231,7 @@
         return events;
     }
 
-    HttpAnswer handleAdmin(const std::string& path, const json::object& body)
+    HttpResponse handleAdmin(const std::string& path, const json::object& body)
     {
         if (path == "/admin/set") {
             if (body.contains("down"))
@@ -303,7 +303,7 @@
     Platform platform(context);
     links::HttpServerOptions options;
     options.bodyLimit = 4 << 20;
-    auto server = links::beginHttpServer(
+    auto server = links::startHttpServer(
         context, address.getValue(), [&platform](HttpRequest request) { return platform.handle(std::move(request)); }, options);
     if (!server) {
         fmt::print(stderr, "{}\n", server.error());
