--- a/src/links/http_client.cpp
+++ b/src/links/http_client.cpp
@@ -13,7 +13,7 @@
 namespace http = boost::beast::http;
 using asio::ip::tcp;
 
-static constexpr auto kUse = asio::as_tuple(asio::use_awaitable);
+static constexpr auto kUseAwaitable = asio::as_tuple(asio::use_awaitable);
 static std::atomic<uint64_t> nextRequestId { 1 };
 
 namespace {
@@ -33,7 +33,7 @@
         if (!endpoint)
             co_return tl::make_unexpected(LinkFailure { false, false, endpoint.error() });
         m_stream.expires_at(deadline);
-        auto [ec] = co_await m_stream.async_connect(*endpoint, kUse);
+        auto [ec] = co_await m_stream.async_connect(*endpoint, kUseAwaitable);
         m_stream.expires_never();
         if (ec) {
             close();
@@ -52,13 +52,13 @@
         auto requestId = std::to_string(nextRequestId.fetch_add(1));
         auto message = makeMessage(std::move(request), requestId);
         m_stream.expires_at(deadline);
-        auto [writeError, written] = co_await http::async_write(m_stream, message, kUse);
+        auto [writeError, written] = co_await http::async_write(m_stream, message, kUseAwaitable);
         m_transferred += written;
         if (writeError)
             co_return failExchange(written > 0, writeError);
         boost::beast::flat_buffer buf;
         http::response<http::string_body> reply;
-        auto [readError, n] = co_await http::async_read(m_stream, buf, reply, kUse);
+        auto [readError, n] = co_await http::async_read(m_stream, buf, reply, kUseAwaitable);
         m_transferred += n;
         if (readError)
             co_return failExchange(true, readError);
--- a/src/links/http_server.cpp
+++ b/src/links/http_server.cpp
@@ -19,7 +19,7 @@
 namespace http = boost::beast::http;
 using asio::ip::tcp;
 
-static constexpr auto kUse = asio::as_tuple(asio::use_awaitable);
+static constexpr auto kUseAwaitable = asio::as_tuple(asio::use_awaitable);
 static constexpr base::milliseconds kResponseWriteTimeout { 30000 }; // for a caller that does not read its answer
 static constexpr size_t kHeaderLimit = 16 * 1024;
 
@@ -106,7 +106,7 @@
     static asio::awaitable<void> accept(std::shared_ptr<BeastServer> self)
     {
         for (uint64_t next = 1;; ++next) {
-            auto [ec, socket] = co_await self->m_acceptor.async_accept(asio::make_strand(self->getNextContext()), kUse);
+            auto [ec, socket] = co_await self->m_acceptor.async_accept(asio::make_strand(self->getNextContext()), kUseAwaitable);
             if (!self->m_acceptor.is_open())
                 co_return;
             if (ec) {
@@ -142,7 +142,7 @@
     asio::awaitable<bool> serveOne(std::shared_ptr<Connection> connection)
     {
         auto& stream = connection->stream;
-        auto [waitError] = co_await stream.socket().async_wait(tcp::socket::wait_read, kUse);
+        auto [waitError] = co_await stream.socket().async_wait(tcp::socket::wait_read, kUseAwaitable);
         if (waitError)
             co_return false;
         connection->isBusy = true;
@@ -167,7 +167,7 @@
             isLate = true;
             stream.cancel();
         });
-        auto [ec, n] = co_await http::async_read(stream, buf, parser, kUse);
+        auto [ec, n] = co_await http::async_read(stream, buf, parser, kUseAwaitable);
         bool hasFired = timer.cancel() == 0 && !isLate;
         if (hasFired) // its handler is queued behind us and refers to this frame
             co_await asio::post(stream.get_executor(), asio::use_awaitable);
@@ -213,7 +213,7 @@
         std::array<char, 4096> buf;
         stream.expires_after(base::milliseconds(500));
         for (;;) {
-            auto [ec, n] = co_await stream.async_read_some(asio::buffer(buf), kUse);
+            auto [ec, n] = co_await stream.async_read_some(asio::buffer(buf), kUseAwaitable);
             if (ec)
                 co_return;
         }
@@ -221,7 +221,7 @@
 
     static asio::awaitable<bool> waitForClose(boost::beast::tcp_stream& stream)
     {
-        co_await stream.socket().async_wait(tcp::socket::wait_read, kUse);
+        co_await stream.socket().async_wait(tcp::socket::wait_read, kUseAwaitable);
         co_return false;
     }
 
@@ -237,7 +237,7 @@
         message.body() = std::move(answer.body);
         message.prepare_payload();
         stream.expires_after(kResponseWriteTimeout);
-        auto [ec, n] = co_await http::async_write(stream, message, kUse);
+        auto [ec, n] = co_await http::async_write(stream, message, kUseAwaitable);
         stream.expires_never();
         co_return !ec;
     }
