--- a/src/gateway/cluster_view.cpp
+++ b/src/gateway/cluster_view.cpp
@@ -129,20 +129,20 @@
     return getRanked(view, "neighbours of " + self, "");
 }
 
-bool isOtherLife(const links::MemberLife& before, const links::MemberLife& now)
+bool isOtherLife(const links::MemberIncarnation& before, const links::MemberIncarnation& now)
 {
-    if (before.born != 0 && now.born != 0)
-        return before.born != now.born;
+    if (before.startedAtMs != 0 && now.startedAtMs != 0)
+        return before.startedAtMs != now.startedAtMs;
     return now.sequence < before.sequence;
 }
 
 // Clocks of members differ: whatever speaks for it counts. Counts of members that started together differ by one, and by one for each word on a change of state or role.
 static constexpr uint64_t kCountsAlike = 3;
 
-bool mayBeOlder(const links::MemberLife& life, const links::MemberLife& other)
+bool mayBeOlder(const links::MemberIncarnation& life, const links::MemberIncarnation& other)
 {
-    bool isUnknown = (life.born == 0 || other.born == 0) && (life.sequence == 0 || other.sequence == 0);
-    bool isBornBefore = life.born != 0 && life.born < other.born;
+    bool isUnknown = (life.startedAtMs == 0 || other.startedAtMs == 0) && (life.sequence == 0 || other.sequence == 0);
+    bool isBornBefore = life.startedAtMs != 0 && life.startedAtMs < other.startedAtMs;
     return isUnknown || isBornBefore || life.sequence > other.sequence + kCountsAlike;
 }
 
@@ -171,7 +171,7 @@
     if (known != view.members.end() && revision < known->second.revision)
         return MemberChange::Outdated;
     bool hasMoved = known != view.members.end() && known->second.listed.group != listed.group;
-    bool startedAgain = hasMoved || (known != view.members.end() && isOtherLife(known->second.listed.life, listed.life));
+    bool startedAgain = hasMoved || (known != view.members.end() && isOtherLife(known->second.listed.incarnation, listed.incarnation));
     view.membersRevision = std::max(view.membersRevision, revision);
     auto& member = view.members[listed.id];
     if (startedAgain)
--- a/src/gateway/cluster_view.h
+++ b/src/gateway/cluster_view.h
@@ -110,9 +110,9 @@
 MemberChange takeMember(ClusterView& view, const links::ListedMember& listed, uint64_t revision, TimePoint leavingSince, TimePoint now);
 // Whether two entries under one id come from different runs of a process. A time of start that differs says so, whichever is later: clocks are set.
 // Where one of them does not say it, a count that went back does.
-bool isOtherLife(const links::MemberLife& before, const links::MemberLife& now);
+bool isOtherLife(const links::MemberIncarnation& before, const links::MemberIncarnation& now);
 // Whether the first of two members' processes may have started before the second, by what either of them says.
-bool mayBeOlder(const links::MemberLife& life, const links::MemberLife& other);
+bool mayBeOlder(const links::MemberIncarnation& life, const links::MemberIncarnation& other);
 // The newest floor, or what a replica holds. A primary that is asked from now on holds it, or has lost its log.
 Mark getKnownMark(const GroupBelief& group);
 // Whether that can be told: a host that has just started knows no floor, and a primary that started again with nothing would be believed.
--- a/src/gateway/gateway_leads.cpp
+++ b/src/gateway/gateway_leads.cpp
@@ -15,7 +15,7 @@
 struct Gateway::ComparisonRound {
     std::string group;
     std::string primary;
-    links::MemberLife life; // of the primary's process
+    links::MemberIncarnation life; // of the primary's process
     std::vector<decisions::ReplicaWitness> replicas {};
     size_t left { 0 }; // that have not answered yet, nor been given up
 };
@@ -44,15 +44,15 @@
     group.isComparing = true;
     group.comparedAt = now;
     auto& primary = m_view.members.at(group.lead.member).listed;
-    auto round = std::make_shared<ComparisonRound>(ComparisonRound { name, primary.id, primary.life });
+    auto round = std::make_shared<ComparisonRound>(ComparisonRound { name, primary.id, primary.incarnation });
     std::vector<TargetAddress> targets;
     for (auto& id : group.members) {
         auto& member = m_view.members.at(id);
         if (id == primary.id || member.unlistedAt)
             continue;
         targets.push_back(member.getTarget());
-        bool isOlder = mayBeOlder(member.listed.life, primary.life);
-        round->replicas.push_back({ false, isOlder, !isOlder && mayBeOlder(primary.life, member.listed.life) });
+        bool isOlder = mayBeOlder(member.listed.incarnation, primary.incarnation);
+        round->replicas.push_back({ false, isOlder, !isOlder && mayBeOlder(primary.incarnation, member.listed.incarnation) });
     }
     round->left = targets.size();
     if (targets.empty())
@@ -75,7 +75,7 @@
     group.isComparing = false;
     m_view.isPlacementDue = true;
     auto primary = m_view.members.find(round.primary);
-    bool isSame = primary != m_view.members.end() && group.lead.member == round.primary && !isOtherLife(round.life, primary->second.listed.life);
+    bool isSame = primary != m_view.members.end() && group.lead.member == round.primary && !isOtherLife(round.life, primary->second.listed.incarnation);
     if (!isSame) { // it is compared anew, if need be
         group.comparedAt = {};
         return;
--- a/src/gateway/gateway_members.cpp
+++ b/src/gateway/gateway_members.cpp
@@ -28,7 +28,7 @@
     takeRoleChange(before, member);
     m_partnersDue = m_partnersDue || !wasKnown;
     m_view.isPlacementDue = true;
-    before.life = member.life; // its count moves with every word of it
+    before.incarnation = member.incarnation; // its count moves with every word of it
     if (before == member && !wasUnlisted)
         return;
     base::logEvent(LogClass::State, "member", { { "member", std::string_view(member.id) }, { "group", std::string_view(member.group) }, { "address", std::string_view(member.address) }, { "leaving", member.isLeaving }, { "says_primary", member.saysPrimary }, { "revision", static_cast<int64_t>(revision) }, { "source", source } });
@@ -37,7 +37,7 @@
 // Connections that still stand lead to the process of before; whatever runs on them is in doubt, as after any other break.
 void Gateway::endLife(const links::ListedMember& member)
 {
-    base::logEvent(LogClass::State, "member-restarted", { { "member", std::string_view(member.id) }, { "group", std::string_view(member.group) }, { "born", static_cast<int64_t>(member.life.born) }, { "sequence", static_cast<int64_t>(member.life.sequence) } });
+    base::logEvent(LogClass::State, "member-restarted", { { "member", std::string_view(member.id) }, { "group", std::string_view(member.group) }, { "born", static_cast<int64_t>(member.incarnation.startedAtMs) }, { "sequence", static_cast<int64_t>(member.incarnation.sequence) } });
     m_promoter.noteNewLead(member.group);
     if (auto it = m_pools.find(member.id); it != m_pools.end()) {
         auto pool = it->second;
--- a/src/gateway/member_exchange.cpp
+++ b/src/gateway/member_exchange.cpp
@@ -15,8 +15,8 @@
     wire.set_is_leaving(listed.isLeaving);
     wire.set_says_primary(listed.saysPrimary);
     wire.set_revision(member.revision);
-    wire.set_born(listed.life.born);
-    wire.set_sequence(listed.life.sequence);
+    wire.set_born(listed.incarnation.startedAtMs);
+    wire.set_sequence(listed.incarnation.sequence);
     wire.set_is_unlisted(member.unlistedAt.has_value());
     if (member.leavingSince)
         wire.set_leaving_ms(static_cast<uint64_t>(std::chrono::duration_cast<milliseconds>(now - *member.leavingSince).count()));
@@ -43,7 +43,7 @@
     member.slots = wire.slots();
     member.isLeaving = wire.is_leaving();
     member.saysPrimary = wire.says_primary();
-    member.life = { wire.born(), wire.sequence() };
+    member.incarnation = { wire.born(), wire.sequence() };
     return member;
 }
 
--- a/src/links/directory.h
+++ b/src/links/directory.h
@@ -32,10 +32,10 @@
 };
 
 // What tells one run of a member's process from the next: it may start again under the id that it had, and then holds and knows nothing of before.
-struct MemberLife {
-    uint64_t born { 0 }; // when it started, as it says itself, in ms since 1970; 0: it does not say
+struct MemberIncarnation {
+    uint64_t startedAtMs { 0 }; // when it started, as it says itself, in ms since 1970; 0: it does not say
     uint64_t sequence { 0 }; // its count of what it has written, which begins anew with it
-    friend bool operator==(const MemberLife&, const MemberLife&) = default;
+    friend bool operator==(const MemberIncarnation&, const MemberIncarnation&) = default;
 };
 
 // A member of a database group as it registered itself.
@@ -47,7 +47,7 @@
     unsigned slots { 1 }; // statements that it runs at a time
     bool isLeaving { false };
     bool saysPrimary { false }; // its own view of its role, which may be out of date
-    MemberLife life {};
+    MemberIncarnation incarnation {};
     friend bool operator==(const ListedMember&, const ListedMember&) = default;
 };
 
