--- a/src/gateway/cluster_view.cpp
+++ b/src/gateway/cluster_view.cpp
@@ -75,7 +75,7 @@
     ranking.hosts.insert(place, host);
 }
 
-void takeHost(ClusterView& view, const links::ListedHost& host)
+void takeHost(ClusterView& view, const links::RegisteredHost& host)
 {
     auto known = view.hosts.find(host.name);
     bool isMoved = known != view.hosts.end() && known->second.dataCentre != host.dataCentre;
@@ -165,7 +165,7 @@
     member.hasStartedAgain = true;
 }
 
-MemberChange takeMember(ClusterView& view, const links::ListedMember& listed, uint64_t revision, TimePoint leavingSince, TimePoint now)
+MemberChange takeMember(ClusterView& view, const links::RegisteredMember& listed, uint64_t revision, TimePoint leavingSince, TimePoint now)
 {
     auto known = view.members.find(listed.id);
     if (known != view.members.end() && revision < known->second.revision)
--- a/src/gateway/cluster_view.h
+++ b/src/gateway/cluster_view.h
@@ -11,7 +11,7 @@
 namespace alderward::gateway {
 
 struct MemberBelief {
-    links::ListedMember listed {};
+    links::RegisteredMember listed {};
     uint64_t revision { 0 }; // of the change in the store that this rests on; what is older changes nothing
     std::optional<TimePoint> unlistedAt {}; // the store's list dropped it then; it may still lead
     std::optional<TimePoint> leavingSince {}; // empty: it does not leave
@@ -50,7 +50,7 @@
     links::GatewayConfiguration configuration {};
     std::map<std::string, MemberBelief> members {}; // by id
     std::map<std::string, GroupBelief> groups {};
-    std::map<std::string, links::ListedHost> hosts {}; // by name, this one included; changed through takeHost() and dropHost()
+    std::map<std::string, links::RegisteredHost> hosts {}; // by name, this one included; changed through takeHost() and dropHost()
     std::map<std::string, Ranking> rankings {}; // by member or group
     bool hasMembers { false }; // the list of members was read at least once
     bool isPlacementDue { true }; // who leads, or what there is, has changed since this host last looked what it carries
@@ -86,7 +86,7 @@
 
 inline constexpr milliseconds kPromotionTakes { 1500 }; // the platform names some hundred ms; the slowest site that was seen takes 1,000
 
-void takeHost(ClusterView& view, const links::ListedHost& host);
+void takeHost(ClusterView& view, const links::RegisteredHost& host);
 void dropHost(ClusterView& view, const std::string& name);
 
 // All hosts in the order in which they are asked to carry to a member, be they up or not: that differs from moment to moment, the
@@ -107,7 +107,7 @@
     Taken,
     StartedAgain, // another run of its process, or one of another group: what was known of the one before is forgotten
 };
-MemberChange takeMember(ClusterView& view, const links::ListedMember& listed, uint64_t revision, TimePoint leavingSince, TimePoint now);
+MemberChange takeMember(ClusterView& view, const links::RegisteredMember& listed, uint64_t revision, TimePoint leavingSince, TimePoint now);
 // Whether two entries under one id come from different runs of a process. A time of start that differs says so, whichever is later: clocks are set.
 // Where one of them does not say it, a count that went back does.
 bool isOtherLife(const links::MemberIncarnation& before, const links::MemberIncarnation& now);
--- a/src/gateway/directory.cpp
+++ b/src/gateway/directory.cpp
@@ -41,13 +41,13 @@
     return milliseconds(static_cast<int64_t>(kStartRetryMs * (0.5 + base::getRandom())));
 }
 
-static std::string formatHost(const links::ListedHost& host)
+static std::string formatHost(const links::RegisteredHost& host)
 {
     return json::serialize(json::object { { "address", host.address }, { "dataCentre", host.dataCentre }, { "incarnation", host.incarnation } });
 }
 
 // As formatHost() writes it. Another writer may have put something else there.
-static std::optional<links::ListedHost> parseHost(const std::string& name, const std::string& text)
+static std::optional<links::RegisteredHost> parseHost(const std::string& name, const std::string& text)
 {
     boost::system::error_code ec;
     auto value = json::parse(text, ec);
@@ -63,10 +63,10 @@
     auto number = incarnation->to_number<uint64_t>(ec);
     if (ec)
         return std::nullopt;
-    return links::ListedHost { name, std::string(address->as_string()), std::string(dataCentre->as_string()), number };
+    return links::RegisteredHost { name, std::string(address->as_string()), std::string(dataCentre->as_string()), number };
 }
 
-Directory::Directory(asio::io_context& context, links::PlatformAdapter& platform, links::ListedHost self, DirectoryTimings timings, DirectoryEvents events)
+Directory::Directory(asio::io_context& context, links::PlatformAdapter& platform, links::RegisteredHost self, DirectoryTimings timings, DirectoryEvents events)
     : m_context(context)
     , m_platform(platform)
     , m_self(std::move(self))
--- a/src/gateway/directory.h
+++ b/src/gateway/directory.h
@@ -18,10 +18,10 @@
 struct DirectoryEvents {
     std::function<void(const links::GatewayConfiguration&)> onConfiguration;
     // `changedAt`: when this host, or the one that told it, heard of the change; empty: it may be long ago.
-    std::function<void(const links::ListedMember&, uint64_t revision, std::optional<base::TimePoint> changedAt)> onMember;
+    std::function<void(const links::RegisteredMember&, uint64_t revision, std::optional<base::TimePoint> changedAt)> onMember;
     std::function<void(const std::string& id, uint64_t revision)> onMemberGone;
     std::function<void()> onMembersRead; // the list of members was read whole
-    std::function<void(const links::ListedHost&)> onHost;
+    std::function<void(const links::RegisteredHost&)> onHost;
     std::function<void(const std::string& name)> onHostGone;
     std::function<void(const std::string& group, const links::StoreItem&)> onSuccession;
     std::function<void(size_t shard, const std::set<std::string>& accounts)> onNearAccounts; // whose quotas may be used up
@@ -50,7 +50,7 @@
 
 class Directory {
 public:
-    Directory(boost::asio::io_context& context, links::PlatformAdapter& platform, links::ListedHost self, DirectoryTimings timings, DirectoryEvents events);
+    Directory(boost::asio::io_context& context, links::PlatformAdapter& platform, links::RegisteredHost self, DirectoryTimings timings, DirectoryEvents events);
 
     void begin();
     // Stops following and withdraws this host's entry.
@@ -105,7 +105,7 @@
 
     boost::asio::io_context& m_context;
     links::PlatformAdapter& m_platform;
-    links::ListedHost m_self;
+    links::RegisteredHost m_self;
     DirectoryTimings m_timings;
     DirectoryEvents m_events;
     uint64_t m_revision { 0 }; // all changes up to this one are known
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -390,12 +390,12 @@
         m_quietInterval = decisions::getPingInterval(getLeastAge(configuration));
         m_partnersDue = true;
     };
-    events.onMember = [this](const links::ListedMember& member, uint64_t revision, std::optional<TimePoint> changedAt) {
+    events.onMember = [this](const links::RegisteredMember& member, uint64_t revision, std::optional<TimePoint> changedAt) {
         takeListed(member, revision, changedAt ? *changedAt : decisions::assumeLeavingSince(getDrainTime(), Clock::now()), "listed");
     };
     events.onMemberGone = [this](const std::string& id, uint64_t revision) { takeUnlisted(id, revision, "listed"); };
     events.onMembersRead = [this] { m_view.hasMembers = true; };
-    events.onHost = [this](const links::ListedHost& host) {
+    events.onHost = [this](const links::RegisteredHost& host) {
         if (host.name == m_self.name)
             return;
         m_hostsGoneAt.erase(host.name);
@@ -418,7 +418,7 @@
 
 void Gateway::tellPeers()
 {
-    std::vector<links::ListedHost> hosts;
+    std::vector<links::RegisteredHost> hosts;
     for (auto& [name, it] : m_view.hosts)
         hosts.push_back(it);
     m_peers.setHosts(hosts);
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -57,13 +57,13 @@
     bool isTroubled(const TargetAddress& target) const;
     void fillStatus(peer::Pong& message) const;
     void takeStatus(const peer::Pong& message, TimePoint sentAt);
-    void takeListed(const links::ListedMember& member, uint64_t revision, TimePoint leavingSince, std::string_view source);
-    void endLife(const links::ListedMember& member);
+    void takeListed(const links::RegisteredMember& member, uint64_t revision, TimePoint leavingSince, std::string_view source);
+    void endLife(const links::RegisteredMember& member);
     void askWhetherItLeads(MemberBelief& member);
     void takeUnlisted(const std::string& id, uint64_t revision, std::string_view source);
     void askForMembers(TimePoint now);
     void takeMembers(const peer::MembersAnswer& answer, TimePoint sentAt);
-    void takeRoleChange(const links::ListedMember& before, const links::ListedMember& now);
+    void takeRoleChange(const links::RegisteredMember& before, const links::RegisteredMember& now);
     void tellPeers();
     void sweepHosts(TimePoint now);
     milliseconds getDrainTime() const { return milliseconds(m_settings.memberDrainMs); }
@@ -77,7 +77,7 @@
     base::GatewaySettings m_settings;
     std::unique_ptr<links::PlatformAdapter> m_platform;
     ClusterView m_view;
-    links::ListedHost m_self;
+    links::RegisteredHost m_self;
     Peers m_peers;
     QuotaExchange m_quotas;
     StatementRouter m_router;
--- a/src/gateway/gateway_members.cpp
+++ b/src/gateway/gateway_members.cpp
@@ -14,11 +14,11 @@
 static constexpr milliseconds kMembersInterval { 500 }; // between two questions for members to hosts that have the store
 
 // `source`: the store itself, or a host that has it.
-void Gateway::takeListed(const links::ListedMember& member, uint64_t revision, TimePoint leavingSince, std::string_view source)
+void Gateway::takeListed(const links::RegisteredMember& member, uint64_t revision, TimePoint leavingSince, std::string_view source)
 {
     auto known = m_view.members.find(member.id);
     bool wasKnown = known != m_view.members.end();
-    auto before = wasKnown ? known->second.listed : links::ListedMember {};
+    auto before = wasKnown ? known->second.listed : links::RegisteredMember {};
     bool wasUnlisted = wasKnown && known->second.unlistedAt;
     auto change = takeMember(m_view, member, revision, leavingSince, Clock::now());
     if (change == MemberChange::Outdated)
@@ -35,7 +35,7 @@
 }
 
 // Connections that still stand lead to the process of before; whatever runs on them is in doubt, as after any other break.
-void Gateway::endLife(const links::ListedMember& member)
+void Gateway::endLife(const links::RegisteredMember& member)
 {
     base::logEvent(LogClass::State, "member-restarted", { { "member", std::string_view(member.id) }, { "group", std::string_view(member.group) }, { "born", static_cast<int64_t>(member.incarnation.startedAtMs) }, { "sequence", static_cast<int64_t>(member.incarnation.sequence) } });
     m_promoter.noteNewLead(member.group);
@@ -86,7 +86,7 @@
 
 // A member says of itself that its role changed. That counts against a leader that has not shown itself lately, no more: a member that
 // was cut off may not know that it was replaced.
-void Gateway::takeRoleChange(const links::ListedMember& before, const links::ListedMember& now)
+void Gateway::takeRoleChange(const links::RegisteredMember& before, const links::RegisteredMember& now)
 {
     auto& group = m_view.groups[now.group];
     bool isFresh = !group.floors.isEmpty() && Clock::now() - group.floors.floors.back().since < kProofMissed;
--- a/src/gateway/member_exchange.cpp
+++ b/src/gateway/member_exchange.cpp
@@ -33,9 +33,9 @@
     }
 }
 
-links::ListedMember readMember(const peer::MemberEntry& wire)
+links::RegisteredMember readMember(const peer::MemberEntry& wire)
 {
-    links::ListedMember member;
+    links::RegisteredMember member;
     member.id = wire.id();
     member.group = wire.group();
     member.address = wire.address();
--- a/src/gateway/member_exchange.h
+++ b/src/gateway/member_exchange.h
@@ -13,7 +13,7 @@
 void writeMembers(peer::MembersAnswer& wire, const ClusterView& view, uint64_t since, TimePoint now);
 
 // One entry that another host told.
-links::ListedMember readMember(const peer::MemberEntry& wire);
+links::RegisteredMember readMember(const peer::MemberEntry& wire);
 
 // Changes in the store that a relay tells.
 void writeChanges(peer::Pong& wire, const ToldChanges& told, TimePoint now);
--- a/src/gateway/peers.cpp
+++ b/src/gateway/peers.cpp
@@ -28,7 +28,7 @@
 
 // A connection that this host opened.
 struct Peers::Link {
-    links::ListedHost host;
+    links::RegisteredHost host;
     std::shared_ptr<links::Channel> channel;
     Partner partner {};
     bool isUp { true };
@@ -70,7 +70,7 @@
     return m_inbound.listen(address);
 }
 
-void Peers::setHosts(const std::vector<links::ListedHost>& hosts)
+void Peers::setHosts(const std::vector<links::RegisteredHost>& hosts)
 {
     m_hosts.clear();
     for (auto& it : hosts) {
--- a/src/gateway/peers.h
+++ b/src/gateway/peers.h
@@ -26,7 +26,7 @@
 
     tl::expected<void, std::string> listen(const std::string& address);
     // The hosts that there are. A connection to one that is gone or has another address ends.
-    void setHosts(const std::vector<links::ListedHost>& hosts);
+    void setHosts(const std::vector<links::RegisteredHost>& hosts);
     // The hosts that are pinged all the time; to others a connection is made when something is sent, and pinged while answers are awaited.
     void setPartners(const Partners& partners);
 
@@ -98,7 +98,7 @@
     std::string m_name;
     PeerService m_service;
     InboundPeers m_inbound;
-    std::map<std::string, links::ListedHost> m_hosts; // all that are known
+    std::map<std::string, links::RegisteredHost> m_hosts; // all that are known
     std::map<std::string, LinkPtr> m_links; // to some of them
     std::unordered_map<std::string, Loads> m_toldLoads; // of hosts that relays told about
     std::set<std::string> m_unusable; // as all relays say that answer
--- a/src/links/directory.h
+++ b/src/links/directory.h
@@ -39,7 +39,7 @@
 };
 
 // A member of a database group as it registered itself.
-struct ListedMember {
+struct RegisteredMember {
     std::string id {};
     std::string group {};
     std::string address {};
@@ -48,16 +48,16 @@
     bool isLeaving { false };
     bool saysPrimary { false }; // its own view of its role, which may be out of date
     MemberIncarnation incarnation {};
-    friend bool operator==(const ListedMember&, const ListedMember&) = default;
+    friend bool operator==(const RegisteredMember&, const RegisteredMember&) = default;
 };
 
 // Another host of the system as it registered itself.
-struct ListedHost {
+struct RegisteredHost {
     std::string name {};
     std::string address {}; // for other hosts
     std::string dataCentre {};
     uint64_t incarnation { 0 }; // differs for each start of a process
-    friend bool operator==(const ListedHost&, const ListedHost&) = default;
+    friend bool operator==(const RegisteredHost&, const RegisteredHost&) = default;
 };
 
 // ---- the store ----
@@ -147,7 +147,7 @@
     virtual tl::expected<GatewayConfiguration, std::string> parseConfiguration(const std::string& value) const = 0;
     // The same configuration with a digest in place of each key, for other hosts; parseConfiguration() reads it as well.
     virtual std::string hideKeys(const std::string& value) const = 0;
-    virtual tl::expected<ListedMember, std::string> parseMember(const std::string& key, const std::string& value) const = 0;
+    virtual tl::expected<RegisteredMember, std::string> parseMember(const std::string& key, const std::string& value) const = 0;
     virtual boost::asio::awaitable<PromotionResult> promote(PromotionOrder order, base::TimePoint deadline) = 0;
     // The path that the platform's balancer asks for this host's readiness.
     virtual std::string getReadyPath() const = 0;
--- a/tests/unit/comparison_test.cpp
+++ b/tests/unit/comparison_test.cpp
@@ -63,7 +63,7 @@
 BOOST_AUTO_TEST_CASE(a_primary_that_starts_again_after_the_comparison_is_compared_anew)
 {
     ClusterView view;
-    links::ListedMember member { .id = "m", .group = "g", .address = "10.0.0.1:1", .dataCentre = "a", .slots = 2, .saysPrimary = true, .incarnation = { 1000, 1 } };
+    links::RegisteredMember member { .id = "m", .group = "g", .address = "10.0.0.1:1", .dataCentre = "a", .slots = 2, .saysPrimary = true, .incarnation = { 1000, 1 } };
     takeMember(view, member, 1, {}, kStart);
     view.groups["g"].wasCompared = true;
     BOOST_TEST(canTellLostLog(view.groups["g"]));
--- a/tests/unit/entries_test.cpp
+++ b/tests/unit/entries_test.cpp
@@ -36,7 +36,7 @@
 }
 
 // What a checked member promises to all who use it.
-bool isWhole(const links::ListedMember& it)
+bool isWhole(const links::RegisteredMember& it)
 {
     return !it.id.empty() && !it.group.empty() && !it.address.empty() && !it.dataCentre.empty() && it.slots > 0;
 }
@@ -83,7 +83,7 @@
 {
     auto member = platform::readMemberEntry("m1", json::serialize(makeEntry()));
     BOOST_REQUIRE(member.has_value());
-    links::ListedMember expected { .id = "m1", .group = "ledger", .address = "10.0.0.1:8149", .dataCentre = "hall-a", .slots = 2, .incarnation = { 1789000000000, 4 } };
+    links::RegisteredMember expected { .id = "m1", .group = "ledger", .address = "10.0.0.1:8149", .dataCentre = "hall-a", .slots = 2, .incarnation = { 1789000000000, 4 } };
     BOOST_TEST((*member == expected));
     auto older = makeEntry();
     older.erase("born");
--- a/tests/unit/gateway_decisions_test.cpp
+++ b/tests/unit/gateway_decisions_test.cpp
@@ -176,7 +176,7 @@
     gateway::ClusterView view;
     for (auto* name : { "a1", "a2", "b1" })
         takeHost(view, { name, "", std::string(name).substr(0, 1), 1 });
-    links::ListedMember listed;
+    links::RegisteredMember listed;
     listed.id = "m";
     listed.group = "g";
     listed.dataCentre = "a";
--- a/tests/unit/member_exchange_test.cpp
+++ b/tests/unit/member_exchange_test.cpp
@@ -9,7 +9,7 @@
 
 const TimePoint kStart = TimePoint() + milliseconds(100000);
 
-links::ListedMember makeMember(const std::string& id, bool isLeaving = false)
+links::RegisteredMember makeMember(const std::string& id, bool isLeaving = false)
 {
     return { .id = id, .group = "g", .address = "10.0.0.1:1", .dataCentre = "a", .slots = 2, .isLeaving = isLeaving };
 }
--- a/tests/unit/member_life_test.cpp
+++ b/tests/unit/member_life_test.cpp
@@ -9,7 +9,7 @@
 
 const TimePoint kStart = TimePoint() + milliseconds(100000);
 
-links::ListedMember makeMember(uint64_t startedAtMs, uint64_t sequence, bool saysPrimary = false)
+links::RegisteredMember makeMember(uint64_t startedAtMs, uint64_t sequence, bool saysPrimary = false)
 {
     return { .id = "m", .group = "g", .address = "10.0.0.1:1", .dataCentre = "a", .slots = 2, .saysPrimary = saysPrimary, .incarnation = { startedAtMs, sequence } };
 }
--- a/tests/unit/relaying_test.cpp
+++ b/tests/unit/relaying_test.cpp
@@ -20,7 +20,7 @@
 struct Fleet {
     boost::asio::io_context context {};
     ClusterView view {};
-    std::vector<links::ListedHost> hosts {};
+    std::vector<links::RegisteredHost> hosts {};
 
     Fleet(size_t hostCount, size_t groups)
     {
@@ -29,7 +29,7 @@
             takeHost(view, hosts.back());
         }
         for (size_t i = 0; i < groups * 3; ++i) {
-            links::ListedMember member;
+            links::RegisteredMember member;
             member.id = fmt::format("m{}", i);
             member.group = fmt::format("g{}", i / 3);
             member.dataCentre = fmt::format("dc{}", i % kDataCentres);
