--- a/src/controllers/group.h
+++ b/src/controllers/group.h
@@ -161,7 +161,7 @@
     boost::asio::awaitable<void> confirmForever(size_t index, uint64_t epoch);
     boost::asio::awaitable<bool> confirmOnce(std::unique_ptr<links::HttpConnection>& link, size_t index, decisions::Mark wanted);
     std::optional<decisions::Mark> getWanted(size_t index) const;
-    void takeStanding(size_t index, const links::AwaitAnswer& answer, base::TimePoint askedAt);
+    void takeStanding(size_t index, const links::AwaitPositionResult& answer, base::TimePoint askedAt);
     void settleWaiting();
 
     // ---- statements ----
@@ -176,7 +176,7 @@
     boost::asio::awaitable<decisions::Result<Outcome>> acknowledge(const Order& order, Outcome outcome, base::TimePoint ranAt);
     boost::asio::awaitable<decisions::Result<Outcome>> runBegin(Order order);
     boost::asio::awaitable<decisions::Result<Outcome>> runInTransaction(Order order);
-    boost::asio::awaitable<links::TargetResult<links::ExecuteAnswer>> sendInTransaction(const Order& order, Transaction& transaction);
+    boost::asio::awaitable<links::TargetResult<links::ExecuteResult>> sendInTransaction(const Order& order, Transaction& transaction);
     void endTransaction(const std::string& name, bool isLeaseGood);
     decisions::Result<Outcome> takeTargetFailure(const links::TargetFailure& failure, size_t member);
     boost::asio::awaitable<decisions::Result<size_t>> findPrimary(const Order& order);
--- a/src/controllers/group_confirm.cpp
+++ b/src/controllers/group_confirm.cpp
@@ -99,7 +99,7 @@
     co_return true;
 }
 
-void GroupController::takeStanding(size_t index, const links::AwaitAnswer& answer, TimePoint askedAt)
+void GroupController::takeStanding(size_t index, const links::AwaitPositionResult& answer, TimePoint askedAt)
 {
     bool holdsTerm = answer.logTerm == answer.term;
     m_members[index].standing = { answer.term, answer.fencedTerm, holdsTerm ? answer.position : 0, askedAt };
--- a/src/controllers/group_statements.cpp
+++ b/src/controllers/group_statements.cpp
@@ -258,7 +258,7 @@
     if (sentAt >= order.deadline)
         co_return fail(ErrorKind::DeadlineExceeded, "the deadline passed before the statement was sent");
     auto& link = lease->getLink();
-    auto answer = links::TargetResult<links::ExecuteAnswer>();
+    auto answer = links::TargetResult<links::ExecuteResult>();
     links::ExecuteRequest request { term, true, order.statement, order.parameters, order.requestKey, {}, {} };
     if (order.operation == Operation::Settle)
         answer = co_await links::settleKey(link, m_node.settings.name, term, order.requestKey, order.deadline);
--- a/src/controllers/group_transactions.cpp
+++ b/src/controllers/group_transactions.cpp
@@ -59,7 +59,7 @@
     }
 }
 
-asio::awaitable<links::TargetResult<links::ExecuteAnswer>> GroupController::sendInTransaction(const Order& order, Transaction& transaction)
+asio::awaitable<links::TargetResult<links::ExecuteResult>> GroupController::sendInTransaction(const Order& order, Transaction& transaction)
 {
     auto& link = transaction.lease.getLink();
     auto& from = m_node.settings.name;
@@ -69,7 +69,7 @@
         auto answer = co_await links::rollbackTransaction(link, from, order.deadline);
         if (!answer)
             co_return tl::make_unexpected(answer.error());
-        co_return links::ExecuteAnswer {};
+        co_return links::ExecuteResult {};
     }
     links::ExecuteRequest request { transaction.term, order.isWrite, order.statement, order.parameters, {}, {}, {} };
     co_return co_await links::execute(link, from, request, order.deadline);
--- a/src/gateway/directory.cpp
+++ b/src/gateway/directory.cpp
@@ -113,21 +113,21 @@
     }
     base::logEvent(LogClass::State, "configuration-behind", { { "here", static_cast<int64_t>(m_version) }, { "elsewhere", static_cast<int64_t>(version) } });
     m_mustReread = true;
-    m_platform.getStore().interruptWatch();
+    m_platform.getStore().cancelWatch();
 }
 
 void Directory::setWatcher(bool isWatcher, bool hasRelay)
 {
     m_hasRelay = hasRelay;
     if (isWatcher && !m_isWatcher)
-        interruptWatch();
+        cancelWatch();
     m_isWatcher = isWatcher;
 }
 
-void Directory::interruptWatch()
+void Directory::cancelWatch()
 {
     m_isInterrupted = true;
-    m_platform.getStore().interruptWatch();
+    m_platform.getStore().cancelWatch();
 }
 
 void Directory::hearChange(uint64_t change)
@@ -151,7 +151,7 @@
     if (m_isInDoubt)
         return;
     m_isInDoubt = true;
-    interruptWatch();
+    cancelWatch();
 }
 
 milliseconds Directory::getWatchWait() const
@@ -323,7 +323,7 @@
     m_log.push_back(change);
     auto& item = m_log.back().item;
     if (item.key == m_platform.getConfigurationKey())
-        item.value = m_platform.hideKeys(item.value); // what stands here is told to other hosts: keys of client accounts leave no host
+        item.value = m_platform.replaceKeysWithDigests(item.value); // what stands here is told to other hosts: keys of client accounts leave no host
     m_logBytes += item.value.size();
     while (m_log.size() > kLogMost || m_logBytes > kLogBytesMost) {
         m_logSince = std::max(m_logSince, m_log.front().item.revision);
--- a/src/gateway/directory.h
+++ b/src/gateway/directory.h
@@ -86,7 +86,7 @@
     boost::asio::awaitable<bool> watchOnce();
     boost::asio::awaitable<void> keepEntry();
     boost::asio::awaitable<bool> writeEntry();
-    void interruptWatch();
+    void cancelWatch();
     void doubtStore();
     bool leavesStoreToRelays() const;
     boost::asio::awaitable<void> waitForStore(base::milliseconds pause);
--- a/src/links/directory.h
+++ b/src/links/directory.h
@@ -93,7 +93,7 @@
 };
 
 template <typename T>
-using StoreAnswer = boost::asio::awaitable<tl::expected<T, StoreError>>;
+using AsyncStoreResult = boost::asio::awaitable<tl::expected<T, StoreError>>;
 
 // A change of several keys under conditions, all or nothing.
 struct StoreChange {
@@ -105,16 +105,16 @@
 class Store {
 public:
     virtual ~Store() = default;
-    virtual StoreAnswer<StoreItem> get(std::string key, base::TimePoint deadline) = 0;
+    virtual AsyncStoreResult<StoreItem> get(std::string key, base::TimePoint deadline) = 0;
     // One page behind the key `after`. `mayBeStale` is cheaper and may be seconds old.
-    virtual StoreAnswer<StoreItems> list(std::string prefix, std::string after, bool mayBeStale, base::TimePoint deadline) = 0;
+    virtual AsyncStoreResult<StoreItems> list(std::string prefix, std::string after, bool isStaleAllowed, base::TimePoint deadline) = 0;
     // Waits up to `wait` for changes behind a revision, on a connection of its own.
-    virtual StoreAnswer<StoreItems> watch(std::string prefix, uint64_t after, base::milliseconds wait) = 0;
-    virtual StoreAnswer<uint64_t> change(StoreChange change, base::TimePoint deadline) = 0;
-    virtual StoreAnswer<uint64_t> grantLease(base::milliseconds ttl, base::TimePoint deadline) = 0;
-    virtual StoreAnswer<void> renewLease(uint64_t lease, base::TimePoint deadline) = 0;
+    virtual AsyncStoreResult<StoreItems> watch(std::string prefix, uint64_t after, base::milliseconds wait) = 0;
+    virtual AsyncStoreResult<uint64_t> change(StoreChange change, base::TimePoint deadline) = 0;
+    virtual AsyncStoreResult<uint64_t> grantLease(base::milliseconds ttl, base::TimePoint deadline) = 0;
+    virtual AsyncStoreResult<void> renewLease(uint64_t lease, base::TimePoint deadline) = 0;
     // Ends the watch that waits, if one does, as unreachable.
-    virtual void interruptWatch() = 0;
+    virtual void cancelWatch() = 0;
 };
 
 // ---- orders to the platform ----
@@ -146,7 +146,7 @@
     virtual std::string getMembersPrefix() const = 0;
     virtual tl::expected<GatewayConfiguration, std::string> parseConfiguration(const std::string& value) const = 0;
     // The same configuration with a digest in place of each key, for other hosts; parseConfiguration() reads it as well.
-    virtual std::string hideKeys(const std::string& value) const = 0;
+    virtual std::string replaceKeysWithDigests(const std::string& value) const = 0;
     virtual tl::expected<RegisteredMember, std::string> parseMember(const std::string& key, const std::string& value) const = 0;
     virtual boost::asio::awaitable<PromotionResult> promote(PromotionOrder order, base::TimePoint deadline) = 0;
     // The path that the platform's balancer asks for this host's readiness.
--- a/src/links/platform.cpp
+++ b/src/links/platform.cpp
@@ -8,9 +8,9 @@
 namespace asio = boost::asio;
 namespace json = boost::json;
 
-static constexpr base::milliseconds kWatchGrace { 1000 }; // on top of the wait, for the answer to arrive
+static constexpr base::milliseconds kWatchResponseTimeout { 1000 }; // on top of the wait, for the answer to arrive
 
-static PlatformAnswer<json::object> callOn(HttpConnection& link, const PlatformClient& client, std::string path, json::object body, base::TimePoint deadline)
+static AsyncPlatformResult<json::object> callOverConnection(HttpConnection& link, const PlatformClient& client, std::string path, json::object body, base::TimePoint deadline)
 {
     base::count(base::Counter::PlatformCalls);
     HttpRequest request;
@@ -28,13 +28,13 @@
     co_return std::move(*object);
 }
 
-static PlatformAnswer<json::object> call(const PlatformClient& client, std::string path, json::object body, base::TimePoint deadline)
+static AsyncPlatformResult<json::object> call(const PlatformClient& client, std::string path, json::object body, base::TimePoint deadline)
 {
     auto link = makeHttpConnection(co_await asio::this_coro::executor, client.address);
     auto opened = co_await link->open(deadline);
     if (!opened)
         co_return tl::make_unexpected(opened.error());
-    co_return co_await callOn(*link, client, std::move(path), std::move(body), deadline);
+    co_return co_await callOverConnection(*link, client, std::move(path), std::move(body), deadline);
 }
 
 static StoredValue parseStored(const json::object& object)
@@ -64,7 +64,7 @@
     return array;
 }
 
-PlatformAnswer<StoredValue> getValue(const PlatformClient& client, std::string key, base::TimePoint deadline)
+AsyncPlatformResult<StoredValue> getValue(const PlatformClient& client, std::string key, base::TimePoint deadline)
 {
     json::object body { { "key", key } };
     auto object = co_await call(client, "/kv/get", std::move(body), deadline);
@@ -75,7 +75,7 @@
     co_return stored;
 }
 
-PlatformAnswer<StoredList> listValues(const PlatformClient& client, std::vector<std::string> prefixes, base::TimePoint deadline)
+AsyncPlatformResult<StoredList> listValues(const PlatformClient& client, std::vector<std::string> prefixes, base::TimePoint deadline)
 {
     json::object body { { "prefixes", toArray(prefixes) } };
     auto object = co_await call(client, "/kv/list", std::move(body), deadline);
@@ -84,21 +84,21 @@
     co_return parseList(*object, "entries");
 }
 
-PlatformAnswer<SwapAnswer> compareAndSwap(const PlatformClient& client, std::string key, uint64_t expectRevision, std::string value, base::TimePoint deadline)
+AsyncPlatformResult<SwapResult> compareAndSwap(const PlatformClient& client, std::string key, uint64_t expectRevision, std::string value, base::TimePoint deadline)
 {
     json::object body { { "key", key }, { "expectRevision", expectRevision }, { "value", value } };
     auto object = co_await call(client, "/kv/cas", std::move(body), deadline);
     if (!object)
         co_return tl::make_unexpected(object.error());
-    SwapAnswer answer { getBool(*object, "swapped"), parseStored(*object) };
+    SwapResult answer { getBool(*object, "swapped"), parseStored(*object) };
     answer.current.key = key;
     co_return answer;
 }
 
-PlatformAnswer<StoredList> watchValues(const PlatformClient& client, HttpConnection& link, std::vector<std::string> prefixes, uint64_t afterRevision, base::milliseconds wait)
+AsyncPlatformResult<StoredList> watchValues(const PlatformClient& client, HttpConnection& link, std::vector<std::string> prefixes, uint64_t afterRevision, base::milliseconds wait)
 {
     json::object body { { "prefixes", toArray(prefixes) }, { "afterRevision", afterRevision }, { "waitMs", wait.count() } };
-    auto object = co_await callOn(link, client, "/kv/watch", std::move(body), base::Clock::now() + wait + kWatchGrace);
+    auto object = co_await callOverConnection(link, client, "/kv/watch", std::move(body), base::Clock::now() + wait + kWatchResponseTimeout);
     if (!object)
         co_return tl::make_unexpected(object.error());
     co_return parseList(*object, "events");
--- a/src/links/platform.h
+++ b/src/links/platform.h
@@ -27,19 +27,19 @@
 };
 
 // The store's answer to compare-and-swap.
-struct SwapAnswer {
+struct SwapResult {
     bool wasSwapped { false };
     StoredValue current {}; // after a swap: our value's revision; else what stands there
 };
 
 template <typename T>
-using PlatformAnswer = boost::asio::awaitable<LinkResult<T>>;
+using AsyncPlatformResult = boost::asio::awaitable<LinkResult<T>>;
 
-PlatformAnswer<StoredValue> getValue(const PlatformClient& client, std::string key, base::TimePoint deadline);
-PlatformAnswer<StoredList> listValues(const PlatformClient& client, std::vector<std::string> prefixes, base::TimePoint deadline);
+AsyncPlatformResult<StoredValue> getValue(const PlatformClient& client, std::string key, base::TimePoint deadline);
+AsyncPlatformResult<StoredList> listValues(const PlatformClient& client, std::vector<std::string> prefixes, base::TimePoint deadline);
 // A failure with `mayHaveArrived` means that the swap may have happened: read before you write again.
-PlatformAnswer<SwapAnswer> compareAndSwap(const PlatformClient& client, std::string key, uint64_t expectRevision, std::string value, base::TimePoint deadline);
+AsyncPlatformResult<SwapResult> compareAndSwap(const PlatformClient& client, std::string key, uint64_t expectRevision, std::string value, base::TimePoint deadline);
 // Waits for changes after a revision, at most `wait`; one call for the store, however long it waits.
-PlatformAnswer<StoredList> watchValues(const PlatformClient& client, HttpConnection& link, std::vector<std::string> prefixes, uint64_t afterRevision, base::milliseconds wait);
+AsyncPlatformResult<StoredList> watchValues(const PlatformClient& client, HttpConnection& link, std::vector<std::string> prefixes, uint64_t afterRevision, base::milliseconds wait);
 
 }
--- a/src/links/target.cpp
+++ b/src/links/target.cpp
@@ -7,7 +7,7 @@
 using decisions::FenceAnswer;
 using decisions::MemberStatus;
 
-static constexpr unsigned kRefusedStatus = 409;
+static constexpr unsigned kRefusalHttpStatus = 409;
 
 static RefusalKind parseRefusal(std::string_view text)
 {
@@ -33,7 +33,7 @@
 }
 
 // One operation: JSON there, JSON back. A status other than 200 and 409, or a body that is no object, is not trusted.
-static TargetAnswer<json::object> call(HttpConnection& link, const std::string& from, const char* operation, const json::object& body, base::TimePoint deadline)
+static AsyncTargetResult<json::object> call(HttpConnection& link, const std::string& from, const char* operation, const json::object& body, base::TimePoint deadline)
 {
     HttpRequest request;
     request.path = std::string("/member/") + operation;
@@ -43,9 +43,9 @@
     if (!answer)
         co_return tl::make_unexpected(TargetFailure { {}, answer.error() });
     auto object = parseObject(answer->body);
-    if (!object || (answer->status != 200 && answer->status != kRefusedStatus))
+    if (!object || (answer->status != 200 && answer->status != kRefusalHttpStatus))
         co_return failLink(link, true, "the member's answer cannot be read");
-    if (answer->status == kRefusedStatus)
+    if (answer->status == kRefusalHttpStatus)
         co_return tl::make_unexpected(TargetFailure { Refusal { parseRefusal(getString(*object, "refused")), getString(*object, "message") }, {} });
     co_return std::move(*object);
 }
@@ -74,11 +74,11 @@
     return log;
 }
 
-static TargetResult<ExecuteAnswer> parseExecute(const TargetResult<json::object>& object)
+static TargetResult<ExecuteResult> parseExecute(const TargetResult<json::object>& object)
 {
     if (!object)
         return tl::make_unexpected(object.error());
-    ExecuteAnswer answer;
+    ExecuteResult answer;
     if (auto* result = object->if_contains("result"))
         answer.result = json::serialize(*result);
     answer.mark = { getNumber(*object, "term"), getNumber(*object, "position") };
@@ -88,13 +88,13 @@
     return answer;
 }
 
-TargetAnswer<void> sendHello(HttpConnection& link, const std::string& from, Purpose purpose, base::TimePoint deadline)
+AsyncTargetResult<void> sendHello(HttpConnection& link, const std::string& from, Purpose purpose, base::TimePoint deadline)
 {
     json::object body { { "purpose", purpose == Purpose::Work ? "work" : "control" } };
     co_return discardBody(co_await call(link, from, "hello", body, deadline));
 }
 
-TargetAnswer<MemberStatus> askStatus(HttpConnection& link, const std::string& from, base::TimePoint deadline)
+AsyncTargetResult<MemberStatus> askStatus(HttpConnection& link, const std::string& from, base::TimePoint deadline)
 {
     json::object body;
     auto object = co_await call(link, from, "status", body, deadline);
@@ -112,7 +112,7 @@
     co_return status;
 }
 
-TargetAnswer<ExecuteAnswer> execute(HttpConnection& link, const std::string& from, const ExecuteRequest& request, base::TimePoint deadline)
+AsyncTargetResult<ExecuteResult> execute(HttpConnection& link, const std::string& from, const ExecuteRequest& request, base::TimePoint deadline)
 {
     json::object body { { "term", request.term }, { "kind", request.isWrite ? "write" : "read" }, { "statement", request.statement } };
     if (!request.parameters.empty())
@@ -126,13 +126,13 @@
     co_return parseExecute(co_await call(link, from, "execute", body, deadline));
 }
 
-TargetAnswer<void> beginTransaction(HttpConnection& link, const std::string& from, uint64_t term, base::TimePoint deadline)
+AsyncTargetResult<void> beginTransaction(HttpConnection& link, const std::string& from, uint64_t term, base::TimePoint deadline)
 {
     json::object body { { "term", term } };
     co_return discardBody(co_await call(link, from, "begin", body, deadline));
 }
 
-TargetAnswer<ExecuteAnswer> commitTransaction(HttpConnection& link, const std::string& from, const std::string& requestKey, base::TimePoint deadline)
+AsyncTargetResult<ExecuteResult> commitTransaction(HttpConnection& link, const std::string& from, const std::string& requestKey, base::TimePoint deadline)
 {
     json::object body;
     if (!requestKey.empty())
@@ -140,28 +140,28 @@
     co_return parseExecute(co_await call(link, from, "commit", body, deadline));
 }
 
-TargetAnswer<void> rollbackTransaction(HttpConnection& link, const std::string& from, base::TimePoint deadline)
+AsyncTargetResult<void> rollbackTransaction(HttpConnection& link, const std::string& from, base::TimePoint deadline)
 {
     json::object body;
     co_return discardBody(co_await call(link, from, "rollback", body, deadline));
 }
 
-TargetAnswer<ExecuteAnswer> settleKey(HttpConnection& link, const std::string& from, uint64_t term, const std::string& requestKey, base::TimePoint deadline)
+AsyncTargetResult<ExecuteResult> settleKey(HttpConnection& link, const std::string& from, uint64_t term, const std::string& requestKey, base::TimePoint deadline)
 {
     json::object body { { "term", term }, { "requestKey", requestKey } };
     co_return parseExecute(co_await call(link, from, "settle", body, deadline));
 }
 
-TargetAnswer<AwaitAnswer> awaitPosition(HttpConnection& link, const std::string& from, const Mark& mark, base::milliseconds limit, base::TimePoint deadline)
+AsyncTargetResult<AwaitPositionResult> awaitPosition(HttpConnection& link, const std::string& from, const Mark& mark, base::milliseconds limit, base::TimePoint deadline)
 {
     json::object body { { "term", mark.term }, { "position", mark.position }, { "limitMs", limit.count() } };
     auto object = co_await call(link, from, "await", body, deadline);
     if (!object)
         co_return tl::make_unexpected(object.error());
-    co_return AwaitAnswer { getNumber(*object, "term"), getNumber(*object, "fencedTerm"), getNumber(*object, "logTerm"), getNumber(*object, "position") };
+    co_return AwaitPositionResult { getNumber(*object, "term"), getNumber(*object, "fencedTerm"), getNumber(*object, "logTerm"), getNumber(*object, "position") };
 }
 
-TargetAnswer<FenceAnswer> fence(HttpConnection& link, const std::string& from, uint64_t term, const std::string& proposer, base::TimePoint deadline)
+AsyncTargetResult<FenceAnswer> fence(HttpConnection& link, const std::string& from, uint64_t term, const std::string& proposer, base::TimePoint deadline)
 {
     json::object body { { "term", term }, { "proposer", proposer } };
     auto object = co_await call(link, from, "fence", body, deadline);
@@ -170,13 +170,13 @@
     co_return FenceAnswer { getBool(*object, "granted"), getNumber(*object, "fencedTerm"), parseLog(*object) };
 }
 
-TargetAnswer<void> promote(HttpConnection& link, const std::string& from, uint64_t term, const std::string& proposer, base::TimePoint deadline)
+AsyncTargetResult<void> promote(HttpConnection& link, const std::string& from, uint64_t term, const std::string& proposer, base::TimePoint deadline)
 {
     json::object body { { "term", term }, { "proposer", proposer } };
     co_return discardBody(co_await call(link, from, "promote", body, deadline));
 }
 
-TargetAnswer<void> follow(HttpConnection& link, const std::string& from, uint64_t term, const std::string& primary, const std::string& address, base::TimePoint deadline)
+AsyncTargetResult<void> follow(HttpConnection& link, const std::string& from, uint64_t term, const std::string& primary, const std::string& address, base::TimePoint deadline)
 {
     json::object body { { "term", term }, { "primary", primary }, { "address", address } };
     co_return discardBody(co_await call(link, from, "follow", body, deadline));
--- a/src/links/target.h
+++ b/src/links/target.h
@@ -40,7 +40,7 @@
 template <typename T>
 using TargetResult = tl::expected<T, TargetFailure>;
 template <typename T>
-using TargetAnswer = boost::asio::awaitable<TargetResult<T>>;
+using AsyncTargetResult = boost::asio::awaitable<TargetResult<T>>;
 
 struct ExecuteRequest {
     uint64_t term { 0 }; // the member must work in it (writes)
@@ -52,7 +52,7 @@
     base::milliseconds waitLimit { 0 }; // reads: how long it may wait for that
 };
 
-struct ExecuteAnswer {
+struct ExecuteResult {
     std::string result {}; // JSON
     Mark mark {}; // last entry of the member's log when it answered
     bool wasReplayed { false }; // the key was known: this is the first run's answer
@@ -60,7 +60,7 @@
     decisions::MemberGlimpse glimpse {}; // term 0 from a target that does not say what it works in
 };
 
-struct AwaitAnswer {
+struct AwaitPositionResult {
     uint64_t term { 0 };
     uint64_t fencedTerm { 0 };
     uint64_t logTerm { 0 };
@@ -68,16 +68,16 @@
 };
 
 // All of them close the connection when the carrier fails; a refusal leaves it usable.
-TargetAnswer<void> sendHello(HttpConnection& link, const std::string& from, Purpose purpose, base::TimePoint deadline);
-TargetAnswer<decisions::MemberStatus> askStatus(HttpConnection& link, const std::string& from, base::TimePoint deadline);
-TargetAnswer<ExecuteAnswer> execute(HttpConnection& link, const std::string& from, const ExecuteRequest& request, base::TimePoint deadline);
-TargetAnswer<void> beginTransaction(HttpConnection& link, const std::string& from, uint64_t term, base::TimePoint deadline);
-TargetAnswer<ExecuteAnswer> commitTransaction(HttpConnection& link, const std::string& from, const std::string& requestKey, base::TimePoint deadline);
-TargetAnswer<void> rollbackTransaction(HttpConnection& link, const std::string& from, base::TimePoint deadline);
-TargetAnswer<ExecuteAnswer> settleKey(HttpConnection& link, const std::string& from, uint64_t term, const std::string& requestKey, base::TimePoint deadline);
-TargetAnswer<AwaitAnswer> awaitPosition(HttpConnection& link, const std::string& from, const Mark& mark, base::milliseconds limit, base::TimePoint deadline);
-TargetAnswer<decisions::FenceAnswer> fence(HttpConnection& link, const std::string& from, uint64_t term, const std::string& proposer, base::TimePoint deadline);
-TargetAnswer<void> promote(HttpConnection& link, const std::string& from, uint64_t term, const std::string& proposer, base::TimePoint deadline);
-TargetAnswer<void> follow(HttpConnection& link, const std::string& from, uint64_t term, const std::string& primary, const std::string& address, base::TimePoint deadline);
+AsyncTargetResult<void> sendHello(HttpConnection& link, const std::string& from, Purpose purpose, base::TimePoint deadline);
+AsyncTargetResult<decisions::MemberStatus> askStatus(HttpConnection& link, const std::string& from, base::TimePoint deadline);
+AsyncTargetResult<ExecuteResult> execute(HttpConnection& link, const std::string& from, const ExecuteRequest& request, base::TimePoint deadline);
+AsyncTargetResult<void> beginTransaction(HttpConnection& link, const std::string& from, uint64_t term, base::TimePoint deadline);
+AsyncTargetResult<ExecuteResult> commitTransaction(HttpConnection& link, const std::string& from, const std::string& requestKey, base::TimePoint deadline);
+AsyncTargetResult<void> rollbackTransaction(HttpConnection& link, const std::string& from, base::TimePoint deadline);
+AsyncTargetResult<ExecuteResult> settleKey(HttpConnection& link, const std::string& from, uint64_t term, const std::string& requestKey, base::TimePoint deadline);
+AsyncTargetResult<AwaitPositionResult> awaitPosition(HttpConnection& link, const std::string& from, const Mark& mark, base::milliseconds limit, base::TimePoint deadline);
+AsyncTargetResult<decisions::FenceAnswer> fence(HttpConnection& link, const std::string& from, uint64_t term, const std::string& proposer, base::TimePoint deadline);
+AsyncTargetResult<void> promote(HttpConnection& link, const std::string& from, uint64_t term, const std::string& proposer, base::TimePoint deadline);
+AsyncTargetResult<void> follow(HttpConnection& link, const std::string& from, uint64_t term, const std::string& primary, const std::string& address, base::TimePoint deadline);
 
 }
--- a/tests/unit/accounts_test.cpp
+++ b/tests/unit/accounts_test.cpp
@@ -110,19 +110,19 @@
 BOOST_AUTO_TEST_CASE(other_hosts_are_told_no_key_and_know_every_key)
 {
     auto value = makeConfiguration(std::vector<json::object> { makeAccount("mill", { "key-one-of-mill", "key-two-of-mill" }), makeAccount("shop", { "key-of-shop" }) });
-    auto hidden = platform::hideKeys(value);
+    auto hidden = platform::replaceKeysWithDigests(value);
     for (auto* key : { "key-one-of-mill", "key-two-of-mill", "key-of-shop", "ApiKeys\"" })
         BOOST_TEST(hidden.find(key) == std::string::npos, key);
     auto read = platform::readConfiguration(value);
     auto told = platform::readConfiguration(hidden);
     BOOST_REQUIRE(told.has_value());
     BOOST_TEST((*read == *told));
-    BOOST_TEST(platform::hideKeys(hidden) == hidden);
-    BOOST_TEST(platform::hideKeys("no JSON with key-of-shop").empty());
-    BOOST_TEST(platform::hideKeys(R"({"Tenants":"key-of-shop"})").empty());
-    BOOST_TEST(platform::hideKeys(R"({"Tenants":[{"Name":"x","ApiKeys":"key-of-shop"}]})").find("key-of-shop") == std::string::npos);
+    BOOST_TEST(platform::replaceKeysWithDigests(hidden) == hidden);
+    BOOST_TEST(platform::replaceKeysWithDigests("no JSON with key-of-shop").empty());
+    BOOST_TEST(platform::replaceKeysWithDigests(R"({"Tenants":"key-of-shop"})").empty());
+    BOOST_TEST(platform::replaceKeysWithDigests(R"({"Tenants":[{"Name":"x","ApiKeys":"key-of-shop"}]})").find("key-of-shop") == std::string::npos);
     auto plain = std::string(R"({"Version":1,"Routes":[]})");
-    BOOST_TEST(platform::hideKeys(plain) == plain);
+    BOOST_TEST(platform::replaceKeysWithDigests(plain) == plain);
 }
 
 BOOST_AUTO_TEST_CASE(digests_are_read_as_they_are_written)
