--- a/src/gateway/caller_session.cpp
+++ b/src/gateway/caller_session.cpp
@@ -31,7 +31,7 @@
 
 void CallerSession::takeMessage(std::string_view message)
 {
-    auto parsed = m_context.codec.parseCaller(message);
+    auto parsed = m_context.codec.parseCallerMessage(message);
     if (auto* hello = std::get_if<links::OpenSession>(&parsed); hello && !m_isOpen) {
         open(*hello);
     } else if (auto* statement = std::get_if<Statement>(&parsed); statement && m_isOpen) {
--- a/src/gateway/target_session.cpp
+++ b/src/gateway/target_session.cpp
@@ -41,7 +41,7 @@
 void TargetSession::takeMessage(std::string_view message)
 {
     m_heardAt = Clock::now();
-    auto parsed = m_codec.parseTarget(message);
+    auto parsed = m_codec.parseTargetMessage(message);
     if (!m_isOpen) {
         takeHello(parsed);
         return;
--- a/src/links/statement_codec.h
+++ b/src/links/statement_codec.h
@@ -16,10 +16,10 @@
     decisions::KeyDigest key {}; // of what the caller says to be its key
 };
 struct EndSession { };
-struct BadMessage {
+struct MalformedMessage {
     std::string reason {};
 };
-using CallerMessage = std::variant<OpenSession, decisions::Statement, EndSession, BadMessage>;
+using CallerMessage = std::variant<OpenSession, decisions::Statement, EndSession, MalformedMessage>;
 
 // ---- from targets ----
 
@@ -37,7 +37,7 @@
     decisions::SessionState state { decisions::SessionState::Idle };
     decisions::Mark position {}; // term 0: not said
 };
-using TargetMessage = std::variant<RowMessage, CompleteMessage, FailureMessage, ReadyMessage, BadMessage>;
+using TargetMessage = std::variant<RowMessage, CompleteMessage, FailureMessage, ReadyMessage, MalformedMessage>;
 
 // A target's word on itself, in answer to a status question.
 struct TargetStatus {
@@ -52,7 +52,7 @@
 public:
     virtual ~StatementCodec() = default;
     // callers
-    virtual CallerMessage parseCaller(std::string_view message) const = 0;
+    virtual CallerMessage parseCallerMessage(std::string_view message) const = 0;
     // The answer to a statement, whole: rows, result and the state that the session is in now.
     virtual std::string formatAnswer(const decisions::Outcome& outcome, decisions::SessionState state) const = 0;
     virtual std::string formatReady(decisions::SessionState state) const = 0;
@@ -67,8 +67,8 @@
     virtual std::string formatReset() const = 0;
     virtual std::string formatSetValue(const std::string& name, const std::string& value) const = 0;
     virtual std::string formatPrepare(const std::string& name, const decisions::PreparedShape& shape) const = 0;
-    virtual std::string formatStatusQuestion() const = 0;
-    virtual TargetMessage parseTarget(std::string_view message) const = 0;
+    virtual std::string formatStatusQuery() const = 0;
+    virtual TargetMessage parseTargetMessage(std::string_view message) const = 0;
     virtual std::optional<TargetStatus> parseStatus(std::string_view row) const = 0;
 };
 
--- a/tests/unit/accounts_test.cpp
+++ b/tests/unit/accounts_test.cpp
@@ -154,7 +154,7 @@
 BOOST_AUTO_TEST_CASE(a_caller_brings_a_key_and_targets_are_told_a_name)
 {
     auto codec = platform::makeLineCodec();
-    auto hello = std::get<links::OpenSession>(codec->parseCaller("CONNECT bookings a key with blanks"));
+    auto hello = std::get<links::OpenSession>(codec->parseCallerMessage("CONNECT bookings a key with blanks"));
     BOOST_TEST(hello.database == "bookings");
     BOOST_TEST((hello.key == digestKey("a key with blanks")));
     BOOST_TEST(codec->formatHello("ledger", "mill", "m1") == "CONNECT ledger mill m1\r\n");
--- a/tests/unit/entries_test.cpp
+++ b/tests/unit/entries_test.cpp
@@ -189,13 +189,13 @@
         std::mt19937 random(seed);
         for (int i = 0; i < kChanges; ++i) {
             auto line = change(lines[static_cast<size_t>(i) % lines.size()], random);
-            codec->parseCaller(line);
-            codec->parseTarget(line);
+            codec->parseCallerMessage(line);
+            codec->parseTargetMessage(line);
             codec->parseStatus(line);
         }
     }
     for (auto* mark : { "READY I .", "READY I 1.", "READY I .1", "READY I 99999999999999999999.1", "READY I -1.-1", "READY" })
-        codec->parseTarget(mark);
+        codec->parseTargetMessage(mark);
     BOOST_TEST(!codec->parseStatus("ROW").has_value());
 }
 
--- a/tests/unit/gateway_decisions_test.cpp
+++ b/tests/unit/gateway_decisions_test.cpp
@@ -391,7 +391,7 @@
 BOOST_AUTO_TEST_CASE(callers_messages_are_read_into_statements)
 {
     auto codec = platform::makeLineCodec();
-    auto parse = [&](const std::string& text) { return std::get<Statement>(codec->parseCaller(text)); };
+    auto parse = [&](const std::string& text) { return std::get<Statement>(codec->parseCallerMessage(text)); };
     BOOST_TEST((parse("QUERY a BEGIN").kind == StatementKind::Begin));
     BOOST_TEST((parse("QUERY a BEGIN READ").kind == StatementKind::BeginReadOnly));
     BOOST_TEST((parse("QUERY a READ x").kind == StatementKind::Read));
@@ -406,30 +406,30 @@
     for (auto* text : { "QUERY a BEGIN NOW", "QUERY a READ", "QUERY a PREPARE s", "QUERY a PREPARE s MAYBE q", "QUERY a SET", "QUERY a begin" })
         BOOST_TEST((parse(text).kind == StatementKind::Unknown), text);
     for (auto* text : { "", "QUERY", "QUERY a", "QUERY - READ x", "READ x", "CONNECT", "connect db" })
-        BOOST_TEST(std::holds_alternative<links::BadMessage>(codec->parseCaller(text)), text);
-    BOOST_TEST(std::get<links::OpenSession>(codec->parseCaller("CONNECT db who")).database == "db");
+        BOOST_TEST(std::holds_alternative<links::MalformedMessage>(codec->parseCallerMessage(text)), text);
+    BOOST_TEST(std::get<links::OpenSession>(codec->parseCallerMessage("CONNECT db who")).database == "db");
 }
 
 BOOST_AUTO_TEST_CASE(statements_reach_targets_unchanged_but_for_mark_and_prepared_name)
 {
     auto codec = platform::makeLineCodec();
-    auto statement = std::get<Statement>(codec->parseCaller("QUERY 5c READ  odd  blanks "));
+    auto statement = std::get<Statement>(codec->parseCallerMessage("QUERY 5c READ  odd  blanks "));
     BOOST_TEST(codec->formatStatement(statement, {}, "") == "QUERY 5c READ  odd  blanks \r\n");
     BOOST_TEST(codec->formatStatement(statement, { 3, 7 }, "") == "QUERY 5c AFTER 3.7 READ  odd  blanks \r\n");
-    statement = std::get<Statement>(codec->parseCaller("QUERY 5c EXECUTE s1 1a4 data with blanks"));
+    statement = std::get<Statement>(codec->parseCallerMessage("QUERY 5c EXECUTE s1 1a4 data with blanks"));
     BOOST_TEST(codec->formatStatement(statement, {}, "w_q2c") == "QUERY 5c EXECUTE w_q2c 1a4 data with blanks\r\n");
 }
 
 BOOST_AUTO_TEST_CASE(targets_answers_are_read_and_promises_keep_their_words)
 {
     auto codec = platform::makeLineCodec();
-    auto ready = std::get<links::ReadyMessage>(codec->parseTarget("READY T 3.1207"));
+    auto ready = std::get<links::ReadyMessage>(codec->parseTargetMessage("READY T 3.1207"));
     BOOST_TEST((ready.state == SessionState::InTransaction));
     BOOST_TEST((ready.position == Mark { 3, 1207 }));
-    BOOST_TEST((std::get<links::ReadyMessage>(codec->parseTarget("READY I -")).position == Mark {}));
-    BOOST_TEST((std::get<links::FailureMessage>(codec->parseTarget("ERROR LAGGING i-1")).error.kind == ErrorKind::TooStale));
-    BOOST_TEST((std::get<links::FailureMessage>(codec->parseTarget("ERROR NEWWORD i-1")).error.kind == ErrorKind::Internal));
-    BOOST_TEST(std::holds_alternative<links::BadMessage>(codec->parseTarget("HELLO")));
+    BOOST_TEST((std::get<links::ReadyMessage>(codec->parseTargetMessage("READY I -")).position == Mark {}));
+    BOOST_TEST((std::get<links::FailureMessage>(codec->parseTargetMessage("ERROR LAGGING i-1")).error.kind == ErrorKind::TooStale));
+    BOOST_TEST((std::get<links::FailureMessage>(codec->parseTargetMessage("ERROR NEWWORD i-1")).error.kind == ErrorKind::Internal));
+    BOOST_TEST(std::holds_alternative<links::MalformedMessage>(codec->parseTargetMessage("HELLO")));
     auto status = codec->parseStatus("replica 3 3.1209 0 12 2 17");
     BOOST_TEST((status == links::TargetStatus { false, 3, { 3, 1209 }, milliseconds(12) }));
     BOOST_TEST(!codec->parseStatus("leader 3"));
