--- a/src/gateway/caller_session.cpp
+++ b/src/gateway/caller_session.cpp
@@ -25,7 +25,7 @@
 void CallerSession::begin(boost::asio::ip::tcp::socket socket)
 {
     auto self = shared_from_this();
-    m_channel->begin(
+    m_channel->start(
         std::move(socket), [self](std::string_view message) { self->takeMessage(message); }, [self](const std::string& reason) { self->close(reason); });
 }
 
@@ -40,7 +40,7 @@
         close("ended by the caller");
     } else {
         m_channel->send(m_context.codec.formatError({ ErrorKind::BadRequest, "the message is not understood here" }));
-        m_channel->finish();
+        m_channel->closeAfterWrite();
         close("bad message");
     }
 }
@@ -55,7 +55,7 @@
 {
     if (mustWait()) {
         m_opening = message;
-        m_channel->setPaused(true);
+        m_channel->setReadingPaused(true);
         return;
     }
     m_database = message.database;
@@ -76,7 +76,7 @@
         refusal = { ErrorKind::UnknownGroup, "no such database" };
     if (refusal) {
         m_channel->send(m_context.codec.formatError(*refusal));
-        m_channel->finish();
+        m_channel->closeAfterWrite();
         close("refused");
         return;
     }
@@ -84,7 +84,7 @@
     m_keyCheckedIn = configuration.version;
     m_isOpen = true;
     m_channel->send(m_context.codec.formatReady(SessionState::Idle));
-    m_channel->setPaused(false);
+    m_channel->setReadingPaused(false);
 }
 
 std::optional<std::string> CallerSession::findOwnAccount() const
@@ -150,7 +150,7 @@
 void CallerSession::take(const Statement& statement)
 {
     m_isRunning = true;
-    m_channel->setPaused(true); // one at a time: the next one's answer depends on this one's
+    m_channel->setReadingPaused(true); // one at a time: the next one's answer depends on this one's
     if (m_state == SessionState::Idle)
         refreshRoute();
     if (hasLostKey()) {
@@ -382,25 +382,25 @@
     m_restingSince = Clock::now();
     m_channel->send(m_context.codec.formatAnswer(outcome, m_state));
     if (m_isDraining && m_state == SessionState::Idle) {
-        m_channel->finish();
+        m_channel->closeAfterWrite();
         close("this host is stopping");
         return;
     }
-    m_channel->setPaused(false);
+    m_channel->setReadingPaused(false);
 }
 
 void CallerSession::drain()
 {
     m_isDraining = true;
     if (!isBusy()) {
-        m_channel->finish();
+        m_channel->closeAfterWrite();
         close("this host is stopping");
     }
 }
 
 void CallerSession::abort()
 {
-    m_channel->finish();
+    m_channel->closeAfterWrite();
     close("this host is stopping");
 }
 
@@ -429,7 +429,7 @@
 void CallerSession::close(const std::string&)
 {
     if (m_channel->isOpen() && !m_isDraining)
-        m_channel->finish();
+        m_channel->closeAfterWrite();
     if (m_transaction && !m_isRunning) {
         m_context.router.end(*m_transaction);
         m_transaction.reset();
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -60,7 +60,7 @@
     takeHost(m_view, m_self);
     if (auto listening = m_peers.listen(m_settings.peerAddress); !listening)
         return listening;
-    if (auto listening = links::beginListening(m_acceptor, m_settings.callerAddress); !listening)
+    if (auto listening = links::listenOn(m_acceptor, m_settings.callerAddress); !listening)
         return listening;
     accept();
     auto ready = links::startHttpServer(m_context, m_settings.readyAddress, [this](links::HttpRequest request) { return answerReady(std::move(request)); });
--- a/src/gateway/inbound_peers.cpp
+++ b/src/gateway/inbound_peers.cpp
@@ -16,7 +16,7 @@
 
 tl::expected<void, std::string> InboundPeers::listen(const std::string& address)
 {
-    if (auto listening = links::beginListening(m_acceptor, address); !listening)
+    if (auto listening = links::listenOn(m_acceptor, address); !listening)
         return listening;
     accept();
     return {};
@@ -37,7 +37,7 @@
             auto peer = std::make_shared<Peer>();
             peer->channel = std::make_shared<links::Channel>(m_context.get_executor(), links::ChannelOptions { links::splitFrame });
             m_peers.insert(peer);
-            peer->channel->begin(
+            peer->channel->start(
                 std::move(socket), [this, peer](std::string_view message) { takeMessage(peer, message); }, [this, peer](const std::string&) { lose(peer); });
         }
         accept();
--- a/src/gateway/peer_codec.cpp
+++ b/src/gateway/peer_codec.cpp
@@ -14,7 +14,7 @@
 
 void sendFrame(links::Channel& channel, const peer::Frame& frame)
 {
-    channel.send(links::makeFrame(frame.SerializeAsString()));
+    channel.send(links::encodeFrame(frame.SerializeAsString()));
 }
 
 void writeMark(peer::Mark& wire, const Mark& mark)
--- a/src/links/channel.cpp
+++ b/src/links/channel.cpp
@@ -10,44 +10,44 @@
 using asio::ip::tcp;
 
 static constexpr size_t kReadSize = 16 * 1024; // bytes; a batch of small messages or a part of a large one
-static constexpr size_t kFrameHeader = 4; // bytes
-static constexpr size_t kIdleCapacity = 4096; // bytes; a buffer that grew larger is given back once it is empty
-static constexpr base::milliseconds kFinishLimit { 1000 }; // for a far side that does not read its last answer
+static constexpr size_t kFrameHeaderSize = 4; // bytes
+static constexpr size_t kMaxIdleCapacity = 4096; // bytes; a buffer that grew larger is given back once it is empty
+static constexpr base::milliseconds kCloseTimeout { 1000 }; // for a far side that does not read its last answer
 
-Split splitLine(std::string_view buf, size_t from)
+FramedMessage splitLine(std::string_view buf, size_t from)
 {
     auto end = buf.find('\n', from);
     if (end == std::string_view::npos)
-        return { .isBad = buf.size() > kMessageLimit };
-    bool isBad = end == 0 || buf[end - 1] != '\r' || end > kMessageLimit;
-    return { end + 1, 0, end == 0 ? 0 : end - 1, isBad };
+        return { .isMalformed = buf.size() > kMaxMessageSize };
+    bool isMalformed = end == 0 || buf[end - 1] != '\r' || end > kMaxMessageSize;
+    return { end + 1, 0, end == 0 ? 0 : end - 1, isMalformed };
 }
 
-Split splitFrame(std::string_view buf, size_t)
+FramedMessage splitFrame(std::string_view buf, size_t)
 {
-    if (buf.size() < kFrameHeader)
+    if (buf.size() < kFrameHeaderSize)
         return {};
     size_t length = 0;
-    for (size_t i = 0; i < kFrameHeader; ++i)
+    for (size_t i = 0; i < kFrameHeaderSize; ++i)
         length = length << 8 | static_cast<unsigned char>(buf[i]);
-    if (length > 2 * kMessageLimit) // a message of the caller's protocol and what a relay adds to it
-        return { .isBad = true };
-    if (buf.size() < kFrameHeader + length)
+    if (length > 2 * kMaxMessageSize) // a message of the caller's protocol and what a relay adds to it
+        return { .isMalformed = true };
+    if (buf.size() < kFrameHeaderSize + length)
         return {};
-    return { kFrameHeader + length, kFrameHeader, length, false };
+    return { kFrameHeaderSize + length, kFrameHeaderSize, length, false };
 }
 
-std::string makeFrame(std::string_view message)
+std::string encodeFrame(std::string_view message)
 {
     std::string frame;
-    frame.reserve(kFrameHeader + message.size());
+    frame.reserve(kFrameHeaderSize + message.size());
     for (int shift = 24; shift >= 0; shift -= 8)
         frame.push_back(static_cast<char>(message.size() >> shift & 0xff));
     frame.append(message);
     return frame;
 }
 
-tl::expected<void, std::string> beginListening(tcp::acceptor& acceptor, const std::string& address)
+tl::expected<void, std::string> listenOn(tcp::acceptor& acceptor, const std::string& address)
 {
     auto endpoint = parseEndpoint(address);
     if (!endpoint)
@@ -74,7 +74,7 @@
 
 Channel::~Channel() = default;
 
-void Channel::begin(tcp::socket socket, MessageHandler onMessage, CloseHandler onClose)
+void Channel::start(tcp::socket socket, MessageHandler onMessage, CloseHandler onClose)
 {
     m_socket = std::move(socket);
     m_onMessage = std::move(onMessage);
@@ -130,7 +130,7 @@
     m_socket.set_option(tcp::no_delay(true), ec);
     m_socket.set_option(asio::socket_base::keep_alive(true), ec);
     int fd = m_socket.native_handle();
-    auto limit = static_cast<int>(m_options.silentLimit.count());
+    auto limit = static_cast<int>(m_options.unresponsiveTimeout.count());
     int second = 1;
     int probes = std::max(1, limit / 1000 - 1);
     setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &limit, sizeof limit);
@@ -141,7 +141,7 @@
 
 void Channel::read()
 {
-    if (!m_isOpen || m_isReading || m_isPaused || m_isFinishing)
+    if (!m_isOpen || m_isReading || m_isPaused || m_isClosingAfterWrite)
         return;
     m_isReading = true;
     // Waiting without a buffer keeps an idle connection small: there may be thousands.
@@ -153,57 +153,57 @@
             self->fail(ec.message());
             return;
         }
-        auto size = self->m_in.size();
-        self->m_in.resize(size + kReadSize);
-        auto n = self->m_socket.read_some(asio::buffer(self->m_in.data() + size, kReadSize), ec);
-        self->m_in.resize(size + n);
+        auto size = self->m_input.size();
+        self->m_input.resize(size + kReadSize);
+        auto n = self->m_socket.read_some(asio::buffer(self->m_input.data() + size, kReadSize), ec);
+        self->m_input.resize(size + n);
         if (ec && ec != asio::error::would_block) {
             self->fail(ec == asio::error::eof ? "closed by the far side" : ec.message());
             return;
         }
-        self->takeMessages();
+        self->dispatchMessages();
         self->read();
     });
 }
 
-void Channel::takeMessages()
+void Channel::dispatchMessages()
 {
-    size_t taken = 0;
+    size_t consumed = 0;
     auto self = shared_from_this();
-    while (m_isOpen && !m_isPaused && !m_isFinishing) {
-        std::string_view rest(m_in.data() + taken, m_in.size() - taken);
-        auto split = m_options.splitter(rest, m_scanned);
-        if (split.isBad) {
+    while (m_isOpen && !m_isPaused && !m_isClosingAfterWrite) {
+        std::string_view rest(m_input.data() + consumed, m_input.size() - consumed);
+        auto split = m_options.splitter(rest, m_scannedBytes);
+        if (split.isMalformed) {
             fail("malformed message");
             return;
         }
         if (split.size == 0) {
-            m_scanned = rest.size();
+            m_scannedBytes = rest.size();
             break;
         }
-        m_scanned = 0;
-        taken += split.size;
+        m_scannedBytes = 0;
+        consumed += split.size;
         m_onMessage(rest.substr(split.offset, split.length));
     }
     if (!m_isOpen)
         return;
-    m_in.erase(0, taken);
-    if (m_in.empty() && m_in.capacity() > kIdleCapacity)
-        std::string().swap(m_in);
+    m_input.erase(0, consumed);
+    if (m_input.empty() && m_input.capacity() > kMaxIdleCapacity)
+        std::string().swap(m_input);
 }
 
 void Channel::send(std::string_view bytes)
 {
     if (!m_isOpen)
         return;
-    if (m_out.size() + m_writing.size() + bytes.size() > m_options.outputLimit) {
+    if (m_output.size() + m_writing.size() + bytes.size() > m_options.maxOutputBytes) {
         asio::post(m_socket.get_executor(), [self = shared_from_this()] {
             if (self->m_isOpen)
                 self->fail("the far side does not read");
         });
         return;
     }
-    m_out.append(bytes);
+    m_output.append(bytes);
     flush();
 }
 
@@ -222,17 +222,17 @@
 {
     if (!m_isOpen || m_isWriting || !m_isConnected)
         return;
-    if (m_out.empty()) {
-        if (m_isFinishing)
+    if (m_output.empty()) {
+        if (m_isClosingAfterWrite)
             close();
         return;
     }
     m_isWriting = true;
-    m_writing.swap(m_out);
+    m_writing.swap(m_output);
     asio::async_write(m_socket, asio::buffer(m_writing), [self = shared_from_this()](boost::system::error_code ec, size_t) {
         self->m_isWriting = false;
         self->m_writing.clear();
-        if (self->m_writing.capacity() > kIdleCapacity)
+        if (self->m_writing.capacity() > kMaxIdleCapacity)
             std::string().swap(self->m_writing);
         if (!self->m_isOpen)
             return;
@@ -244,12 +244,12 @@
     });
 }
 
-void Channel::finish()
+void Channel::closeAfterWrite()
 {
-    if (!m_isOpen || m_isFinishing)
+    if (!m_isOpen || m_isClosingAfterWrite)
         return;
-    m_isFinishing = true;
-    m_timer.expires_after(kFinishLimit);
+    m_isClosingAfterWrite = true;
+    m_timer.expires_after(kCloseTimeout);
     m_timer.async_wait([self = shared_from_this()](boost::system::error_code ec) {
         if (!ec)
             self->close();
@@ -275,7 +275,7 @@
     });
 }
 
-void Channel::setPaused(bool isPaused)
+void Channel::setReadingPaused(bool isPaused)
 {
     if (m_isPaused == isPaused)
         return;
@@ -285,7 +285,7 @@
     asio::post(m_socket.get_executor(), [self = shared_from_this()] {
         if (!self->m_isOpen || self->m_isPaused)
             return;
-        self->takeMessages();
+        self->dispatchMessages();
         self->read();
     });
 }
--- a/tests/harness/gateway_rig.cpp
+++ b/tests/harness/gateway_rig.cpp
@@ -164,7 +164,7 @@
     frame.mutable_lead()->set_group(group);
     frame.mutable_lead()->set_member(member);
     frame.mutable_lead()->set_term(term);
-    LineCaller(getHostAddress(host, 1), "").sendRaw(alderward::links::makeFrame(frame.SerializeAsString()));
+    LineCaller(getHostAddress(host, 1), "").sendRaw(alderward::links::encodeFrame(frame.SerializeAsString()));
 }
 
 // The name stands in the log of every host.
--- a/tests/unit/gateway_decisions_test.cpp
+++ b/tests/unit/gateway_decisions_test.cpp
@@ -447,12 +447,12 @@
     auto line = links::splitLine("READ x\r\nmore", 0);
     BOOST_TEST(line.size == 8u);
     BOOST_TEST(line.length == 6u);
-    BOOST_TEST(links::splitLine("READ x\nmore", 0).isBad);
-    BOOST_TEST(links::splitLine(std::string(links::kMessageLimit + 1, 'x'), 0).isBad);
-    auto frame = links::makeFrame("hello");
+    BOOST_TEST(links::splitLine("READ x\nmore", 0).isMalformed);
+    BOOST_TEST(links::splitLine(std::string(links::kMaxMessageSize + 1, 'x'), 0).isMalformed);
+    auto frame = links::encodeFrame("hello");
     BOOST_TEST(links::splitFrame(frame, 0).length == 5u);
     BOOST_TEST(links::splitFrame(std::string_view(frame).substr(0, 6), 0).size == 0u);
-    BOOST_TEST(links::splitFrame("\xff\xff\xff\xff", 0).isBad);
+    BOOST_TEST(links::splitFrame("\xff\xff\xff\xff", 0).isMalformed);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
