--- a/src/base/settings.cpp
+++ b/src/base/settings.cpp
@@ -14,46 +14,46 @@
 
 // Where a setting lives, and its bounds: whole numbers have a range, text is required and has a least length.
 template <typename S>
-struct SettingOf {
+struct SettingDefinition {
     const char* section;
     const char* key;
     std::variant<std::string S::*, int S::*, bool S::*, double S::*> field;
-    int least;
-    int most;
+    int min;
+    int max;
     const char* unit;
     const char* meaning;
 };
 
-using Setting = SettingOf<Settings>;
-using GatewaySetting = SettingOf<GatewaySettings>;
+using Setting = SettingDefinition<Settings>;
+using GatewaySetting = SettingDefinition<GatewaySettings>;
 
-constexpr int kNoMost = 1000;
+constexpr int kNoMax = 1000;
 
 const std::vector<Setting>& getSettings()
 {
     static const std::vector<Setting> table {
-        { "host", "name", &Settings::name, 1, kNoMost, "text", "unique name of this host" },
-        { "host", "data_centre", &Settings::dataCentre, 1, kNoMost, "text", "data centre of this host, as in the records" },
-        { "host", "caller_address", &Settings::callerAddress, 3, kNoMost, "ip:port", "where callers connect" },
-        { "host", "peer_address", &Settings::peerAddress, 3, kNoMost, "ip:port", "where other hosts connect (gRPC)" },
-        { "host", "operator_address", &Settings::operatorAddress, 3, kNoMost, "ip:port", "where operators connect: /healthz, /status, /metrics, /timeline" },
+        { "host", "name", &Settings::name, 1, kNoMax, "text", "unique name of this host" },
+        { "host", "data_centre", &Settings::dataCentre, 1, kNoMax, "text", "data centre of this host, as in the records" },
+        { "host", "caller_address", &Settings::callerAddress, 3, kNoMax, "ip:port", "where callers connect" },
+        { "host", "peer_address", &Settings::peerAddress, 3, kNoMax, "ip:port", "where other hosts connect (gRPC)" },
+        { "host", "operator_address", &Settings::operatorAddress, 3, kNoMax, "ip:port", "where operators connect: /healthz, /status, /metrics, /timeline" },
         { "host", "threads", &Settings::threads, 1, 64, "count", "request threads" },
-        { "platform", "address", &Settings::platformAddress, 3, kNoMost, "ip:port", "the platform's key-value service" },
+        { "platform", "address", &Settings::platformAddress, 3, kNoMax, "ip:port", "the platform's key-value service" },
         { "platform", "watch_wait_ms", &Settings::watchWaitMs, 100, 60000, "ms", "longest wait of one watch call" },
         { "platform", "watchers", &Settings::watchers, 1, 10, "count", "hosts per data centre that hold a watch" },
-        { "session", "key", &Settings::sessionKey, 16, kNoMost, "text", "key that signs session tokens, the same on every host" },
+        { "session", "key", &Settings::sessionKey, 16, kNoMax, "text", "key that signs session tokens, the same on every host" },
         { "limits", "body_limit_kb", &Settings::bodyLimitKb, 1, 16384, "KiB", "largest request body" },
         { "limits", "request_timeout_ms", &Settings::requestTimeoutMs, 100, 60000, "ms", "from a request's first byte to its last" },
-        { "limits", "deadline_most_ms", &Settings::deadlineMostMs, 100, 600000, "ms", "upper bound of deadlineMs" },
-        { "limits", "deadline_default_ms", &Settings::deadlineDefaultMs, 10, 600000, "ms", "deadline of requests that name none" },
-        { "limits", "held_writes", &Settings::heldWrites, 0, 100000, "count", "writes of one group held while its primary is replaced" },
+        { "limits", "deadline_most_ms", &Settings::maxDeadlineMs, 100, 600000, "ms", "upper bound of deadlineMs" },
+        { "limits", "deadline_default_ms", &Settings::defaultDeadlineMs, 10, 600000, "ms", "deadline of requests that name none" },
+        { "limits", "held_writes", &Settings::maxHeldWrites, 0, 100000, "count", "writes of one group held while its primary is replaced" },
         { "limits", "queue_limit", &Settings::queueLimit, 1, 1000000, "count", "statements of one group queued for a connection" },
         { "limits", "transaction_idle_ms", &Settings::transactionIdleMs, 100, 600000, "ms", "then an idle transaction is rolled back" },
         { "health", "probe_interval_ms", &Settings::probeIntervalMs, 10, 10000, "ms", "between two status questions to a member" },
         { "health", "probe_timeout_ms", &Settings::probeTimeoutMs, 10, 10000, "ms", "then a status question has failed" },
         { "peers", "exchange_interval_ms", &Settings::exchangeIntervalMs, 50, 60000, "ms", "between two rounds of exchange" },
-        { "peers", "partners", &Settings::partners, 1, 10, "count", "partners in one round of exchange" },
-        { "peers", "homes_most", &Settings::homesMost, 1, 1000, "count", "homes of a group, the same on every host; a data centre with a member has one in any case" },
+        { "peers", "partners", &Settings::partnersPerExchange, 1, 10, "count", "partners in one round of exchange" },
+        { "peers", "homes_most", &Settings::maxHomes, 1, 1000, "count", "homes of a group, the same on every host; a data centre with a member has one in any case" },
         { "stop", "drain_limit_ms", &Settings::drainLimitMs, 0, 600000, "ms", "a stop that takes longer reports what it cuts" },
         { "stop", "drain_notice_ms", &Settings::drainNoticeMs, 0, 60000, "ms", "between the balancer's check turning and the closing of the listening socket" },
         { "debug", "allow_faults", &Settings::allowFaults, 0, 1, "true/false", "test aid: the operators' address takes /debug/cut" },
@@ -66,24 +66,24 @@
 {
     using S = GatewaySettings;
     static const std::vector<GatewaySetting> table {
-        { "gateway", "name", &S::name, 1, kNoMost, "text", "unique name of this host" },
-        { "gateway", "data_centre", &S::dataCentre, 1, kNoMost, "text", "data centre of this host" },
-        { "gateway", "caller_address", &S::callerAddress, 3, kNoMost, "ip:port", "where callers connect" },
-        { "gateway", "peer_address", &S::peerAddress, 3, kNoMost, "ip:port", "where other hosts connect" },
-        { "gateway", "ready_address", &S::readyAddress, 3, kNoMost, "ip:port", "where the balancer asks whether this host is ready" },
-        { "gateway", "metrics_address", &S::metricsAddress, 0, kNoMost, "ip:port", "where /metrics is served; empty: nowhere" },
+        { "gateway", "name", &S::name, 1, kNoMax, "text", "unique name of this host" },
+        { "gateway", "data_centre", &S::dataCentre, 1, kNoMax, "text", "data centre of this host" },
+        { "gateway", "caller_address", &S::callerAddress, 3, kNoMax, "ip:port", "where callers connect" },
+        { "gateway", "peer_address", &S::peerAddress, 3, kNoMax, "ip:port", "where other hosts connect" },
+        { "gateway", "ready_address", &S::readyAddress, 3, kNoMax, "ip:port", "where the balancer asks whether this host is ready" },
+        { "gateway", "metrics_address", &S::metricsAddress, 0, kNoMax, "ip:port", "where /metrics is served; empty: nowhere" },
         { "gateway", "seeds", &S::seeds, 0, 10000, "ip:port,...", "peer addresses of some hosts, asked for news while the store is away; may be out of date" },
-        { "platform", "store_address", &S::storeAddress, 3, kNoMost, "ip:port", "the platform's store" },
-        { "platform", "orders_address", &S::ordersAddress, 3, kNoMost, "ip:port", "where promotions are ordered" },
-        { "platform", "call_limit_ms", &S::callLimitMs, 100, 60000, "ms", "a call to the store without an answer has failed after this" },
+        { "platform", "store_address", &S::storeAddress, 3, kNoMax, "ip:port", "the platform's store" },
+        { "platform", "orders_address", &S::ordersAddress, 3, kNoMax, "ip:port", "where promotions are ordered" },
+        { "platform", "call_limit_ms", &S::storeCallTimeoutMs, 100, 60000, "ms", "a call to the store without an answer has failed after this" },
         { "platform", "watch_wait_ms", &S::watchWaitMs, 100, 30000, "ms", "longest wait of one watch; a silent connection is noticed after about this" },
         { "platform", "long_watch_wait_ms", &S::longWatchWaitMs, 100, 30000, "ms", "the same on hosts that hear of changes from others; those that do are told when theirs is silent" },
         { "platform", "lease_ms", &S::leaseMs, 1000, 600000, "ms", "after this long without a renewal the store drops this host's entry" },
         { "platform", "member_drain_ms", &S::memberDrainMs, 500, 600000, "ms", "a member gets no new operation this long after it said that it leaves" },
         { "accounts", "quota_window_s", &S::quotaWindowSeconds, 1, 600, "s", "quotas of client accounts hold for any window of this length" },
-        { "accounts", "quota_over", &S::quotaOver, 0, 10, "share", "of an account's quota that may pass besides" },
-        { "accounts", "quota_slack", &S::quotaSlack, 0, 1000000, "count", "operations of an account that may pass besides, in a window" },
-        { "stop", "grace_ms", &S::graceMs, 500, 600000, "ms", "from the signal to stop to the forced end" },
+        { "accounts", "quota_over", &S::quotaOverrunShare, 0, 10, "share", "of an account's quota that may pass besides" },
+        { "accounts", "quota_slack", &S::quotaSlackOperations, 0, 1000000, "count", "operations of an account that may pass besides, in a window" },
+        { "stop", "grace_ms", &S::stopGraceMs, 500, 600000, "ms", "from the signal to stop to the forced end" },
         { "log", "lines_per_second", &S::logLinesPerSecond, 1, 100000, "count", "request lines a second; changes of state have as many for themselves" },
         { "log", "buffer_kb", &S::logBufferKb, 16, 65536, "KiB", "lines that wait for the reader of standard output" },
     };
@@ -91,7 +91,7 @@
 }
 
 // Finds the line of "key" in "[section]", or of the section when the key is empty, for messages; 0 if absent.
-size_t findLine(const std::string& text, const std::string& section, const std::string& key)
+size_t findLineNumber(const std::string& text, const std::string& section, const std::string& key)
 {
     std::istringstream lines(text);
     std::string current;
@@ -116,18 +116,18 @@
 
 // `T` is int or double; `what` names it in the message.
 template <typename S, typename T>
-std::optional<std::string> readNumber(const SettingOf<S>& row, const std::string& text, std::string_view what, T& value)
+std::optional<std::string> readNumber(const SettingDefinition<S>& row, const std::string& text, std::string_view what, T& value)
 {
     auto [end, ec] = std::from_chars(text.data(), text.data() + text.size(), value);
-    bool isWhole = ec == std::errc() && end == text.data() + text.size();
-    if (!isWhole || value < row.least || value > row.most)
-        return fmt::format("[{}] {} must be {} from {} to {} ({})", row.section, row.key, what, row.least, row.most, row.unit);
+    bool isFullyParsed = ec == std::errc() && end == text.data() + text.size();
+    if (!isFullyParsed || value < row.min || value > row.max)
+        return fmt::format("[{}] {} must be {} from {} to {} ({})", row.section, row.key, what, row.min, row.max, row.unit);
     return std::nullopt;
 }
 
 // Sets one field; returns what is wrong, if anything.
 template <typename S>
-std::optional<std::string> setField(S& settings, const SettingOf<S>& row, const std::string& text)
+std::optional<std::string> setField(S& settings, const SettingDefinition<S>& row, const std::string& text)
 {
     if (auto* field = std::get_if<int S::*>(&row.field))
         return readNumber(row, text, "a whole number", settings.*(*field));
@@ -140,13 +140,13 @@
         return std::nullopt;
     }
     settings.*std::get<std::string S::*>(row.field) = text;
-    if (text.size() < static_cast<size_t>(row.least))
-        return fmt::format("[{}] {} must have at least {} characters", row.section, row.key, row.least);
+    if (text.size() < static_cast<size_t>(row.min))
+        return fmt::format("[{}] {} must have at least {} characters", row.section, row.key, row.min);
     return std::nullopt;
 }
 
 template <typename S>
-const SettingOf<S>* findSetting(const std::vector<SettingOf<S>>& table, const std::string& section, const std::string& key)
+const SettingDefinition<S>* findSetting(const std::vector<SettingDefinition<S>>& table, const std::string& section, const std::string& key)
 {
     for (auto& it : table) {
         if (section == it.section && key == it.key)
@@ -156,7 +156,7 @@
 }
 
 template <typename S>
-std::string formatDefault(const SettingOf<S>& row)
+std::string formatDefault(const SettingDefinition<S>& row)
 {
     static const S defaults;
     if (auto* field = std::get_if<int S::*>(&row.field))
@@ -165,18 +165,18 @@
         return fmt::format("{}", defaults.*(*field));
     if (auto* field = std::get_if<bool S::*>(&row.field))
         return defaults.*(*field) ? "true" : "false";
-    return row.least > 0 ? "required" : "empty";
+    return row.min > 0 ? "required" : "empty";
 }
 
 }
 
 template <typename S>
-static std::vector<SettingRow> makeRows(const std::vector<SettingOf<S>>& table)
+static std::vector<SettingRow> makeRows(const std::vector<SettingDefinition<S>>& table)
 {
     std::vector<SettingRow> rows;
     for (auto& it : table) {
         bool isNumber = std::holds_alternative<int S::*>(it.field) || std::holds_alternative<double S::*>(it.field);
-        rows.push_back({ it.section, it.key, it.unit, formatDefault(it), isNumber ? fmt::format("{}..{}", it.least, it.most) : "", it.meaning });
+        rows.push_back({ it.section, it.key, it.unit, formatDefault(it), isNumber ? fmt::format("{}..{}", it.min, it.max) : "", it.meaning });
     }
     return rows;
 }
@@ -192,7 +192,7 @@
 }
 
 template <typename S>
-static tl::expected<S, std::string> parseTable(const std::vector<SettingOf<S>>& table, const std::string& text, const std::string& path)
+static tl::expected<S, std::string> parseTable(const std::vector<SettingDefinition<S>>& table, const std::string& text, const std::string& path)
 {
     boost::property_tree::ptree tree;
     std::istringstream stream(text);
@@ -202,25 +202,25 @@
         return tl::make_unexpected(fmt::format("{}:{}: {}", path, error.line(), error.message()));
     }
     S settings;
-    std::vector<std::string> seen;
+    std::vector<std::string> presentSettings;
     for (auto& [section, keys] : tree) {
         if (keys.empty() && !keys.data().empty())
-            return tl::make_unexpected(fmt::format("{}:{}: '{}' stands outside a section", path, findLine(text, "", section), section));
+            return tl::make_unexpected(fmt::format("{}:{}: '{}' stands outside a section", path, findLineNumber(text, "", section), section));
         for (auto& [key, value] : keys) {
             auto* row = findSetting(table, section, key);
-            auto line = findLine(text, section, key);
+            auto line = findLineNumber(text, section, key);
             if (!row)
                 return tl::make_unexpected(fmt::format("{}:{}: [{}] {} is not a setting", path, line, section, key));
             if (auto problem = setField(settings, *row, value.data()))
                 return tl::make_unexpected(fmt::format("{}:{}: {}", path, line, *problem));
-            seen.push_back(section + "." + key);
+            presentSettings.push_back(section + "." + key);
         }
     }
     for (auto& it : table) {
-        bool isRequired = it.least > 0 && std::holds_alternative<std::string S::*>(it.field);
+        bool isRequired = it.min > 0 && std::holds_alternative<std::string S::*>(it.field);
         auto name = std::string(it.section) + "." + it.key;
-        if (isRequired && std::find(seen.begin(), seen.end(), name) == seen.end())
-            return tl::make_unexpected(fmt::format("{}:{}: [{}] {} is missing", path, std::max<size_t>(1, findLine(text, it.section, "")), it.section, it.key));
+        if (isRequired && std::find(presentSettings.begin(), presentSettings.end(), name) == presentSettings.end())
+            return tl::make_unexpected(fmt::format("{}:{}: [{}] {} is missing", path, std::max<size_t>(1, findLineNumber(text, it.section, "")), it.section, it.key));
     }
     return settings;
 }
@@ -245,9 +245,9 @@
     return text.str();
 }
 
-bool isGatewayText(const std::string& text)
+bool hasGatewaySection(const std::string& text)
 {
-    return findLine(text, "gateway", "") != 0;
+    return findLineNumber(text, "gateway", "") != 0;
 }
 
 tl::expected<Settings, std::string> readSettings(const std::string& path)
--- a/src/base/settings.h
+++ b/src/base/settings.h
@@ -25,9 +25,9 @@
     // [limits]
     int bodyLimitKb { 256 }; // KiB; a larger request body is refused
     int requestTimeoutMs { 5000 }; // ms; from a request's first byte to its last
-    int deadlineMostMs { 60000 }; // ms; upper bound of deadlineMs
-    int deadlineDefaultMs { 5000 }; // ms; for requests that name none
-    int heldWrites { 500 }; // writes of one group held while a primary is replaced
+    int maxDeadlineMs { 60000 }; // ms; upper bound of deadlineMs
+    int defaultDeadlineMs { 5000 }; // ms; for requests that name none
+    int maxHeldWrites { 500 }; // writes of one group held while a primary is replaced
     int queueLimit { 2000 }; // statements of one group queued for a connection
     int transactionIdleMs { 10000 }; // ms; then an idle transaction is rolled back
     // [health]
@@ -35,8 +35,8 @@
     int probeTimeoutMs { 300 }; // ms; then a status question has failed
     // [peers]
     int exchangeIntervalMs { 500 }; // ms; between two exchanges with one partner
-    int partners { 1 }; // partners per exchange interval
-    int homesMost { 3 }; // homes of a group, or one for each data centre with a member if that is more
+    int partnersPerExchange { 1 }; // partners per exchange interval
+    int maxHomes { 3 }; // homes of a group, or one for each data centre with a member if that is more
     // [stop]
     int drainLimitMs { 30000 }; // ms; a stop that is not done by then reports what it cuts
     int drainNoticeMs { 500 }; // ms; between the balancer's check turning and the closing of the listening socket
@@ -58,17 +58,17 @@
     // [platform]
     std::string storeAddress {}; // required; ip:port
     std::string ordersAddress {}; // required; ip:port
-    int callLimitMs { 1000 }; // ms; the store answers in a few ms; one that is slow may need some hundred
+    int storeCallTimeoutMs { 1000 }; // ms; the store answers in a few ms; one that is slow may need some hundred
     int watchWaitMs { 2800 }; // ms; a watch on a silent connection is found out within this and a second
     int longWatchWaitMs { 25000 }; // ms; below what the platform allows (30 s)
-    int leaseMs { 15000 }; // ms; renewed three times within it: a tenth of a call each, of every host; who is alive is seen by asking, not by the entry
+    int leaseMs { 15000 }; // ms; renewed three times within it: a tenth of a call each, of every host; who is alive is presentSettings by asking, not by the entry
     int memberDrainMs { 7000 }; // ms; a member gets no new operation this long after it said that it leaves
     // [accounts]
     double quotaWindowSeconds { 5 }; // s; quotas hold for any window of this length
-    double quotaOver { 0.1 }; // share of a quota that may pass besides
-    double quotaSlack { 20 }; // operations of an account that may pass besides
+    double quotaOverrunShare { 0.1 }; // share of a quota that may pass besides
+    double quotaSlackOperations { 20 }; // operations of an account that may pass besides
     // [stop]
-    int graceMs { 6000 }; // ms
+    int stopGraceMs { 6000 }; // ms
     // [log]
     int logLinesPerSecond { 50 }; // lines
     int logBufferKb { 256 }; // KiB
@@ -80,7 +80,7 @@
     std::string section;
     std::string key;
     std::string unit; // "ms", "s", "KiB", "count", "share", "text", "true/false"
-    std::string fallback; // "required" or the default
+    std::string defaultValue; // "required" or the default
     std::string bounds; // "1..100", or "" for text
     std::string meaning;
 };
@@ -94,7 +94,7 @@
 tl::expected<Settings, std::string> parseSettings(const std::string& text, const std::string& path);
 
 // A host's file says by its sections what it is.
-bool isGatewayText(const std::string& text);
+bool hasGatewaySection(const std::string& text);
 tl::expected<std::string, std::string> readFile(const std::string& path);
 tl::expected<GatewaySettings, std::string> parseGatewaySettings(const std::string& text, const std::string& path);
 
--- a/src/controllers/group_statements.cpp
+++ b/src/controllers/group_statements.cpp
@@ -187,7 +187,7 @@
     view.isHeldBack = !m_state.failover.heldBack.empty();
     view.isPathFault = isPathFault();
     view.held = m_held;
-    view.heldMost = static_cast<size_t>(m_node.settings.heldWrites);
+    view.heldMost = static_cast<size_t>(m_node.settings.maxHeldWrites);
     view.lostAt = m_state.health.withoutPrimarySince;
     if (m_state.health.primary)
         view.lostAt = m_role.isLeaving[*m_state.health.primary] ? m_members[*m_state.health.primary].leavingSince : m_state.health.members[*m_state.health.primary].failingSince;
--- a/src/controllers/groups.cpp
+++ b/src/controllers/groups.cpp
@@ -60,7 +60,7 @@
     GroupEntry entry;
     entry.record = group.record;
     entry.version = group.version;
-    entry.homes = decisions::chooseHomes(*group.record, live, static_cast<unsigned>(m_node.settings.homesMost));
+    entry.homes = decisions::chooseHomes(*group.record, live, static_cast<unsigned>(m_node.settings.maxHomes));
     entry.relayOrder = orderForRelay(entry.homes, membership);
     entry.isHome = std::ranges::find(entry.homes, m_node.settings.name) != entry.homes.end();
     auto& controller = m_controllers[name];
--- a/src/controllers/hosts.cpp
+++ b/src/controllers/hosts.cpp
@@ -201,7 +201,7 @@
     auto seed = decisions::getHash(m_node.settings.name) + m_round;
     publish(decisions::ageMembership(m_membership, m_timings, Clock::now()), "no refutation in time");
     takePlatformList();
-    for (auto& it : decisions::choosePartners(m_membership, static_cast<size_t>(m_node.settings.partners), seed))
+    for (auto& it : decisions::choosePartners(m_membership, static_cast<size_t>(m_node.settings.partnersPerExchange), seed))
         asio::co_spawn(m_strand, exchangeWith(it), asio::detached);
     if (m_round % kRoundsPerRevival == 0) {
         if (auto dead = decisions::chooseDead(m_membership, seed))
--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -187,7 +187,7 @@
 {
     auto commandLine = readCommandLine(argc, argv);
     auto text = base::readFile(commandLine.settingsPath);
-    if (text && base::isGatewayText(*text))
+    if (text && base::hasGatewaySection(*text))
         return daemon::runGateway(commandLine.settingsPath, *text, commandLine.mustOnlyCheck);
     auto settings = base::readSettings(commandLine.settingsPath);
     if (!settings) {
--- a/src/filters/chain.cpp
+++ b/src/filters/chain.cpp
@@ -80,9 +80,9 @@
 static asio::awaitable<std::optional<Reply>> setDeadline(const Services& services, RequestContext& context)
 {
     auto& settings = services.node.settings;
-    auto asked = context.deadline.value_or(milliseconds(std::min(settings.deadlineDefaultMs, settings.deadlineMostMs)));
-    if (asked.count() <= 0 || asked.count() > settings.deadlineMostMs)
-        co_return replyFor(services, context, { ErrorKind::BadDeadline, fmt::format("deadlineMs must be from 1 to {}", settings.deadlineMostMs) });
+    auto asked = context.deadline.value_or(milliseconds(std::min(settings.defaultDeadlineMs, settings.maxDeadlineMs)));
+    if (asked.count() <= 0 || asked.count() > settings.maxDeadlineMs)
+        co_return replyFor(services, context, { ErrorKind::BadDeadline, fmt::format("deadlineMs must be from 1 to {}", settings.maxDeadlineMs) });
     context.order.deadline = context.receivedAt + std::min(asked, context.remaining.value_or(asked));
     co_return std::nullopt;
 }
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -45,7 +45,7 @@
     , m_peers(context, m_settings.name, makePeerService())
     , m_quotas({ m_view, m_peers, m_settings.name, m_self.incarnation, getQuotaRule(), m_isDraining, [this](size_t shard, const std::set<std::string>& accounts, std::function<void(bool)> done) { writeNearAccounts(shard, accounts, std::move(done)); } })
     , m_router({ context, m_view, m_peers, m_settings.name, m_settings.dataCentre, [this](const TargetAddress& it) { return getPool(it); }, [this](const TargetAddress& it) { return isTroubled(it); }, [this](const std::string& group) { raiseAlarm(group, "no primary is known"); }, [this] { return !decisions::mayJudge(m_peers.countInReach()); }, getDrainTime(), m_quotas })
-    , m_directory(context, *m_platform, m_self, { milliseconds(m_settings.callLimitMs), milliseconds(m_settings.watchWaitMs), milliseconds(m_settings.longWatchWaitMs), milliseconds(m_settings.leaseMs) }, makeDirectoryEvents())
+    , m_directory(context, *m_platform, m_self, { milliseconds(m_settings.storeCallTimeoutMs), milliseconds(m_settings.watchWaitMs), milliseconds(m_settings.longWatchWaitMs), milliseconds(m_settings.leaseMs) }, makeDirectoryEvents())
     , m_promoter({ context, m_view, m_peers, *m_platform, { m_self.name, m_self.incarnation }, [this](const TargetAddress& it, std::function<void(const StatusReport&)> done) { inquire(it, std::move(done)); }, [this](const std::string&, const std::string& member, milliseconds time) { holdWrites(member, time); }, [this] { return m_directory.isReachable(); }, [this](const std::string& group, const decisions::Lead& before, std::string_view source) { noteLead(group, before, source); }, m_isDraining })
     , m_acceptor(context)
     , m_timers(timers)
@@ -175,7 +175,7 @@
 decisions::QuotaRule Gateway::getQuotaRule() const
 {
     auto window = std::chrono::duration<double>(m_settings.quotaWindowSeconds);
-    return { std::chrono::duration_cast<milliseconds>(window), m_settings.quotaOver, m_settings.quotaSlack };
+    return { std::chrono::duration_cast<milliseconds>(window), m_settings.quotaOverrunShare, m_settings.quotaSlackOperations };
 }
 
 // Half of the operators' limit, as two hosts may carry to one member while they disagree on who does.
@@ -605,7 +605,7 @@
     m_isDraining = true;
     m_view.isPlacementDue = true;
     m_stopBegan = Clock::now();
-    base::logEvent(LogClass::State, "stop-begins", { { "sessions", static_cast<int64_t>(m_sessions.size()) }, { "grace_ms", static_cast<int64_t>(m_settings.graceMs) } });
+    base::logEvent(LogClass::State, "stop-begins", { { "sessions", static_cast<int64_t>(m_sessions.size()) }, { "grace_ms", static_cast<int64_t>(m_settings.stopGraceMs) } });
 }
 
 // The balancer needs a while to send no more callers; then sessions are closed as they come to rest, and at half of the grace time
@@ -613,7 +613,7 @@
 void Gateway::sweepStop(TimePoint now)
 {
     auto passed = now - m_stopBegan;
-    auto grace = milliseconds(m_settings.graceMs);
+    auto grace = milliseconds(m_settings.stopGraceMs);
     if (passed < std::min(kNoticeTime, grace / 2))
         return;
     if (!m_isEnding)
--- a/tests/unit/gateway_decisions_test.cpp
+++ b/tests/unit/gateway_decisions_test.cpp
@@ -514,7 +514,7 @@
     for (auto& it : base::getGatewaySettingTable())
         BOOST_TEST(page.find(fmt::format("| `[{}] {}` |", it.section, it.key)) != std::string::npos, it.key << " is not in docs/OPERATIONS.md");
     std::string good = "[gateway]\nname = a\ndata_centre = b\ncaller_address = 127.0.0.1:1\npeer_address = 127.0.0.1:2\nready_address = 127.0.0.1:3\n[platform]\nstore_address = 127.0.0.1:4\norders_address = 127.0.0.1:5\n";
-    BOOST_TEST(base::isGatewayText(good));
+    BOOST_TEST(base::hasGatewaySection(good));
     BOOST_TEST(base::parseGatewaySettings(good, "f").has_value());
     BOOST_TEST(base::parseGatewaySettings(good + "call_limit_ms = 5\n", "f").error() == "f:10: [platform] call_limit_ms must be a whole number from 100 to 60000 (ms)");
     BOOST_TEST(base::parseGatewaySettings("[gateway]\nname = a\n", "f").error() == "f:1: [gateway] data_centre is missing");
--- a/tests/unit/records_test.cpp
+++ b/tests/unit/records_test.cpp
@@ -131,7 +131,7 @@
     std::ifstream file(std::string(ALDERWARD_SOURCE_DIR) + "/docs/OPERATIONS.md");
     std::string page((std::istreambuf_iterator<char>(file)), {});
     for (auto& it : base::getSettingTable()) {
-        auto row = fmt::format("| {} | {} | {} | {} | {} | {} |", it.section, it.key, it.unit, it.fallback, it.bounds, it.meaning);
+        auto row = fmt::format("| {} | {} | {} | {} | {} | {} |", it.section, it.key, it.unit, it.defaultValue, it.bounds, it.meaning);
         BOOST_TEST(page.find(row) != std::string::npos, "docs/OPERATIONS.md lacks: " + row);
     }
 }
