--- a/src/alderward.h
+++ b/src/alderward.h
@@ -1,36 +1,36 @@
-// alderward: database proxy with session consistency. This one header says all that a program needs which wants to drive
-// alderward's decisions itself: a test, a trace replay, or an adapter to another system.
+// alderward: database proxy with session consistency. This header includes everything that a program needs to run
+// alderward's decision logic itself: a test, a trace replay, or an adapter to another system.
 //
 // WHAT IT IS
-//   The decisions are plain structs and free functions, (state, event, now) -> (state, actions). They have no sockets,
-//   threads, clocks or global random source: you pass the time in and carry the actions out.
-//   The daemon (src/daemon), its controllers and links are one such program.
+//   The decision logic is plain structs and pure functions, (state, event, now) -> (state, actions), without sockets,
+//   threads, clocks or global random state: the program passes in the time and executes the actions.
+//   The daemon (src/daemon) with its controllers and links is one such program.
 //
 // HOW TO START
-//   Build with ./scripts/build, link alderwardcore, include this header. examples/decide.cpp runs as it stands:
-//   it lets a primary fail and prints what the decisions ask for, step by step.
+//   Build with ./scripts/build, link alderwardcore, include this header. examples/decide.cpp is a
+//   complete program: it simulates the failure of a primary and prints the resulting actions step by step.
 //
 // WHERE THE DOCS ARE
-//   docs/ARCHITECTURE.md   folders and the way of a request
-//   docs/design/           why each decision is as it is, and what would change our mind
-//   docs/GLOSSARY.md       the words
+//   docs/ARCHITECTURE.md   folders and the path of a request
+//   docs/design/           design decisions and their reasons
+//   docs/GLOSSARY.md       terms
 //
 // COMMON MISTAKES
-//   - Passing wall-clock time as `now`. It must be monotonic, and the same clock for all calls.
-//   - Keeping a GroupHealth and changing it in place. Take the returned value; the old one stays as it was.
-//   - Dropping an action. Each one either comes back as an event or times out in the state machine; a lost SendFence is
-//     safe but costs FailoverTimings::fenceLimit.
+//   - Passing wall-clock time as `now`. It must be monotonic, and from the same clock in all calls.
+//   - Continuing with the GroupHealth that was passed in. Functions return the new value and leave the argument unchanged.
+//   - Dropping an action. The state machine waits for the resulting event until a timeout; a lost SendFence is safe but
+//     delays the failover by FailoverTimings::fenceLimit.
 //
 // INDEX
-//   [SECTION] Errors       closed list of kinds, table from kind to answer
+//   [SECTION] Errors       all error kinds and the response for each
 //   [SECTION] Sessions     marks, logs, tokens
-//   [SECTION] Records      operators' configuration
-//   [SECTION] Health       what a home knows of a group's members; ages
-//   [SECTION] Routing      where a statement goes; whether a write is confirmed
-//   [SECTION] Failover     detection, fencing, promotion, hand-over
-//   [SECTION] Group        record, health and failover in one value; recorded traces and their replay
-//   [SECTION] Placement    homes and shares
-//   [SECTION] Limits       admission, adaptive limit, retry budget
+//   [SECTION] Records      configuration by operators
+//   [SECTION] Health       status of a group's members as known to a home; staleness bounds
+//   [SECTION] Routing      selection of the member for a statement; confirmation of writes
+//   [SECTION] Failover     detection, fencing, promotion, planned switchover
+//   [SECTION] Group        combined state of a group; recording and replay of traces
+//   [SECTION] Placement    choice of a group's homes and their shares of its connections
+//   [SECTION] Limits       admission control, adaptive concurrency limit, retry budget
 //   [SECTION] Membership   which hosts are alive
 #pragma once
 
@@ -41,7 +41,7 @@
 
 //-----------------------------------------------------------------------------
 // [SECTION] Sessions: Mark, LogState, getContainment(), encodeToken(), decodeToken()
-// If you want to know whether a member may answer a session, see getContainment(); for the route, see routeRead().
+// To check whether a member may answer a session, use getContainment(); to choose a member, routeRead().
 //-----------------------------------------------------------------------------
 #include "decisions/session.h"
 
@@ -67,7 +67,7 @@
 
 //-----------------------------------------------------------------------------
 // [SECTION] Group: GroupState, GroupEvent, stepGroup(), parseTrace(), replayTrace()
-// If you want to drive one whole group, feed stepGroup(); stepFailover() alone knows nothing of probes.
+// To run a whole group, use stepGroup(); stepFailover() alone does not handle probes.
 //-----------------------------------------------------------------------------
 #include "decisions/group_state.h"
 #include "decisions/trace.h"
--- a/src/base/clock.h
+++ b/src/base/clock.h
@@ -1,5 +1,5 @@
-// Time: the monotonic clock that everything is measured with, the hybrid logical clock that orders events over all
-// processes, and the timer service that parts subscribe to.
+// Monotonic clock for durations and deadlines, hybrid logical clock for ordering events across processes,
+// and the timer service for periodic callbacks.
 #pragma once
 #include <boost/asio/any_io_executor.hpp>
 #include <boost/asio/awaitable.hpp>
@@ -16,25 +16,25 @@
 using TimePoint = Clock::time_point;
 using std::chrono::milliseconds;
 
-// Hybrid logical clock: 48 bits of wall time in ms, 16 bits of counter. Never goes back within a process and moves
-// past every stamp received, so an effect always has a larger stamp than its cause.
+// Hybrid logical clock. A timestamp has 48 bits of wall time in ms and 16 bits of counter. Timestamps increase strictly
+// within a process and exceed every timestamp received, so an effect always has a larger timestamp than its cause.
 class HybridClock {
 public:
-    uint64_t tick(); // a stamp for a local event
-    uint64_t merge(uint64_t received); // a stamp after a message that carried `received`
+    uint64_t tick(); // timestamp of a local event
+    uint64_t merge(uint64_t received); // timestamp of the receipt of a message sent at `received`
 
 private:
     std::mutex m_mutex;
     uint64_t m_last { 0 };
 };
 
-// Splits a stamp into wall time (ms since the epoch) and counter.
+// Wall time of a hybrid timestamp, in ms since the epoch.
 inline uint64_t getWallMs(uint64_t stamp) { return stamp >> 16; }
 
 HybridClock& getHybridClock();
 
-// A subscription to the timer service. The callback stops being called when it is destroyed or stopped.
-// Destroy it on the executor it was made with; a callback that was already posted may run once more otherwise.
+// Owns a periodic callback of the timer service; destroying or stopping it ends the calls. Destroy it on the executor that
+// it was created with; otherwise a callback that is already queued may run once more.
 class TimerSubscription {
 public:
     TimerSubscription() = default;
@@ -66,19 +66,19 @@
     std::function<void()> m_stop;
 };
 
-// The one source of periodic work in a process. In tests, ManualTimerService turns it by hand.
+// Source of all periodic work in a process. Tests replace it by ManualTimerService, which advances on request.
 class TimerService {
 public:
     virtual ~TimerService() = default;
     virtual TimePoint getNow() const = 0;
-    // Calls `callback` on `executor` every `period`, first after one period, until the subscription ends.
+    // Calls `callback` on `executor` every `period`, first after one period, until the subscription is stopped.
     virtual TimerSubscription subscribe(boost::asio::any_io_executor executor, milliseconds period, std::function<void()> callback) = 0;
 };
 
-// Runs on the monotonic clock.
+// Timer service on the monotonic clock.
 std::unique_ptr<TimerService> makeTimerService();
 
-// Suspends the calling coroutine. Returns early only when the coroutine is cancelled.
+// Suspends the calling coroutine for `time`. Returns early only when the coroutine is cancelled.
 boost::asio::awaitable<void> sleepFor(milliseconds time);
 
 }
--- a/src/base/contexts.h
+++ b/src/base/contexts.h
@@ -1,5 +1,5 @@
-// The request threads: one io_context and one thread each. Connections and groups are spread over them in turn; what
-// belongs to one of them never contends with the others for a reactor (docs/design/0007-threads.md has the figures).
+// Pool of request threads, each running its own io_context. Connections and groups are assigned round-robin, so that
+// threads do not contend for one reactor (docs/design/0007-threads.md).
 #pragma once
 #include <atomic>
 #include <boost/asio/executor_work_guard.hpp>
@@ -12,9 +12,9 @@
 class IoContextPool {
 public:
     explicit IoContextPool(int threads);
-    // The next one in turn. Any thread.
+    // Returns the next io_context, round-robin. Thread safe.
     boost::asio::io_context& getNext();
-    // Runs them all; returns after stop(). The calling thread is one of them.
+    // Runs all io_contexts, the first one on the calling thread. Returns after stop().
     void run();
     void stop();
 
--- a/src/base/event_log.h
+++ b/src/base/event_log.h
@@ -1,5 +1,5 @@
-// Structured log: one JSON object a line on standard output. Lines wait in a bounded buffer and are written when the reader takes
-// them; a reader that is stuck costs lines, never time. What had to be left out is counted and said (docs/LOGS.md).
+// Structured log: one JSON object per line on standard output. Lines go through a bounded buffer and non-blocking writes:
+// a blocked reader causes dropped lines, never a delay. Dropped lines are counted and reported (docs/LOGS.md).
 #pragma once
 #include "base/clock.h"
 #include <initializer_list>
@@ -9,11 +9,11 @@
 
 namespace alderward::base {
 
-// How much a line matters when not all can be written.
+// Priority of a line when the rate limit does not allow all of them.
 enum class LogClass {
-    State, // start, stop, reload, dependencies, beliefs: always first
-    Failure, // a request that failed, was refused, came late or is in doubt
-    Request, // a request that was served
+    State, // start, stop, reload, dependencies, cluster state; has a rate limit of its own
+    Failure, // a request that failed, was refused, missed its deadline or has an unknown outcome
+    Request, // a successful request
 };
 
 struct LogField {
@@ -22,23 +22,23 @@
 };
 
 struct LogBudget {
-    int linesPerSecond { 200 }; // of requests, served and failed; changes of state have as many again for themselves
-    int bufferBytes { 256 * 1024 }; // waiting to be written
+    int linesPerSecond { 200 }; // for requests, successful and failed together; state changes have the same rate in addition
+    int bufferBytes { 256 * 1024 }; // size limit of the lines not yet written
 };
 
-// Call once, before the first event. Makes standard output non-blocking.
+// Call once, before the first event; events before it are discarded. Makes standard output non-blocking.
 void openEventLog(std::string host, const LogBudget& budget);
 void setLogBudget(const LogBudget& budget);
-// Writes {"t":steady ms,"wall":"...","host":...,"event":kind,...fields}. Any thread.
+// Writes {"t":steady ms,"wall":"...","host":...,"event":kind,...fields}. Thread safe.
 void logEvent(LogClass logClass, std::string_view event, std::initializer_list<LogField> fields);
-// Whether a line of this class would be written now; saves making its fields.
+// Whether a line of this class would be written now, so that callers need not build fields in vain. Counts a dropped line if not.
 bool hasLogBudget(LogClass logClass);
-// Writes out what it can. Call before the process ends.
+// Writes buffered lines as far as the reader accepts them. Call periodically and before the process ends.
 void flushEventLog();
 
 struct LogLineCounts {
     uint64_t written { 0 }; // lines
-    uint64_t droppedLines { 0 }; // lines, over budget or over the buffer
+    uint64_t droppedLines { 0 }; // lines over the rate limit or the buffer size
 };
 LogLineCounts getLogCounts();
 
--- a/src/base/families.h
+++ b/src/base/families.h
@@ -1,7 +1,5 @@
-// Metrics with labels: counters, gauges and histograms with fixed buckets, in Prometheus text form. The list of families is closed and
-// documented in docs/METRICS.md; a test holds page and list to each other.
-//
-// Fixed buckets, not Boost.Accumulators' quantiles: buckets of many hosts can be added up, quantiles cannot.
+// Labelled counters, gauges and histograms in the Prometheus text format. All families are listed in docs/METRICS.md; a test
+// compares that page with the table. Histograms have fixed buckets because these can be summed over hosts; quantiles cannot.
 #pragma once
 #include <initializer_list>
 #include <span>
@@ -61,11 +59,11 @@
 
 void incrementCounter(MetricFamily family, std::initializer_list<Label> labels, double n = 1);
 void setGauge(MetricFamily family, std::initializer_list<Label> labels, double value);
-// Forgets a gauge's values, before they are set anew.
+// Removes all series of a family. Call before setting a gauge anew, so that series of departed members disappear.
 void clearMetric(MetricFamily family);
 void observeHistogram(MetricFamily family, std::initializer_list<Label> labels, double seconds);
 std::string formatMetricFamilies();
-// Memory and processor time of this process.
+// Updates the gauges for memory and CPU time of this process.
 void updateProcessMetrics();
 
 }
--- a/src/base/latch.h
+++ b/src/base/latch.h
@@ -1,5 +1,5 @@
-// Lets a coroutine wait until others are done, or until one of them has found out enough. One executor; keep it in a shared_ptr where
-// those that count down may outlive the one that waits.
+// Lets a coroutine wait until a number of others have finished, or until one of them opens the latch early. Use it on one
+// executor only, and keep it in a shared_ptr if the others may outlive the waiting coroutine.
 #pragma once
 #include "base/clock.h"
 #include <boost/asio/steady_timer.hpp>
@@ -10,15 +10,15 @@
 public:
     // Opens after `count` calls of countDown().
     Latch(const boost::asio::any_io_executor& executor, size_t count);
-    void add() { ++m_count; } // one more to wait for
+    void add() { ++m_count; } // adds one call of countDown() to wait for
     void countDown();
-    void open(); // without waiting for the rest
+    void open(); // ends the wait at once
     boost::asio::awaitable<void> wait();
-    // Waits no longer than `limit`.
+    // Waits until the latch opens, for at most `limit`.
     boost::asio::awaitable<void> waitFor(milliseconds limit);
 
 private:
-    boost::asio::steady_timer m_timer; // waited on; cancelled when the latch opens
+    boost::asio::steady_timer m_timer; // cancelled when the latch opens
     size_t m_count;
 };
 
--- a/src/base/metrics.h
+++ b/src/base/metrics.h
@@ -1,4 +1,4 @@
-// Metrics: counters and latency quantiles (Boost.Accumulators), shown at GET /metrics in Prometheus text form.
+// Unlabelled counters and latency quantiles (Boost.Accumulators), served at GET /metrics in the Prometheus text format.
 #pragma once
 #include <atomic>
 #include <chrono>
@@ -7,7 +7,7 @@
 
 namespace alderward::base {
 
-// Everything that is counted. Add a name to kCounterNames in metrics.cpp when you add one here.
+// Each counter has its name at the same index of kCounterNames in metrics.cpp.
 enum class Counter {
     Requests,
     RequestsRelayed,
@@ -43,7 +43,7 @@
     Count,
 };
 
-// Latencies that get quantiles, in ms.
+// Latencies reported as quantiles, in ms. Names are in kLatencyNames in metrics.cpp.
 enum class Latency {
     Request,
     Read,
@@ -56,11 +56,11 @@
 void count(Counter counter, uint64_t n = 1);
 uint64_t getCount(Counter counter);
 void record(Latency latency, std::chrono::steady_clock::duration time);
-// All metrics in Prometheus text form.
+// All counters and quantiles in the Prometheus text format.
 std::string formatMetrics();
 
-// An invariant that must hold whatever fails. A violation is counted, put on the time line and, in builds with
-// ALDERWARD_ABORT_ON_VIOLATION, ends the process so that no test can overlook it.
+// Checks a condition that must hold under any failure of hosts, networks or targets. A violation is counted, recorded on
+// the timeline and logged; in builds with ALDERWARD_ABORT_ON_VIOLATION it aborts the process.
 void checkInvariant(bool holds, const char* what, const std::string& group);
 
 }
--- a/src/base/random.h
+++ b/src/base/random.h
@@ -1,10 +1,10 @@
-// Random numbers for spreading things in time. Nothing that must be unpredictable is made from them.
+// Random numbers for jitter. Not for cryptographic use.
 #pragma once
 #include <random>
 
 namespace alderward::base {
 
-// From 0 up to but not including 1. Any thread.
+// Uniform in [0, 1). Thread safe.
 inline double getRandom()
 {
     thread_local std::mt19937 engine { std::random_device {}() };
--- a/src/base/snapshot.h
+++ b/src/base/snapshot.h
@@ -1,6 +1,5 @@
-// Read-copy-update for data that is read on every request and replaced seldom.
-// A writer publishes a new immutable value; a reader gets the newest one from a pointer cached per thread, which costs
-// one atomic load while nothing changed (docs/design/0003-snapshots.md has the figures).
+// Read-copy-update for data that is read on every request and seldom replaced. A writer publishes a new immutable value;
+// readers use a pointer cached per thread, at the cost of one atomic load while it is current (docs/design/0003-snapshots.md).
 #pragma once
 #include <atomic>
 #include <memory>
@@ -9,22 +8,22 @@
 
 namespace alderward::base {
 
-// Hands out the slot number of a new Snapshot. Slots are never reused: snapshots are few and live as long as the process.
+// Allocates the index of a new Snapshot in the thread-local caches. Indices are not reused, as snapshots live as long as the process.
 size_t allocateSnapshotSlot();
 
 template <typename T>
 class Snapshot {
 public:
-    explicit Snapshot(std::shared_ptr<const T> first = std::make_shared<const T>())
+    explicit Snapshot(std::shared_ptr<const T> initial = std::make_shared<const T>())
         : m_slot(allocateSnapshotSlot())
-        , m_value(std::move(first))
+        , m_value(std::move(initial))
     {
     }
 
     Snapshot(const Snapshot&) = delete;
     Snapshot& operator=(const Snapshot&) = delete;
 
-    // Replaces the value. Readers see it at their next read(). Any thread.
+    // Replaces the value. Readers see it at their next read(). Thread safe.
     void publish(std::shared_ptr<const T> value)
     {
         std::lock_guard lock(m_mutex);
@@ -32,7 +31,7 @@
         m_version.fetch_add(1, std::memory_order_release);
     }
 
-    // The newest value. Keep the pointer, not a reference into it, when you wait for something while using it.
+    // Returns the latest value. Hold the pointer, not a reference into the value, across a suspension.
     std::shared_ptr<const T> read() const
     {
         thread_local std::vector<Cached> cache;
--- a/src/base/timeline.cpp
+++ b/src/base/timeline.cpp
@@ -37,8 +37,8 @@
     std::ranges::stable_sort(events, [](const Event& a, const Event& b) {
         return std::tie(a.stamp, a.host) < std::tie(b.stamp, b.host);
     });
-    auto twins = std::ranges::unique(events);
-    events.erase(twins.begin(), twins.end());
+    auto duplicates = std::ranges::unique(events);
+    events.erase(duplicates.begin(), duplicates.end());
     return events;
 }
 
--- a/src/base/timeline.h
+++ b/src/base/timeline.h
@@ -1,5 +1,5 @@
-// The time line: a bounded ring of events per process, merged over all processes by `alderctl timeline`.
-// Logs follow the same rule: counters first, lines only for changes of state, so each event is also a log line.
+// Timeline of state changes: a bounded buffer of events per process; `alderctl timeline` merges those of all processes.
+// Each event is also written as a log line.
 #pragma once
 #include <cstdint>
 #include <deque>
@@ -11,10 +11,10 @@
 
 struct Event {
     uint64_t stamp { 0 }; // hybrid logical clock
-    std::string host {}; // who saw it
+    std::string host {}; // host that recorded it
     std::string group {}; // database group, or empty
-    std::string kind {}; // what happened, e.g. "promotion-began"
-    std::string cause {}; // why: every automatic act names its cause
+    std::string kind {}; // e.g. "promotion-began"
+    std::string cause {}; // reason for an automatic action
     friend bool operator==(const Event&, const Event&) = default;
 };
 
@@ -25,9 +25,9 @@
     {
     }
     void setHost(std::string host) { m_host = std::move(host); }
-    // Records an event and writes it as a log line to standard error. Any thread.
+    // Records an event and writes it as a log line to standard error. Thread safe.
     void add(std::string kind, std::string group, std::string cause);
-    // The events with a stamp above `after`, oldest first. Any thread.
+    // Events with a timestamp above `after`, oldest first. Thread safe.
     std::vector<Event> getEvents(uint64_t after = 0) const;
 
 private:
@@ -39,10 +39,10 @@
 
 Timeline& getTimeline();
 
-// Orders events of several processes: by stamp, then by host, without twins.
+// Sorts events of several processes by timestamp and host, and removes duplicates.
 std::vector<Event> mergeEvents(std::vector<Event> events);
 
-// One log line on standard error. For changes of state only; count everything else (base/metrics.h).
+// Writes a line to standard error. For state changes only; frequent events are counted (base/metrics.h).
 void logLine(std::string_view text);
 
 }
--- a/src/links/channel.h
+++ b/src/links/channel.h
@@ -1,9 +1,9 @@
-// One TCP connection that carries messages both ways: split by a function, read with back-pressure, written in batches.
-// Callers, targets and peers all use it; what a message means is none of its business.
+// TCP connection for framed messages in both directions, with back-pressure on reads and batched writes. Used for callers,
+// targets and peers; the message format is up to the caller of this class.
 //
 // COMMON MISTAKES
-//   - Destroying what the handlers point to while the channel is open: call close() first; no handler runs after it.
-//   - Keeping the string_view that onMessage gets: it points into the channel's buffer.
+//   - Destroying objects that the handlers use while the channel is open. Call close() first; no handler runs after it.
+//   - Keeping the string_view passed to onMessage. It points into the channel's buffer.
 #pragma once
 #include "base/clock.h"
 #include <boost/asio/ip/tcp.hpp>
@@ -16,33 +16,33 @@
 
 namespace alderward::links {
 
-// What a splitter found at the start of the buffer.
+// First message of a buffer, as found by a splitter.
 struct FramedMessage {
-    size_t size { 0 }; // bytes of the whole message with its frame; 0: not yet complete
-    size_t offset { 0 }; // where the message itself begins
-    size_t length { 0 }; // bytes of the message itself
-    bool isMalformed { false }; // the bytes can never become a message: the connection is closed
+    size_t size { 0 }; // bytes including the frame; 0: incomplete
+    size_t offset { 0 }; // start of the payload
+    size_t length { 0 }; // bytes of the payload
+    bool isMalformed { false }; // cannot become a valid message; the channel fails
 };
 
-// Splits the first message off `buf`. `from` is how far an earlier call has looked in vain.
+// Finds the first message of `buf`. Bytes before `from` were scanned by an earlier call that found it incomplete.
 using MessageSplitter = FramedMessage (*)(std::string_view buf, size_t from);
 
-inline constexpr size_t kMaxMessageSize = 1 << 20; // bytes; the most that a message of the caller's protocol may have
+inline constexpr size_t kMaxMessageSize = 1 << 20; // bytes of one message of the callers' protocol
 
-// Messages that end with CR LF.
+// Splits messages terminated by CR LF.
 FramedMessage splitLine(std::string_view buf, size_t from);
-// Messages behind a length of four bytes, big-endian.
+// Splits messages prefixed by their length in four bytes, big-endian.
 FramedMessage splitFrame(std::string_view buf, size_t from);
-// The frame that splitFrame() reads.
+// Prefixes a message with its length, as splitFrame() reads it.
 std::string encodeFrame(std::string_view message);
 
-// Opens, binds and listens. The error names the address.
+// Opens, binds and listens on "ip:port". The error names the address.
 tl::expected<void, std::string> listenOn(boost::asio::ip::tcp::acceptor& acceptor, const std::string& address);
 
 struct ChannelOptions {
     MessageSplitter splitter { splitLine };
-    size_t maxOutputBytes { 4 << 20 }; // bytes waiting to be written; a far side that reads so slowly is cut off
-    base::milliseconds unresponsiveTimeout { 3000 }; // TCP_USER_TIMEOUT and keep-alive: the far host is gone after about this
+    size_t maxOutputBytes { 4 << 20 }; // bytes waiting to be written; with more, the channel fails
+    base::milliseconds unresponsiveTimeout { 3000 }; // TCP_USER_TIMEOUT and keep-alive: fails after about this long without a sign of the remote host
 };
 
 class Channel : public std::enable_shared_from_this<Channel> {
@@ -53,22 +53,22 @@
     Channel(boost::asio::any_io_executor executor, ChannelOptions options);
     ~Channel();
 
-    // Takes over an accepted socket. Handlers run on the executor, never from within this call.
+    // Takes ownership of an accepted socket. Handlers run on the executor, never from within this call.
     void start(boost::asio::ip::tcp::socket socket, MessageHandler onMessage, CloseHandler onClose);
-    // Connects first; what is sent meanwhile waits.
+    // Connects within `limit`. Messages sent meanwhile are queued. Errors, including a timeout, go to `onClose`.
     void connect(const std::string& address, base::milliseconds limit, MessageHandler onMessage, CloseHandler onClose);
-    // Queues bytes; those of one turn of the executor leave in one write.
+    // Queues bytes; those queued within one turn of the executor are written together.
     void send(std::string_view bytes);
-    // Closes after everything queued has been written, or after a second. No more messages are read.
+    // Closes once all queued bytes are written, or after a second. Stops reading.
     void closeAfterWrite();
-    // Closes now. No handler runs after it.
+    // Closes immediately. No handler runs afterwards.
     void close();
-    // Stops and resumes reading, so that a far side that asks faster than it is served is held back by TCP.
+    // Stops or resumes reading, so that TCP flow control slows down the sender.
     void setReadingPaused(bool isPaused);
 
     bool isConnected() const { return m_isConnected; }
     bool isOpen() const { return m_isOpen; }
-    bool wasConnected() const { return m_wasConnected; } // bytes may have reached the far side
+    bool wasConnected() const { return m_wasConnected; } // also after closing: bytes may have reached the remote end
     const std::string& getRemoteAddress() const { return m_remote; }
 
 private:
@@ -85,9 +85,9 @@
     MessageHandler m_onMessage;
     CloseHandler m_onClose;
     std::string m_input;
-    size_t m_scannedBytes { 0 }; // bytes at the start of m_input that hold no end of a message
-    std::string m_output; // waiting
-    std::string m_writing; // handed to the socket
+    size_t m_scannedBytes { 0 }; // bytes at the start of m_input known to hold no complete message
+    std::string m_output; // queued
+    std::string m_writing; // passed to the socket
     std::string m_remote;
     bool m_isOpen { false };
     bool m_isConnected { false };
--- a/src/links/directory.h
+++ b/src/links/directory.h
@@ -1,6 +1,5 @@
-// What a platform tells a host about the world, in the product's own types: operators' configuration, members of database groups, other
-// hosts; and the calls that change something there. A carrier decodes its platform's formats into these; src/gateway decides what
-// to make of them.
+// Interface to a platform: the operators' configuration, the registered members and hosts, the key-value store that holds
+// them, and promotion orders. An adapter converts the platform's formats into these types; src/gateway uses them.
 #pragma once
 #include "decisions/accounts.h"
 #include "decisions/statement.h"
@@ -12,29 +11,29 @@
 
 namespace alderward::links {
 
-// ---- what is known ----
+// ---- configuration and registrations ----
 
 // Operators' limits for one database group.
 struct GroupLimits {
-    unsigned connectionsPerMember { 0 }; // of all hosts together; a member refuses more
-    unsigned synchronousReplicas { 0 }; // replicas that hold a commit before it is acknowledged
+    unsigned connectionsPerMember { 0 }; // from all hosts together; a member refuses more
+    unsigned synchronousReplicas { 0 }; // replicas that store a commit before it is acknowledged
     friend bool operator==(const GroupLimits&, const GroupLimits&) = default;
 };
 
-// Operators' configuration of one version, whole.
+// One version of the operators' configuration.
 struct GatewayConfiguration {
     uint64_t version { 0 };
-    std::map<std::string, decisions::DatabaseRoute> routes {}; // by database
+    std::map<std::string, decisions::DatabaseRoute> routes {}; // by database name
     std::map<std::string, GroupLimits> groups {};
-    std::optional<decisions::Accounts> accounts {}; // empty: the platform knows none, and callers need no key
-    base::milliseconds transactionIdle { 0 }; // a transaction that rests for longer may be ended; 0: never
+    std::optional<decisions::Accounts> accounts {}; // empty: the platform has no accounts, and callers need no key
+    base::milliseconds transactionIdle { 0 }; // ms; a transaction idle for longer may be rolled back; 0: never
     friend bool operator==(const GatewayConfiguration&, const GatewayConfiguration&) = default;
 };
 
-// What tells one run of a member's process from the next: it may start again under the id that it had, and then holds and knows nothing of before.
+// Distinguishes the runs of a member's process. A member that restarts keeps its id but none of its previous state.
 struct MemberIncarnation {
-    uint64_t startedAtMs { 0 }; // when it started, as it says itself, in ms since 1970; 0: it does not say
-    uint64_t sequence { 0 }; // its count of what it has written, which begins anew with it
+    uint64_t startedAtMs { 0 }; // start time reported by the member, in ms since the epoch; 0: not reported
+    uint64_t sequence { 0 }; // number of its writes to the store entry; starts over with each run
     friend bool operator==(const MemberIncarnation&, const MemberIncarnation&) = default;
 };
 
@@ -44,9 +43,9 @@
     std::string group {};
     std::string address {};
     std::string dataCentre {};
-    unsigned slots { 1 }; // statements that it runs at a time
+    unsigned slots { 1 }; // statements that it runs concurrently
     bool isLeaving { false };
-    bool saysPrimary { false }; // its own view of its role, which may be out of date
+    bool saysPrimary { false }; // the member's own report of its role; may be out of date
     MemberIncarnation incarnation {};
     friend bool operator==(const RegisteredMember&, const RegisteredMember&) = default;
 };
@@ -54,9 +53,9 @@
 // Another host of the system as it registered itself.
 struct RegisteredHost {
     std::string name {};
-    std::string address {}; // for other hosts
+    std::string address {}; // where other hosts connect
     std::string dataCentre {};
-    uint64_t incarnation { 0 }; // differs for each start of a process
+    uint64_t incarnation { 0 }; // differs between the runs of a host's process
     friend bool operator==(const RegisteredHost&, const RegisteredHost&) = default;
 };
 
@@ -66,8 +65,8 @@
     std::string key {};
     std::string value {};
     uint64_t revision { 0 }; // of its last change
-    uint64_t lease { 0 }; // it goes with this lease; 0: it stays
-    bool isDeleted { false }; // changes only
+    uint64_t lease { 0 }; // the item is deleted when this lease expires; 0: no lease
+    bool isDeleted { false }; // only in changes returned by watch()
 };
 
 struct StoreItems {
@@ -76,28 +75,28 @@
     bool hasMore { false };
 };
 
-// Why a call to the store did not do what was asked.
+// Why a call to the store failed.
 enum class StoreErrorKind {
-    Unreachable, // no answer; a change may have been made or may yet be
-    Refused, // the store said that it did nothing: busy, or too many calls
+    Unreachable, // no response; a change may have been applied, or may yet be
+    Refused, // rejected without effect: the store is busy, or there are too many calls
     NotFound,
-    Conflict, // a condition did not hold
-    HistoryLost, // changes since the revision are forgotten: list again
-    Malformed, // an answer that cannot be read
+    Conflict, // a condition of change() did not hold
+    HistoryLost, // the store no longer has the changes since that revision: list again
+    Malformed, // unreadable response
 };
 
 struct StoreError {
     StoreErrorKind kind { StoreErrorKind::Unreachable };
     std::string reason {};
-    std::vector<StoreItem> items {}; // Conflict: what stands there
+    std::vector<StoreItem> items {}; // Conflict: the current items
 };
 
 template <typename T>
 using AsyncStoreResult = boost::asio::awaitable<tl::expected<T, StoreError>>;
 
-// A change of several keys under conditions, all or nothing.
+// An atomic, conditional change of several keys.
 struct StoreChange {
-    std::vector<std::pair<std::string, uint64_t>> expected {}; // key and revision; 0: it does not exist
+    std::vector<std::pair<std::string, uint64_t>> expected {}; // key and its current revision; 0: the key must not exist
     std::vector<StoreItem> puts {}; // key, value and lease
     std::vector<std::string> deletes {};
 };
@@ -106,14 +105,14 @@
 public:
     virtual ~Store() = default;
     virtual AsyncStoreResult<StoreItem> get(std::string key, base::TimePoint deadline) = 0;
-    // One page behind the key `after`. `mayBeStale` is cheaper and may be seconds old.
+    // Returns a page of items whose keys follow `after`. `isStaleAllowed` is cheaper, but data may be seconds old.
     virtual AsyncStoreResult<StoreItems> list(std::string prefix, std::string after, bool isStaleAllowed, base::TimePoint deadline) = 0;
-    // Waits up to `wait` for changes behind a revision, on a connection of its own.
+    // Waits up to `wait` for changes after a revision, on a separate connection.
     virtual AsyncStoreResult<StoreItems> watch(std::string prefix, uint64_t after, base::milliseconds wait) = 0;
     virtual AsyncStoreResult<uint64_t> change(StoreChange change, base::TimePoint deadline) = 0;
     virtual AsyncStoreResult<uint64_t> grantLease(base::milliseconds ttl, base::TimePoint deadline) = 0;
     virtual AsyncStoreResult<void> renewLease(uint64_t lease, base::TimePoint deadline) = 0;
-    // Ends the watch that waits, if one does, as unreachable.
+    // Makes a pending watch() return with StoreErrorKind::Unreachable.
     virtual void cancelWatch() = 0;
 };
 
@@ -121,17 +120,17 @@
 
 enum class PromotionResult {
     Done,
-    Outranked, // a higher token was seen: another host is in charge
-    NotRunning, // the member cannot lead
-    Busy, // not taken: too many calls
-    Unknown, // no answer: it may still be carried out
+    Outranked, // the platform has seen a higher fencing token: another host is in charge
+    NotRunning, // the member is not running and cannot be promoted
+    Busy, // rejected: too many calls
+    Unknown, // no response: the promotion may still be executed
 };
 
 struct PromotionOrder {
     std::string group {};
     std::string member {};
     std::string holder {}; // name of the ordering host
-    uint64_t token { 0 }; // rises with each change of holder
+    uint64_t token { 0 }; // fencing token; increases with each change of holder
 };
 
 // ---- a platform ----
@@ -141,15 +140,15 @@
     virtual ~PlatformAdapter() = default;
     virtual const StatementCodec& getCodec() const = 0;
     virtual Store& getStore() = 0;
-    // Where things lie in the store.
+    // Keys in the store.
     virtual std::string getConfigurationKey() const = 0;
     virtual std::string getMembersPrefix() const = 0;
     virtual tl::expected<GatewayConfiguration, std::string> parseConfiguration(const std::string& value) const = 0;
-    // The same configuration with a digest in place of each key, for other hosts; parseConfiguration() reads it as well.
+    // Replaces each API key of a configuration by its digest, so that it can be sent to other hosts. parseConfiguration() accepts both.
     virtual std::string replaceKeysWithDigests(const std::string& value) const = 0;
     virtual tl::expected<RegisteredMember, std::string> parseMember(const std::string& key, const std::string& value) const = 0;
     virtual boost::asio::awaitable<PromotionResult> promote(PromotionOrder order, base::TimePoint deadline) = 0;
-    // The path that the platform's balancer asks for this host's readiness.
+    // HTTP path at which the platform's load balancer checks this host's readiness.
     virtual std::string getReadyPath() const = 0;
 };
 
--- a/src/links/http.h
+++ b/src/links/http.h
@@ -1,5 +1,5 @@
-// HTTP/1.1 carrier for callers, operators, targets and the platform (Boost.Beast, kept inside http_*.cpp).
-// Nothing here decides anything: it moves a body there and back and says how far it got.
+// HTTP/1.1 transport for callers, operators, targets and the platform (Boost.Beast, used only in http_*.cpp).
+// Errors tell whether a request may have reached the server, so that callers know whether a retry is safe.
 #pragma once
 #include "base/clock.h"
 #include <boost/asio/awaitable.hpp>
@@ -14,14 +14,14 @@
 
 namespace alderward::links {
 
-// A request as a server sees it, or as a client sends it.
+// A request, on either side.
 struct HttpRequest {
     std::string method { "POST" };
     std::string path {};
     std::string body {};
     std::string from {}; // name of the sending process, header "From-Host"
-    uint64_t connection { 0 }; // server side: number of the connection, unique in the process
-    std::vector<std::pair<std::string, std::string>> headers {}; // client side: further ones to send; server side: all that came
+    uint64_t connection { 0 }; // server side: connection number, unique in the process
+    std::vector<std::pair<std::string, std::string>> headers {}; // client side: additional headers; server side: all headers received
 };
 
 struct HttpResponse {
@@ -30,13 +30,13 @@
     std::string contentType { "application/json" };
     base::milliseconds retryAfter { 0 }; // sent as Retry-After, rounded up to seconds; 0: not sent
     bool mustClose { false }; // server side: close the connection after this answer
-    bool mustNotAnswer { false }; // server side: never answer (stand-ins use it for cuts)
+    bool mustNotAnswer { false }; // server side: send no response (used by test doubles to simulate network failures)
 };
 
-// Why an exchange failed, and whether the far side may have seen it.
+// Why a call failed, and whether the remote end may have processed it.
 struct LinkFailure {
-    bool mayHaveArrived { false }; // false: no byte of the request can have reached the far side
-    bool wasRefused { false }; // nothing listens there
+    bool mayHaveArrived { false }; // false: no byte of the request can have reached the remote end
+    bool wasRefused { false }; // connection refused
     std::string reason {};
 };
 
@@ -47,10 +47,10 @@
 
 struct HttpServerOptions {
     size_t bodyLimit { 1 << 20 }; // bytes
-    base::milliseconds requestTimeout { 10000 }; // from the first byte of a request to its last
-    std::function<HttpResponse(unsigned status)> makeErrorResponse {}; // body for 400, 408 and 413
-    std::function<void(uint64_t connection)> onClose {}; // after a connection ended
-    std::function<boost::asio::io_context&()> nextContext {}; // where the next connection runs; empty: on the server's own
+    base::milliseconds requestTimeout { 10000 }; // from a request's first byte to its last
+    std::function<HttpResponse(unsigned status)> makeErrorResponse {}; // response for status 400, 408 or 413
+    std::function<void(uint64_t connection)> onClose {}; // called after a connection is closed
+    std::function<boost::asio::io_context&()> nextContext {}; // io_context of the next connection; empty: the server's own
 };
 
 using HttpHandler = std::function<boost::asio::awaitable<HttpResponse>(HttpRequest)>;
@@ -58,8 +58,8 @@
 class HttpServer {
 public:
     virtual ~HttpServer() = default;
-    virtual void stopAccepting() = 0; // closes the listening socket; connections go on until told otherwise
-    virtual void closeIdle() = 0; // each connection closes as soon as it has no request in flight
+    virtual void stopAccepting() = 0; // closes the listening socket; open connections continue
+    virtual void closeIdle() = 0; // closes each connection as soon as it has no request in flight
     virtual size_t getConnectionCount() const = 0;
 };
 
@@ -69,30 +69,30 @@
 
 // ---- client ----
 
-// One connection to one server, one request at a time. Not thread safe: use it from one strand only.
-// After any failure the connection is closed: an answer that comes late has nowhere to go.
+// Connection to one server, with one request at a time. Not thread safe: use it from one strand only.
+// Any failure closes the connection, so that a late response cannot be taken for that of the next request.
 class HttpConnection {
 public:
     virtual ~HttpConnection() = default;
-    // Connects. A failure never has `mayHaveArrived`.
+    // Connects. Failures never have `mayHaveArrived`.
     virtual boost::asio::awaitable<LinkResult<void>> open(base::TimePoint deadline) = 0;
-    // Sends one request and reads its answer, which must carry the same request id.
+    // Sends one request and reads its response, which must carry the same request id.
     virtual boost::asio::awaitable<LinkResult<HttpResponse>> exchange(HttpRequest request, base::TimePoint deadline) = 0;
-    // Whether the next exchange has a connection to go out on; looks at the socket, so call it between exchanges only.
+    // Whether the connection is usable for the next exchange. Peeks at the socket, so call it between exchanges only.
     virtual bool isOpen() = 0;
-    // Also ends an exchange in flight: it fails as one that may have arrived.
+    // Closes the connection. An exchange in flight fails with `mayHaveArrived`.
     virtual void close() = 0;
-    // Bytes of HTTP written and read since the connection was made, for metrics.
+    // HTTP bytes written and read since construction, for metrics.
     virtual uint64_t getTransferredBytes() const = 0;
 };
 
 struct HttpClientOptions {
-    bool expectsRequestId { true }; // the far side repeats X-Request-Id; false for servers that are not ours
+    bool expectsRequestId { true }; // the server echoes X-Request-Id; false for servers of other products
 };
 
 std::unique_ptr<HttpConnection> makeHttpConnection(boost::asio::any_io_executor executor, const std::string& address, HttpClientOptions options = {});
 
-// Splits "ip:port". The ip must be numeric.
+// Parses "ip:port". The IP address must be numeric.
 tl::expected<boost::asio::ip::tcp::endpoint, std::string> parseEndpoint(const std::string& address);
 
 }
--- a/src/links/json_fields.h
+++ b/src/links/json_fields.h
@@ -1,5 +1,5 @@
-// Reading single fields of JSON objects that our own counterparts sent; absent or odd ones read as empty.
-// For what people write, with errors by field, see decisions/records.cpp and filters/decode.cpp.
+// Lenient access to fields of JSON objects from trusted senders: a missing field, or one of another type, reads as empty.
+// For validated input with an error per field, see decisions/records.cpp and filters/decode.cpp.
 #pragma once
 #include <boost/json.hpp>
 #include <optional>
--- a/src/links/peer.h
+++ b/src/links/peer.h
@@ -1,5 +1,5 @@
-// Peer link: hosts talk over gRPC (src/generated, made from proto/peer.proto). This header keeps gRPC out of everything
-// else: requests and replies are the generated messages, calls are coroutines.
+// gRPC between hosts (src/generated, from proto/peer.proto), wrapped in coroutines so that other code does not depend on
+// gRPC. Requests and replies are the generated messages.
 #pragma once
 #include "base/clock.h"
 #include "base/contexts.h"
@@ -14,7 +14,7 @@
 
 namespace alderward::links {
 
-// Test aid, off unless [debug] allow_faults is set: peers that this process neither calls nor answers.
+// Test aid for network partitions, off unless [debug] allow_faults is set: peers that this process neither calls nor answers.
 class BlockedPeers {
 public:
     void set(std::set<std::string> names);
@@ -34,14 +34,14 @@
 class PeerServer {
 public:
     virtual ~PeerServer() = default;
-    virtual void stop() = 0; // ends calls in flight after a short grace
+    virtual void stop() = 0; // waits briefly for calls in flight, then cancels them
 };
 
-// Serves peers on `address`; handlers run as coroutines on `contexts` in turn.
+// Serves peers on `address`; handlers run as coroutines on `contexts`, round-robin.
 tl::expected<std::unique_ptr<PeerServer>, std::string> startPeerServer(
     base::IoContextPool& contexts, const std::string& address, PeerHandlers handlers, const BlockedPeers& blockedPeers);
 
-// Calls to other hosts, over one channel for each address. Thread safe.
+// Calls to other hosts, with one gRPC channel per address. Thread safe.
 class PeerClient {
 public:
     virtual ~PeerClient() = default;
--- a/src/links/platform.h
+++ b/src/links/platform.h
@@ -1,5 +1,5 @@
-// Platform link: the key-value service that holds the operators' records, over the HTTP carrier.
-// Each call opens a connection of its own; only a watch keeps one. Calls are rare by design (docs/CAPACITY.md).
+// Client of the platform's key-value service, which holds the operators' records, over HTTP. Each call opens its own
+// connection; only a watch keeps one. Calls are rare by design (docs/CAPACITY.md).
 #pragma once
 #include "decisions/records.h"
 #include "links/http.h"
@@ -10,7 +10,7 @@
 
 struct PlatformClient {
     std::string address {}; // ip:port
-    std::string from {}; // our name
+    std::string from {}; // name of this host
 };
 
 struct StoredValue {
@@ -23,13 +23,13 @@
 struct StoredList {
     std::vector<StoredValue> values {};
     uint64_t revision { 0 }; // of the whole store
-    bool wasCompacted { false }; // watch only: events were missed, list again
+    bool wasCompacted { false }; // watch only: events were lost, list again
 };
 
-// The store's answer to compare-and-swap.
+// Result of a compare-and-swap.
 struct SwapResult {
     bool wasSwapped { false };
-    StoredValue current {}; // after a swap: our value's revision; else what stands there
+    StoredValue current {}; // after a swap: revision of the new value; else the current item
 };
 
 template <typename T>
@@ -37,9 +37,9 @@
 
 AsyncPlatformResult<StoredValue> getValue(const PlatformClient& client, std::string key, base::TimePoint deadline);
 AsyncPlatformResult<StoredList> listValues(const PlatformClient& client, std::vector<std::string> prefixes, base::TimePoint deadline);
-// A failure with `mayHaveArrived` means that the swap may have happened: read before you write again.
+// After a failure with `mayHaveArrived`, the swap may have happened: read the value before writing again.
 AsyncPlatformResult<SwapResult> compareAndSwap(const PlatformClient& client, std::string key, uint64_t expectRevision, std::string value, base::TimePoint deadline);
-// Waits for changes after a revision, at most `wait`; one call for the store, however long it waits.
+// Waits up to `wait` for changes after a revision, in a single call.
 AsyncPlatformResult<StoredList> watchValues(const PlatformClient& client, HttpConnection& link, std::vector<std::string> prefixes, uint64_t afterRevision, base::milliseconds wait);
 
 }
--- a/src/links/statement_codec.h
+++ b/src/links/statement_codec.h
@@ -1,5 +1,5 @@
-// How sessions are spoken on a wire: read what callers send, write what targets are sent, and the answers of both. A carrier
-// implements it; the gateway uses it and knows no wire.
+// Wire format of sessions: parses and formats the messages exchanged with callers and targets. A platform adapter
+// implements it, so that the gateway is independent of the protocol.
 #pragma once
 #include "decisions/accounts.h"
 #include "decisions/statement.h"
@@ -13,7 +13,7 @@
 
 struct OpenSession {
     std::string database {};
-    decisions::KeyDigest key {}; // of what the caller says to be its key
+    decisions::KeyDigest key {}; // digest of the key that the caller presented
 };
 struct EndSession { };
 struct MalformedMessage {
@@ -24,26 +24,26 @@
 // ---- from targets ----
 
 struct RowMessage {
-    std::string_view data {}; // into the message
+    std::string_view data {}; // points into the message
 };
 struct CompleteMessage {
-    std::string_view signature {}; // into the message
+    std::string_view signature {}; // points into the message
 };
 struct FailureMessage {
     decisions::Error error {};
 };
-// The last message of every answer.
+// The last message of every response.
 struct ReadyMessage {
     decisions::SessionState state { decisions::SessionState::Idle };
-    decisions::Mark position {}; // term 0: not said
+    decisions::Mark position {}; // term 0: not reported
 };
 using TargetMessage = std::variant<RowMessage, CompleteMessage, FailureMessage, ReadyMessage, MalformedMessage>;
 
-// A target's word on itself, in answer to a status question.
+// A target's response to a status query.
 struct TargetStatus {
     bool isPrimary { false };
     uint64_t term { 0 };
-    decisions::Mark received {}; // newest entry of its log, applied or not
+    decisions::Mark received {}; // latest entry of its log, applied or not
     decisions::milliseconds lag { 0 };
     friend bool operator==(const TargetStatus&, const TargetStatus&) = default;
 };
@@ -53,15 +53,16 @@
     virtual ~StatementCodec() = default;
     // callers
     virtual CallerMessage parseCallerMessage(std::string_view message) const = 0;
-    // The answer to a statement, whole: rows, result and the state that the session is in now.
+    // The complete response to a statement: rows, result and session state.
     virtual std::string formatAnswer(const decisions::Outcome& outcome, decisions::SessionState state) const = 0;
     virtual std::string formatReady(decisions::SessionState state) const = 0;
     virtual std::string formatError(const decisions::Error& error) const = 0;
     // targets
     virtual std::string formatHello(const std::string& group, const std::string& from, const std::string& member) const = 0;
-    // A caller's statement; `atLeast` with a term makes a read refuse a log that lacks it, `preparedName` replaces the caller's name.
+    // A caller's statement. With a term in `atLeast`, the target refuses a read if its log lacks that entry; `preparedName`
+    // replaces the caller's name of a prepared statement.
     virtual std::string formatStatement(const decisions::Statement& statement, const decisions::Mark& atLeast, const std::string& preparedName) const = 0;
-    // Statements of our own.
+    // Statements that the proxy itself sends.
     virtual std::string formatBegin(bool isReadOnly, const decisions::Mark& atLeast) const = 0;
     virtual std::string formatRollback() const = 0;
     virtual std::string formatReset() const = 0;
--- a/src/links/target.h
+++ b/src/links/target.h
@@ -1,5 +1,5 @@
-// Target link: the operations that a database member offers, over the HTTP carrier. One statement at a time per
-// connection, so that a connection means what it does at a database: closing it rolls its transaction back.
+// Operations of a database member, over HTTP. Each connection runs one statement at a time and corresponds to a database
+// connection: closing it rolls back its transaction.
 #pragma once
 #include "decisions/failover.h"
 #include "decisions/health.h"
@@ -11,28 +11,28 @@
 
 using decisions::Mark;
 
-// What a connection is for. Control connections do not count against the member's limit.
+// Purpose of a connection. Control connections do not count towards the member's connection limit.
 enum class Purpose { Work,
     Control };
 
-// A member's own word that it did not run the request.
-enum class RefusalKind { Connections, // it takes no more connections
-    Term, // it works in another term, or promised to a later one
-    Role, // writes go to its primary
-    Behind, // it has not reached the position asked for
+// Why a member refused a request without running it.
+enum class RefusalKind { Connections, // connection limit reached
+    Term, // it is in another term, or has granted a fence for a later one
+    Role, // not the primary, so it accepts no writes
+    Behind, // its log has not reached the requested position
     KeyClosed, // the request key was settled as not run
-    Transaction, // no transaction is open on this connection, or one is already
-    Statement }; // the statement itself is wrong
+    Transaction, // the connection has no open transaction, or already has one
+    Statement }; // invalid statement
 
 struct Refusal {
     RefusalKind kind { RefusalKind::Statement };
     std::string message {};
 };
 
-// Either the carrier failed or the member refused.
+// Either the transport failed or the member refused.
 struct TargetFailure {
-    std::optional<Refusal> refusal {}; // set: the member said so, and nothing ran
-    LinkFailure link {}; // meaningful without a refusal
+    std::optional<Refusal> refusal {}; // set: the member refused, and nothing ran
+    LinkFailure link {}; // valid only without a refusal
 
     bool isCertainlyNotRun() const { return refusal || !link.mayHaveArrived; }
 };
@@ -43,21 +43,21 @@
 using AsyncTargetResult = boost::asio::awaitable<TargetResult<T>>;
 
 struct ExecuteRequest {
-    uint64_t term { 0 }; // the member must work in it (writes)
+    uint64_t term { 0 }; // writes: the member must be in this term
     bool isWrite { false };
     std::string statement {};
     std::string parameters {}; // JSON array
-    std::string requestKey {}; // stored with the write; empty: none
-    Mark atLeast {}; // reads: the member must hold this entry
-    base::milliseconds waitLimit { 0 }; // reads: how long it may wait for that
+    std::string requestKey {}; // idempotency key stored with the write; empty: none
+    Mark atLeast {}; // reads: the member's log must contain this entry
+    base::milliseconds waitLimit { 0 }; // reads: how long the member may wait for that entry
 };
 
 struct ExecuteResult {
     std::string result {}; // JSON
     Mark mark {}; // last entry of the member's log when it answered
-    bool wasReplayed { false }; // the key was known: this is the first run's answer
-    bool didRun { true }; // settle only: false means that the key is closed now
-    decisions::MemberGlimpse glimpse {}; // term 0 from a target that does not say what it works in
+    bool wasReplayed { false }; // the request key was known: this is the stored result of the first run
+    bool didRun { true }; // settleKey() only; false: the write did not run, and the key is now closed
+    decisions::MemberGlimpse glimpse {}; // term 0: the target does not report its term
 };
 
 struct AwaitPositionResult {
@@ -67,7 +67,7 @@
     uint64_t position { 0 };
 };
 
-// All of them close the connection when the carrier fails; a refusal leaves it usable.
+// All calls close the connection on a transport failure; it stays usable after a refusal.
 AsyncTargetResult<void> sendHello(HttpConnection& link, const std::string& from, Purpose purpose, base::TimePoint deadline);
 AsyncTargetResult<decisions::MemberStatus> askStatus(HttpConnection& link, const std::string& from, base::TimePoint deadline);
 AsyncTargetResult<ExecuteResult> execute(HttpConnection& link, const std::string& from, const ExecuteRequest& request, base::TimePoint deadline);
