--- a/src/links/directory.h
+++ b/src/links/directory.h
@@ -129,8 +129,8 @@
 struct PromotionOrder {
     std::string group {};
     std::string member {};
-    std::string holder {}; // name of the ordering host
-    uint64_t token { 0 }; // fencing token; increases with each change of holder
+    std::string coordinator {}; // name of the ordering host
+    uint64_t fencingToken { 0 }; // increases with each change of coordinator
 };
 
 // ---- a platform ----
