--- a/src/base/event_log.cpp
+++ b/src/base/event_log.cpp
@@ -13,11 +13,11 @@
 
 namespace {
 
-constexpr int kBurstSeconds = 2; // a budget that was not used may be saved up for this long
+constexpr int kBurstSeconds = 2; // capacity of a token bucket, in seconds of its refill rate
 constexpr size_t kLogClassCount = 3;
-constexpr milliseconds kDropReportInterval { 1000 }; // between two lines on what was left out
+constexpr milliseconds kDropReportInterval { 1000 }; // between two reports of dropped lines
 
-// One class's bucket, filled once a second.
+// Rate limit of one log class. One token allows one line.
 struct TokenBucket {
     double tokens { 0 };
     double refillPerSecond { 0 };
@@ -29,7 +29,7 @@
     LogBudget budget;
     std::array<TokenBucket, kLogClassCount> buckets;
     TimePoint refilledAt {};
-    std::string buffer; // waiting for the reader
+    std::string buffer; // lines not yet written
     uint64_t written { 0 };
     uint64_t droppedLines { 0 };
     uint64_t reportedDrops { 0 };
@@ -82,7 +82,7 @@
     return line + "}\n";
 }
 
-// Only ever writes as much as the reader takes now.
+// Writes as much as the non-blocking standard output accepts.
 void writeBuffer(EventLog& log)
 {
     while (!log.buffer.empty()) {
--- a/src/base/families.cpp
+++ b/src/base/families.cpp
@@ -42,11 +42,11 @@
     MetricFamilyInfo { MetricFamily::CpuSeconds, "process_cpu_seconds", MetricType::Gauge, "", "processor time since the start" },
 };
 
-// Seconds. From an answer within a data centre to a caller's longest deadline, each about twice the one before.
+// Upper bounds of the histogram buckets, in seconds.
 constexpr std::array kBuckets { 0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0 };
 
 struct Series {
-    double value { 0 }; // counter and gauge; histogram: sum
+    double value { 0 }; // counter, gauge: the value; histogram: the sum
     uint64_t count { 0 };
     std::vector<uint64_t> buckets;
 };
--- a/src/base/latch.cpp
+++ b/src/base/latch.cpp
@@ -24,7 +24,7 @@
 
 boost::asio::awaitable<void> Latch::wait()
 {
-    return waitFor(std::chrono::duration_cast<milliseconds>(std::chrono::hours(1))); // nothing that is waited for takes that long
+    return waitFor(std::chrono::duration_cast<milliseconds>(std::chrono::hours(1))); // the timer needs a limit; an hour exceeds every wait
 }
 
 boost::asio::awaitable<void> Latch::waitFor(milliseconds limit)
@@ -32,7 +32,7 @@
     if (m_count == 0)
         co_return;
     m_timer.expires_after(limit);
-    boost::system::error_code ec; // cancelled: open
+    boost::system::error_code ec; // cancelled when the latch opens
     co_await m_timer.async_wait(boost::asio::redirect_error(boost::asio::use_awaitable, ec));
 }
 
--- a/src/base/settings.cpp
+++ b/src/base/settings.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-// Where a setting lives, and its bounds: whole numbers have a range, text is required and has a least length.
+// Location, type and bounds of a setting. Numbers have a range; text has a minimum length and is required if that is above 0.
 template <typename S>
 struct SettingDefinition {
     const char* section;
@@ -27,7 +27,7 @@
 using Setting = SettingDefinition<Settings>;
 using GatewaySetting = SettingDefinition<GatewaySettings>;
 
-constexpr int kNoMax = 1000;
+constexpr int kNoMax = 1000; // for text, whose length has no upper bound
 
 const std::vector<Setting>& getSettings()
 {
@@ -90,7 +90,7 @@
     return table;
 }
 
-// Finds the line of "key" in "[section]", or of the section when the key is empty, for messages; 0 if absent.
+// Returns the line number of `key` in [section], or of the section header if `key` is empty; 0 if not found.
 size_t findLineNumber(const std::string& text, const std::string& section, const std::string& key)
 {
     std::istringstream lines(text);
@@ -114,7 +114,7 @@
     return 0;
 }
 
-// `T` is int or double; `what` names it in the message.
+// `T` is int or double; `what` describes it in the error message.
 template <typename S, typename T>
 std::optional<std::string> readNumber(const SettingDefinition<S>& row, const std::string& text, std::string_view what, T& value)
 {
@@ -125,7 +125,7 @@
     return std::nullopt;
 }
 
-// Sets one field; returns what is wrong, if anything.
+// Sets one field from its text. Returns an error message if the text is invalid.
 template <typename S>
 std::optional<std::string> setField(S& settings, const SettingDefinition<S>& row, const std::string& text)
 {
@@ -205,7 +205,7 @@
     std::vector<std::string> presentSettings;
     for (auto& [section, keys] : tree) {
         if (keys.empty() && !keys.data().empty())
-            return tl::make_unexpected(fmt::format("{}:{}: '{}' stands outside a section", path, findLineNumber(text, "", section), section));
+            return tl::make_unexpected(fmt::format("{}:{}: '{}' is outside any section", path, findLineNumber(text, "", section), section));
         for (auto& [key, value] : keys) {
             auto* row = findSetting(table, section, key);
             auto line = findLineNumber(text, section, key);
--- a/src/links/channel.cpp
+++ b/src/links/channel.cpp
@@ -9,10 +9,10 @@
 namespace asio = boost::asio;
 using asio::ip::tcp;
 
-static constexpr size_t kReadSize = 16 * 1024; // bytes; a batch of small messages or a part of a large one
+static constexpr size_t kReadSize = 16 * 1024; // bytes per read
 static constexpr size_t kFrameHeaderSize = 4; // bytes
-static constexpr size_t kMaxIdleCapacity = 4096; // bytes; a buffer that grew larger is given back once it is empty
-static constexpr base::milliseconds kCloseTimeout { 1000 }; // for a far side that does not read its last answer
+static constexpr size_t kMaxIdleCapacity = 4096; // bytes; larger buffers are freed once empty
+static constexpr base::milliseconds kCloseTimeout { 1000 }; // for a remote end that does not read the last message
 
 FramedMessage splitLine(std::string_view buf, size_t from)
 {
@@ -30,7 +30,7 @@
     size_t length = 0;
     for (size_t i = 0; i < kFrameHeaderSize; ++i)
         length = length << 8 | static_cast<unsigned char>(buf[i]);
-    if (length > 2 * kMaxMessageSize) // a message of the caller's protocol and what a relay adds to it
+    if (length > 2 * kMaxMessageSize) // a caller's message plus the fields that a relay adds
         return { .isMalformed = true };
     if (buf.size() < kFrameHeaderSize + length)
         return {};
@@ -104,7 +104,7 @@
     m_timer.expires_after(limit);
     m_timer.async_wait([self = shared_from_this()](boost::system::error_code ec) {
         if (!ec && !self->m_isConnected)
-            self->fail("connecting timed out");
+            self->fail("connection attempt timed out");
     });
     m_socket.async_connect(*endpoint, [self = shared_from_this()](boost::system::error_code ec) {
         if (!self->m_isOpen)
@@ -122,7 +122,7 @@
     });
 }
 
-// Without these a far host that lost its power is never found out: it sends no reset.
+// Detects a remote host that disappeared without closing the connection, for example by power loss.
 void Channel::applyOptions()
 {
     boost::system::error_code ec;
@@ -144,7 +144,7 @@
     if (!m_isOpen || m_isReading || m_isPaused || m_isClosingAfterWrite)
         return;
     m_isReading = true;
-    // Waiting without a buffer keeps an idle connection small: there may be thousands.
+    // Waits without a buffer, so that thousands of idle connections need little memory.
     m_socket.async_wait(tcp::socket::wait_read, [self = shared_from_this()](boost::system::error_code ec) {
         self->m_isReading = false;
         if (!self->m_isOpen)
@@ -158,7 +158,7 @@
         auto n = self->m_socket.read_some(asio::buffer(self->m_input.data() + size, kReadSize), ec);
         self->m_input.resize(size + n);
         if (ec && ec != asio::error::would_block) {
-            self->fail(ec == asio::error::eof ? "closed by the far side" : ec.message());
+            self->fail(ec == asio::error::eof ? "connection closed by the remote end" : ec.message());
             return;
         }
         self->dispatchMessages();
@@ -199,7 +199,7 @@
     if (m_output.size() + m_writing.size() + bytes.size() > m_options.maxOutputBytes) {
         asio::post(m_socket.get_executor(), [self = shared_from_this()] {
             if (self->m_isOpen)
-                self->fail("the far side does not read");
+                self->fail("output buffer full: the remote end does not read");
         });
         return;
     }
@@ -268,7 +268,7 @@
     m_timer.cancel();
     m_socket.shutdown(tcp::socket::shutdown_both, ec);
     m_socket.close(ec);
-    // Handlers may own what owns this channel, so they go once this turn is over.
+    // Handlers may own this channel's owner, so they are destroyed after the current handler has returned.
     asio::post(m_socket.get_executor(), [self = shared_from_this()] {
         self->m_onMessage = nullptr;
         self->m_onClose = nullptr;
--- a/src/links/http_client.cpp
+++ b/src/links/http_client.cpp
@@ -65,7 +65,7 @@
         m_stream.expires_never();
         if (m_options.expectsRequestId && reply["X-Request-Id"] != requestId) {
             close();
-            co_return tl::make_unexpected(LinkFailure { true, false, "the answer belongs to another request" });
+            co_return tl::make_unexpected(LinkFailure { true, false, "response carries another request id" });
         }
         if (!reply.keep_alive())
             close();
@@ -75,8 +75,8 @@
         co_return answer;
     }
 
-    // A kept connection that the far side closed, or on which something came unasked, is of no use. Finding that out before
-    // sending keeps "not run" a certainty where "unknown" would be the answer afterwards.
+    // Detects an idle connection that the server closed, or on which unexpected bytes arrived. Sending on it would fail with
+    // an unknown outcome, although the request could not have run.
     bool isOpen() override
     {
         if (!m_isOpen)
--- a/src/links/http_server.cpp
+++ b/src/links/http_server.cpp
@@ -20,7 +20,7 @@
 using asio::ip::tcp;
 
 static constexpr auto kUseAwaitable = asio::as_tuple(asio::use_awaitable);
-static constexpr base::milliseconds kResponseWriteTimeout { 30000 }; // for a caller that does not read its answer
+static constexpr base::milliseconds kResponseWriteTimeout { 30000 }; // for a client that does not read the response
 static constexpr size_t kHeaderLimit = 16 * 1024;
 
 tl::expected<tcp::endpoint, std::string> parseEndpoint(const std::string& address)
@@ -46,7 +46,7 @@
     }
     boost::beast::tcp_stream stream;
     uint64_t id { 0 };
-    bool isBusy { false }; // touched on the connection's strand only
+    bool isBusy { false }; // accessed only on the connection's strand
 };
 
 class BeastServer : public HttpServer, public std::enable_shared_from_this<BeastServer> {
@@ -110,7 +110,7 @@
             if (!self->m_acceptor.is_open())
                 co_return;
             if (ec) {
-                co_await base::sleepFor(base::milliseconds(10)); // out of file descriptors: callers wait in the backlog
+                co_await base::sleepFor(base::milliseconds(10)); // out of file descriptors: clients wait in the backlog
                 continue;
             }
             boost::system::error_code ignored;
@@ -138,7 +138,7 @@
             self->m_options.onClose(connection->id);
     }
 
-    // Waits without a buffer for the first byte, so that an idle connection costs little memory.
+    // Waits for the first byte without a buffer, so that idle connections need little memory.
     asio::awaitable<bool> serveOne(std::shared_ptr<Connection> connection)
     {
         auto& stream = connection->stream;
@@ -158,7 +158,7 @@
         http::request_parser<http::string_body> parser;
         parser.body_limit(m_options.bodyLimit);
         parser.header_limit(kHeaderLimit);
-        // Not the stream's own timeout: that closes the socket, and a slow sender is to get an answer.
+        // The stream's own timeout would close the socket before the response 408 could be sent.
         bool isLate = false;
         asio::steady_timer timer(stream.get_executor(), m_options.requestTimeout);
         timer.async_wait([&stream, &isLate](boost::system::error_code timerError) {
@@ -169,7 +169,7 @@
         });
         auto [ec, n] = co_await http::async_read(stream, buf, parser, kUseAwaitable);
         bool hasFired = timer.cancel() == 0 && !isLate;
-        if (hasFired) // its handler is queued behind us and refers to this frame
+        if (hasFired) // its handler is queued and refers to this coroutine's frame: let it run first
             co_await asio::post(stream.get_executor(), asio::use_awaitable);
         if (ec) {
             co_await answerError(stream, ec, isLate);
@@ -204,8 +204,8 @@
             co_await drainInput(stream);
     }
 
-    // Reads what the sender is still sending, for a bounded time: closing at once would reset the connection and could
-    // take our answer with it.
+    // Reads and discards remaining input for a bounded time. Closing with unread input would reset the connection, and the
+    // client could lose the response.
     static asio::awaitable<void> drainInput(boost::beast::tcp_stream& stream)
     {
         boost::system::error_code shutdownError;
@@ -251,7 +251,7 @@
     std::unordered_set<std::shared_ptr<Connection>> m_connections;
 };
 
-// Owns the shared server for the caller; the accept loop keeps its own reference.
+// The returned owner of a server; the accept loop holds a reference of its own.
 class ServerHandle : public HttpServer {
 public:
     explicit ServerHandle(std::shared_ptr<BeastServer> server)
--- a/src/links/peer.cpp
+++ b/src/links/peer.cpp
@@ -16,10 +16,10 @@
 namespace asio = boost::asio;
 
 static constexpr base::milliseconds kShutdownGracePeriod { 200 };
-// A frozen host keeps its connections open: pings find it out, and calls that wait for it end as "may have arrived".
+// HTTP/2 pings detect a frozen host, which keeps its connections open. Pending calls then fail with `mayHaveArrived`.
 static constexpr int kPingIntervalMs = 500;
 static constexpr int kPingTimeoutMs = 400;
-static constexpr size_t kMaxIdleChannels = 32; // with more, idle channels are closed: exchanges reach every host in time
+static constexpr size_t kIdleCleanupThreshold = 32; // channels; with more, idle ones are closed
 static constexpr base::milliseconds kChannelIdleTimeout { 10000 };
 static constexpr int kMinReconnectBackoffMs = 50;
 static constexpr int kMaxReconnectBackoffMs = 500;
@@ -63,7 +63,7 @@
     }
 
 private:
-    // A reactor that lives until both the handler and the call are done with it.
+    // Deletes itself when the call is done.
     struct Reactor : grpc::ServerUnaryReactor {
         void OnDone() override { delete this; }
     };
@@ -85,7 +85,7 @@
         if (!isBlocked)
             *reply = co_await handler(std::move(request));
         reply->set_clock(base::getHybridClock().tick());
-        // A cut peer gets no answer in time and cannot tell whether we ran its request.
+        // A blocked peer gets no response before its deadline and cannot tell whether its request was run.
         if (isBlocked || m_blockedPeers.contains(from))
             co_await base::sleepFor(base::milliseconds(3000));
         reactor->Finish(isBlocked ? grpc::Status(grpc::StatusCode::DEADLINE_EXCEEDED, "cut") : grpc::Status::OK);
@@ -189,8 +189,8 @@
         co_return std::move(state->reply);
     }
 
-    // The one failure that proves that the request never left: the channel had no connection to send it on. Our own
-    // server never answers UNAVAILABLE, so the text can only come from the channel.
+    // A request is known to be unsent only if the channel had no connection. The server never returns UNAVAILABLE itself, so
+    // this message can only come from the local channel.
     static LinkFailure describeFailure(const grpc::Status& status)
     {
         bool wasNeverSent = status.error_code() == grpc::StatusCode::UNAVAILABLE && status.error_message().starts_with("failed to connect to all addresses");
@@ -201,7 +201,7 @@
     {
         std::lock_guard lock(m_mutex);
         auto now = base::Clock::now();
-        if (m_channels.size() > kMaxIdleChannels)
+        if (m_channels.size() > kIdleCleanupThreshold)
             std::erase_if(m_channels, [now](auto& it) { return now - it.second.usedAt > kChannelIdleTimeout; });
         auto& channel = m_channels[address];
         channel.usedAt = now;
@@ -220,7 +220,7 @@
         return stub;
     }
 
-    // A call keeps its stub, and with it the channel, until it ends.
+    // Calls in flight hold the stub, and through it the gRPC channel, after the entry is erased.
     struct Channel {
         std::shared_ptr<peer::Peer::Stub> stub;
         base::TimePoint usedAt {};
--- a/src/links/platform.cpp
+++ b/src/links/platform.cpp
@@ -8,7 +8,7 @@
 namespace asio = boost::asio;
 namespace json = boost::json;
 
-static constexpr base::milliseconds kWatchResponseTimeout { 1000 }; // on top of the wait, for the answer to arrive
+static constexpr base::milliseconds kWatchResponseTimeout { 1000 }; // beyond the wait, for the response to arrive
 
 static AsyncPlatformResult<json::object> callOverConnection(HttpConnection& link, const PlatformClient& client, std::string path, json::object body, base::TimePoint deadline)
 {
@@ -24,7 +24,7 @@
         co_return tl::make_unexpected(answer.error());
     auto object = parseObject(answer->body);
     if (answer->status != 200 || !object)
-        co_return tl::make_unexpected(LinkFailure { true, false, "the store answered " + std::to_string(answer->status) });
+        co_return tl::make_unexpected(LinkFailure { true, false, "the store responded with HTTP status " + std::to_string(answer->status) });
     co_return std::move(*object);
 }
 
--- a/src/links/target.cpp
+++ b/src/links/target.cpp
@@ -32,7 +32,8 @@
     return tl::make_unexpected(TargetFailure { {}, { mayHaveArrived, false, std::move(reason) } });
 }
 
-// One operation: JSON there, JSON back. A status other than 200 and 409, or a body that is no object, is not trusted.
+// Runs one operation with JSON bodies. A response with a status other than 200 and 409, or without a JSON object, closes the
+// connection and fails with `mayHaveArrived`.
 static AsyncTargetResult<json::object> call(HttpConnection& link, const std::string& from, const char* operation, const json::object& body, base::TimePoint deadline)
 {
     HttpRequest request;
@@ -44,7 +45,7 @@
         co_return tl::make_unexpected(TargetFailure { {}, answer.error() });
     auto object = parseObject(answer->body);
     if (!object || (answer->status != 200 && answer->status != kRefusalHttpStatus))
-        co_return failLink(link, true, "the member's answer cannot be read");
+        co_return failLink(link, true, "malformed response from the member");
     if (answer->status == kRefusalHttpStatus)
         co_return tl::make_unexpected(TargetFailure { Refusal { parseRefusal(getString(*object, "refused")), getString(*object, "message") }, {} });
     co_return std::move(*object);
