--- a/tests/unit/fixtures.h
+++ b/tests/unit/fixtures.h
@@ -1,4 +1,4 @@
-// What several unit tests start from: a clock turned by hand and one group of three members.
+// Shared fixtures of unit tests: explicit time points and a group of three members.
 #pragma once
 #include "decisions/health.h"
 #include <chrono>
@@ -7,7 +7,7 @@
 
 using namespace alderward::decisions;
 
-// A time `ms` after an arbitrary beginning; before it there is room for negative ones.
+// The time `ms` after an arbitrary origin; `ms` may be negative.
 inline TimePoint at(int ms)
 {
     return TimePoint {} + std::chrono::hours(1) + milliseconds(ms);
--- a/tests/unit/main.cpp
+++ b/tests/unit/main.cpp
@@ -1,3 +1,3 @@
-// Unit tests: decisions, settings, decoding. No process is started and no clock is read.
+// Unit tests of decisions, settings and decoding. They start no process and read no clock.
 #define BOOST_TEST_MODULE unit
 #include <boost/test/unit_test.hpp>
