--- a/src/base/event_log.h
+++ b/src/base/event_log.h
@@ -31,7 +31,7 @@
 void setLogBudget(const LogBudget& budget);
 // Writes {"t":steady ms,"wall":"...","host":...,"event":kind,...fields}. Thread safe.
 void logEvent(LogClass logClass, std::string_view event, std::initializer_list<LogField> fields);
-// Whether a line of this class would be written now, so that callers need not build fields in vain. Counts a dropped line if not.
+// Whether a line of this class would be written now, so that callers can skip building its fields. Counts a dropped line if not.
 bool hasLogBudget(LogClass logClass);
 // Writes buffered lines as far as the reader accepts them. Call periodically and before the process ends.
 void flushEventLog();
--- a/tests/standins/platform.cpp
+++ b/tests/standins/platform.cpp
@@ -21,8 +21,8 @@
 using base::milliseconds;
 using links::getNumber;
 using links::getString;
-using links::HttpResponse;
 using links::HttpRequest;
+using links::HttpResponse;
 using standins::answerJson;
 using standins::dropAnswer;
 
