--- a/src/base/families.h
+++ b/src/base/families.h
@@ -1,7 +1,5 @@
-// Metrics with labels: counters, gauges and histograms with fixed buckets, in Prometheus text form. The list of families is closed and
-// documented in docs/METRICS.md; a test holds page and list to each other.
-//
-// Fixed buckets, not Boost.Accumulators' quantiles: buckets of many hosts can be added up, quantiles cannot.
+// Labelled counters, gauges and histograms in the Prometheus text format. All families are listed in docs/METRICS.md; a test
+// compares that page with the table. Histograms have fixed buckets because these can be summed over hosts; quantiles cannot.
 #pragma once
 #include <initializer_list>
 #include <span>
@@ -10,11 +8,11 @@
 
 namespace alderward::base {
 
-enum class FamilyType { Counter,
+enum class MetricType { Counter,
     Gauge,
     Histogram };
 
-enum class Family {
+enum class MetricFamily {
     Statements,
     StatementSeconds,
     QueueSeconds,
@@ -44,28 +42,28 @@
     Count,
 };
 
-struct FamilyRow {
-    Family family;
+struct MetricFamilyInfo {
+    MetricFamily family;
     std::string_view name;
-    FamilyType type;
+    MetricType type;
     std::string_view labels; // comma-separated
     std::string_view help;
 };
 
-std::span<const FamilyRow> getFamilies();
+std::span<const MetricFamilyInfo> getMetricFamilies();
 
 struct Label {
     std::string_view name;
     std::string_view value;
 };
 
-void addTo(Family family, std::initializer_list<Label> labels, double n = 1);
-void setTo(Family family, std::initializer_list<Label> labels, double value);
-// Forgets a gauge's values, before they are set anew.
-void clear(Family family);
-void observe(Family family, std::initializer_list<Label> labels, double seconds);
-std::string formatFamilies();
-// Memory and processor time of this process.
-void measureProcess();
+void incrementCounter(MetricFamily family, std::initializer_list<Label> labels, double n = 1);
+void setGauge(MetricFamily family, std::initializer_list<Label> labels, double value);
+// Removes all series of a family. Call before setting a gauge anew, so that series of departed members disappear.
+void clearMetric(MetricFamily family);
+void observeHistogram(MetricFamily family, std::initializer_list<Label> labels, double seconds);
+std::string formatMetricFamilies();
+// Updates the gauges for memory and CPU time of this process.
+void updateProcessMetrics();
 
 }
--- a/src/controllers/group_statements.cpp
+++ b/src/controllers/group_statements.cpp
@@ -187,7 +187,7 @@
     view.isPromotionHeldBack = !m_state.failover.holdBackReason.empty();
     view.isPathFault = isPathFault();
     view.held = m_held;
-    view.maxHeld = static_cast<size_t>(m_node.settings.heldWrites);
+    view.maxHeld = static_cast<size_t>(m_node.settings.maxHeldWrites);
     view.primaryLostAt = m_state.health.withoutPrimarySince;
     if (m_state.health.primary)
         view.primaryLostAt = m_role.isLeaving[*m_state.health.primary] ? m_members[*m_state.health.primary].leavingSince : m_state.health.members[*m_state.health.primary].failingSince;
@@ -258,7 +258,7 @@
     if (sentAt >= order.deadline)
         co_return fail(ErrorKind::DeadlineExceeded, "the deadline passed before the statement was sent");
     auto& link = lease->getLink();
-    auto answer = links::TargetResult<links::ExecuteAnswer>();
+    auto answer = links::TargetResult<links::ExecuteResult>();
     links::ExecuteRequest request { term, true, order.statement, order.parameters, order.requestKey, {}, {} };
     if (order.operation == Operation::Settle)
         answer = co_await links::settleKey(link, m_node.settings.name, term, order.requestKey, order.deadline);
--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -51,14 +51,14 @@
     daemon::DrainState& m_state;
 };
 
-asio::awaitable<links::HttpAnswer> serveCaller(const filters::Services& services, daemon::DrainState& state, links::HttpRequest request)
+asio::awaitable<links::HttpResponse> serveCaller(const filters::Services& services, daemon::DrainState& state, links::HttpRequest request)
 {
     InFlight guard(state);
     filters::RequestContext context;
     context.path = std::move(request.path);
     context.body = std::move(request.body);
     auto reply = co_await filters::runChain(services, std::move(context));
-    links::HttpAnswer answer { reply.status, std::move(reply.body) };
+    links::HttpResponse answer { reply.status, std::move(reply.body) };
     answer.retryAfter = reply.retryAfter;
     answer.mustClose = state.isDraining; // the caller's next request goes to another host
     co_return answer;
@@ -81,7 +81,7 @@
     co_return answer;
 }
 
-links::HttpAnswer answerForError(unsigned status)
+links::HttpResponse makeErrorResponse(unsigned status)
 {
     auto kind = status == 413 ? decisions::ErrorKind::BodyTooLarge : status == 408 ? decisions::ErrorKind::SlowSender
                                                                                    : decisions::ErrorKind::BadRequest;
@@ -96,13 +96,13 @@
         : m_settings(std::move(settings))
         , m_contexts(m_settings.threads)
         , m_timers(base::makeTimerService())
-        , m_peers(links::makePeerClient(m_cuts))
+        , m_peers(links::makePeerClient(m_blockedPeers))
         , m_node { m_settings, m_contexts, *m_timers, *m_peers, { m_settings.platformAddress, m_settings.name } }
         , m_configuration(m_node)
         , m_hosts(m_node, m_configuration, base::getWallMs(base::getHybridClock().tick()))
         , m_groups(m_node, m_configuration, m_hosts)
         , m_services { m_node, m_configuration, m_hosts, m_groups, m_drainState.isDraining }
-        , m_operatorServices { m_node, m_configuration, m_hosts, m_groups, m_drainState, m_cuts }
+        , m_operatorServices { m_node, m_configuration, m_hosts, m_groups, m_drainState, m_blockedPeers }
         , m_signals(m_contexts.getNext(), SIGTERM, SIGINT)
     {
     }
@@ -113,21 +113,21 @@
         links::PeerHandlers handlers;
         handlers.relay = [this](peer::RelayRequest request) { return serveRelay(m_services, m_drainState, std::move(request)); };
         handlers.exchange = [this](peer::ExchangeRequest request) { return m_hosts.handleExchange(std::move(request)); };
-        auto peerServer = links::beginPeerServer(m_contexts, m_settings.peerAddress, std::move(handlers), m_cuts);
+        auto peerServer = links::startPeerServer(m_contexts, m_settings.peerAddress, std::move(handlers), m_blockedPeers);
         if (!peerServer)
             return tl::make_unexpected(peerServer.error());
         m_peerServer = std::move(*peerServer);
         links::HttpServerOptions options;
         options.bodyLimit = static_cast<size_t>(m_settings.bodyLimitKb) * 1024;
         options.requestTimeout = milliseconds(m_settings.requestTimeoutMs);
-        options.answerForError = answerForError;
+        options.makeErrorResponse = makeErrorResponse;
         options.nextContext = [this]() -> asio::io_context& { return m_contexts.getNext(); };
-        auto callers = links::beginHttpServer(
+        auto callers = links::startHttpServer(
             m_contexts.getNext(), m_settings.callerAddress, [this](links::HttpRequest request) { return serveCaller(m_services, m_drainState, std::move(request)); }, options);
         if (!callers)
             return tl::make_unexpected(callers.error());
         m_callers = std::move(*callers);
-        auto operators = links::beginHttpServer(m_contexts.getNext(), m_settings.operatorAddress, [this](links::HttpRequest request) -> asio::awaitable<links::HttpAnswer> { co_return daemon::answerOperator(m_operatorServices, request); });
+        auto operators = links::startHttpServer(m_contexts.getNext(), m_settings.operatorAddress, [this](links::HttpRequest request) -> asio::awaitable<links::HttpResponse> { co_return daemon::answerOperator(m_operatorServices, request); });
         if (!operators)
             return tl::make_unexpected(operators.error());
         m_operators = std::move(*operators);
@@ -164,8 +164,8 @@
     }
 
     base::Settings m_settings;
-    base::Contexts m_contexts;
-    links::PeerCuts m_cuts;
+    base::IoContextPool m_contexts;
+    links::BlockedPeers m_blockedPeers;
     daemon::DrainState m_drainState;
     std::unique_ptr<base::TimerService> m_timers;
     std::unique_ptr<links::PeerClient> m_peers;
@@ -187,7 +187,7 @@
 {
     auto commandLine = readCommandLine(argc, argv);
     auto text = base::readFile(commandLine.settingsPath);
-    if (text && base::isGatewayText(*text))
+    if (text && base::hasGatewaySection(*text))
         return daemon::runGateway(commandLine.settingsPath, *text, commandLine.mustOnlyCheck);
     auto settings = base::readSettings(commandLine.settingsPath);
     if (!settings) {
--- a/src/daemon/operators.h
+++ b/src/daemon/operators.h
@@ -13,9 +13,9 @@
     controllers::HostsController& hosts;
     controllers::GroupsController& groups;
     DrainState& drainState;
-    links::PeerCuts& cuts;
+    links::BlockedPeers& blockedPeers;
 };
 
-links::HttpAnswer answerOperator(const OperatorServices& services, const links::HttpRequest& request);
+links::HttpResponse answerOperator(const OperatorServices& services, const links::HttpRequest& request);
 
 }
--- a/src/gateway/directory.cpp
+++ b/src/gateway/directory.cpp
@@ -41,13 +41,13 @@
     return milliseconds(static_cast<int64_t>(kStartRetryMs * (0.5 + base::getRandom())));
 }
 
-static std::string formatHost(const links::ListedHost& host)
+static std::string formatHost(const links::RegisteredHost& host)
 {
     return json::serialize(json::object { { "address", host.address }, { "dataCentre", host.dataCentre }, { "incarnation", host.incarnation } });
 }
 
 // As formatHost() writes it. Another writer may have put something else there.
-static std::optional<links::ListedHost> parseHost(const std::string& name, const std::string& text)
+static std::optional<links::RegisteredHost> parseHost(const std::string& name, const std::string& text)
 {
     boost::system::error_code ec;
     auto value = json::parse(text, ec);
@@ -63,10 +63,10 @@
     auto number = incarnation->to_number<uint64_t>(ec);
     if (ec)
         return std::nullopt;
-    return links::ListedHost { name, std::string(address->as_string()), std::string(dataCentre->as_string()), number };
+    return links::RegisteredHost { name, std::string(address->as_string()), std::string(dataCentre->as_string()), number };
 }
 
-Directory::Directory(asio::io_context& context, links::PlatformAdapter& platform, links::ListedHost self, DirectoryTimings timings, DirectoryEvents events)
+Directory::Directory(asio::io_context& context, links::PlatformAdapter& platform, links::RegisteredHost self, DirectoryTimings timings, DirectoryEvents events)
     : m_context(context)
     , m_platform(platform)
     , m_self(std::move(self))
@@ -113,21 +113,21 @@
     }
     base::logEvent(LogClass::State, "configuration-behind", { { "here", static_cast<int64_t>(m_version) }, { "elsewhere", static_cast<int64_t>(version) } });
     m_mustReread = true;
-    m_platform.getStore().interruptWatch();
+    m_platform.getStore().cancelWatch();
 }
 
 void Directory::setWatcher(bool isWatcher, bool hasRelay)
 {
     m_hasRelay = hasRelay;
     if (isWatcher && !m_isWatcher)
-        interruptWatch();
+        cancelWatch();
     m_isWatcher = isWatcher;
 }
 
-void Directory::interruptWatch()
+void Directory::cancelWatch()
 {
     m_isInterrupted = true;
-    m_platform.getStore().interruptWatch();
+    m_platform.getStore().cancelWatch();
 }
 
 void Directory::hearChange(uint64_t change)
@@ -151,7 +151,7 @@
     if (m_isInDoubt)
         return;
     m_isInDoubt = true;
-    interruptWatch();
+    cancelWatch();
 }
 
 milliseconds Directory::getWatchWait() const
@@ -323,7 +323,7 @@
     m_log.push_back(change);
     auto& item = m_log.back().item;
     if (item.key == m_platform.getConfigurationKey())
-        item.value = m_platform.hideKeys(item.value); // what stands here is told to other hosts: keys of client accounts leave no host
+        item.value = m_platform.replaceKeysWithDigests(item.value); // what stands here is told to other hosts: keys of client accounts leave no host
     m_logBytes += item.value.size();
     while (m_log.size() > kLogMost || m_logBytes > kLogBytesMost) {
         m_logSince = std::max(m_logSince, m_log.front().item.revision);
@@ -478,7 +478,7 @@
 // A line a change, not a heartbeat: the store tells of an entry when more than its count has changed.
 void Directory::noteUnreadable(const links::StoreItem& item, const std::string& reason)
 {
-    base::addTo(base::Family::EntriesRefused, { { "result", "unreadable" } });
+    base::incrementCounter(base::MetricFamily::EntriesRefused, { { "result", "unreadable" } });
     base::logEvent(LogClass::State, "entry-unreadable", { { "key", std::string_view(item.key) }, { "reason", std::string_view(reason) }, { "revision", static_cast<int64_t>(item.revision) } });
 }
 
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -45,7 +45,7 @@
     , m_peers(context, m_settings.name, makePeerService())
     , m_quotas({ m_view, m_peers, m_settings.name, m_self.incarnation, getQuotaRule(), m_isDraining, [this](size_t shard, const std::set<std::string>& accounts, std::function<void(bool)> done) { writeNearAccounts(shard, accounts, std::move(done)); } })
     , m_router({ context, m_view, m_peers, m_settings.name, m_settings.dataCentre, [this](const TargetAddress& it) { return getPool(it); }, [this](const TargetAddress& it) { return isTroubled(it); }, [this](const std::string& group) { raiseAlarm(group, "no primary is known"); }, [this] { return !decisions::canJudgePrimary(m_peers.countInReach()); }, getDrainTime(), m_quotas })
-    , m_directory(context, *m_platform, m_self, { milliseconds(m_settings.callLimitMs), milliseconds(m_settings.watchWaitMs), milliseconds(m_settings.longWatchWaitMs), milliseconds(m_settings.leaseMs) }, makeDirectoryEvents())
+    , m_directory(context, *m_platform, m_self, { milliseconds(m_settings.storeCallTimeoutMs), milliseconds(m_settings.watchWaitMs), milliseconds(m_settings.longWatchWaitMs), milliseconds(m_settings.leaseMs) }, makeDirectoryEvents())
     , m_promoter({ context, m_view, m_peers, *m_platform, { m_self.name, m_self.incarnation }, [this](const TargetAddress& it, std::function<void(const StatusReport&)> done) { inquire(it, std::move(done)); }, [this](const std::string&, const std::string& member, milliseconds time) { holdWrites(member, time); }, [this] { return m_directory.isReachable(); }, [this](const std::string& group, const decisions::KnownPrimary& before, std::string_view source) { noteLead(group, before, source); }, m_isDraining })
     , m_acceptor(context)
     , m_timers(timers)
@@ -60,19 +60,19 @@
     takeHost(m_view, m_self);
     if (auto listening = m_peers.listen(m_settings.peerAddress); !listening)
         return listening;
-    if (auto listening = links::beginListening(m_acceptor, m_settings.callerAddress); !listening)
+    if (auto listening = links::listenOn(m_acceptor, m_settings.callerAddress); !listening)
         return listening;
     accept();
-    auto ready = links::beginHttpServer(m_context, m_settings.readyAddress, [this](links::HttpRequest request) { return answerReady(std::move(request)); });
+    auto ready = links::startHttpServer(m_context, m_settings.readyAddress, [this](links::HttpRequest request) { return answerReady(std::move(request)); });
     if (!ready)
         return tl::make_unexpected(ready.error());
     m_ready = std::move(*ready);
     if (!m_settings.metricsAddress.empty()) {
-        auto metrics = links::beginHttpServer(m_context, m_settings.metricsAddress, [this](links::HttpRequest) -> asio::awaitable<links::HttpAnswer> {
+        auto metrics = links::startHttpServer(m_context, m_settings.metricsAddress, [this](links::HttpRequest) -> asio::awaitable<links::HttpResponse> {
             measure();
-            links::HttpAnswer answer;
+            links::HttpResponse answer;
             answer.contentType = "text/plain; version=0.0.4";
-            answer.body = base::formatFamilies();
+            answer.body = base::formatMetricFamilies();
             co_return answer;
         });
         if (!metrics)
@@ -88,37 +88,37 @@
 // Gauges are set when somebody asks for them.
 void Gateway::measure() const
 {
-    using base::Family;
+    using base::MetricFamily;
     auto now = Clock::now();
-    for (auto family : { Family::PoolConnections, Family::PoolWaiting, Family::PoolRunning, Family::FloorAge, Family::Term, Family::LeavingPrimary })
-        base::clear(family);
+    for (auto family : { MetricFamily::PoolConnections, MetricFamily::PoolWaiting, MetricFamily::PoolRunning, MetricFamily::FloorAge, MetricFamily::Term, MetricFamily::LeavingPrimary })
+        base::clearMetric(family);
     for (auto& [member, pool] : m_pools) {
         auto load = pool->getLoad();
-        base::setTo(Family::PoolConnections, { { "member", member } }, static_cast<double>(pool->getOpen()));
-        base::setTo(Family::PoolWaiting, { { "member", member } }, load.waiting);
-        base::setTo(Family::PoolRunning, { { "member", member } }, load.running);
+        base::setGauge(MetricFamily::PoolConnections, { { "member", member } }, static_cast<double>(pool->getOpen()));
+        base::setGauge(MetricFamily::PoolWaiting, { { "member", member } }, load.waiting);
+        base::setGauge(MetricFamily::PoolRunning, { { "member", member } }, load.running);
     }
     for (auto& [name, group] : m_view.groups) {
-        base::setTo(Family::Term, { { "group", name } }, static_cast<double>(group.lead.term));
+        base::setGauge(MetricFamily::Term, { { "group", name } }, static_cast<double>(group.lead.term));
         if (!group.floors.isEmpty())
-            base::setTo(Family::FloorAge, { { "group", name } }, std::chrono::duration<double>(now - group.floors.floors.back().coveredUntil).count());
+            base::setGauge(MetricFamily::FloorAge, { { "group", name } }, std::chrono::duration<double>(now - group.floors.floors.back().coveredUntil).count());
         auto primary = m_view.members.find(group.lead.member);
         if (primary != m_view.members.end() && primary->second.leavingSince)
-            base::setTo(Family::LeavingPrimary, { { "group", name } }, std::chrono::duration<double>(now - *primary->second.leavingSince).count());
+            base::setGauge(MetricFamily::LeavingPrimary, { { "group", name } }, std::chrono::duration<double>(now - *primary->second.leavingSince).count());
     }
-    base::setTo(Family::ConfigurationVersion, {}, static_cast<double>(m_view.configuration.version));
-    base::setTo(Family::Sessions, {}, static_cast<double>(m_sessions.size()));
-    base::setTo(Family::Ready, {}, isReady() ? 1 : 0);
-    base::setTo(Family::InvariantViolations, {}, static_cast<double>(base::getCount(base::Counter::InvariantViolations)));
+    base::setGauge(MetricFamily::ConfigurationVersion, {}, static_cast<double>(m_view.configuration.version));
+    base::setGauge(MetricFamily::Sessions, {}, static_cast<double>(m_sessions.size()));
+    base::setGauge(MetricFamily::Ready, {}, isReady() ? 1 : 0);
+    base::setGauge(MetricFamily::InvariantViolations, {}, static_cast<double>(base::getCount(base::Counter::InvariantViolations)));
     auto lines = base::getLogCounts();
-    base::setTo(Family::LogLines, { { "result", "written" } }, static_cast<double>(lines.written));
-    base::setTo(Family::LogLines, { { "result", "left-out" } }, static_cast<double>(lines.leftOut));
-    base::measureProcess();
+    base::setGauge(MetricFamily::LogLines, { { "result", "written" } }, static_cast<double>(lines.written));
+    base::setGauge(MetricFamily::LogLines, { { "result", "left-out" } }, static_cast<double>(lines.droppedLines));
+    base::updateProcessMetrics();
 }
 
-asio::awaitable<links::HttpAnswer> Gateway::answerReady(links::HttpRequest request)
+asio::awaitable<links::HttpResponse> Gateway::answerReady(links::HttpRequest request)
 {
-    links::HttpAnswer answer;
+    links::HttpResponse answer;
     if (request.path != m_platform->getReadyPath())
         answer.status = 404;
     else if (!isReady())
@@ -175,7 +175,7 @@
 decisions::QuotaRule Gateway::getQuotaRule() const
 {
     auto window = std::chrono::duration<double>(m_settings.quotaWindowSeconds);
-    return { std::chrono::duration_cast<milliseconds>(window), m_settings.quotaOver, m_settings.quotaSlack };
+    return { std::chrono::duration_cast<milliseconds>(window), m_settings.quotaOverrunShare, m_settings.quotaSlackOperations };
 }
 
 // Half of the operators' limit, as two hosts may carry to one member while they disagree on who does.
@@ -364,7 +364,7 @@
     service.answerQuotaAsk = [this](const peer::QuotaAsk& ask) { return m_quotas.answerAsk(ask); };
     service.onQuotaState = [this](const std::string& host, const peer::QuotaState& state) { m_quotas.takeState(host, state); };
     service.onQuotaAnswer = [this](const std::string& host, const peer::QuotaAnswer& answer) { m_quotas.takeAnswer(host, answer); };
-    service.onLink = [](const std::string& host, bool isUp, const std::string& reason) { base::addTo(base::Family::HostChanges, {{"peer", host}, {"change", isUp ? "regained" : "lost"}}); base::logEvent(LogClass::State, isUp ? "host-regained" : "host-lost", { { "peer", std::string_view(host) }, { "reason", std::string_view(reason) } }); };
+    service.onLink = [](const std::string& host, bool isUp, const std::string& reason) { base::incrementCounter(base::MetricFamily::HostChanges, {{"peer", host}, {"change", isUp ? "regained" : "lost"}}); base::logEvent(LogClass::State, isUp ? "host-regained" : "host-lost", { { "peer", std::string_view(host) }, { "reason", std::string_view(reason) } }); };
     return service;
 }
 
@@ -390,12 +390,12 @@
         m_quietInterval = decisions::getPingInterval(getLeastAge(configuration));
         m_partnersDue = true;
     };
-    events.onMember = [this](const links::ListedMember& member, uint64_t revision, std::optional<TimePoint> changedAt) {
+    events.onMember = [this](const links::RegisteredMember& member, uint64_t revision, std::optional<TimePoint> changedAt) {
         takeListed(member, revision, changedAt ? *changedAt : decisions::estimateLeavingSince(getDrainTime(), Clock::now()), "listed");
     };
     events.onMemberGone = [this](const std::string& id, uint64_t revision) { takeUnlisted(id, revision, "listed"); };
     events.onMembersRead = [this] { m_view.hasMembers = true; };
-    events.onHost = [this](const links::ListedHost& host) {
+    events.onHost = [this](const links::RegisteredHost& host) {
         if (host.name == m_self.name)
             return;
         m_hostsGoneAt.erase(host.name);
@@ -418,7 +418,7 @@
 
 void Gateway::tellPeers()
 {
-    std::vector<links::ListedHost> hosts;
+    std::vector<links::RegisteredHost> hosts;
     for (auto& [name, it] : m_view.hosts)
         hosts.push_back(it);
     m_peers.setHosts(hosts);
@@ -490,7 +490,7 @@
                 finish(finding);
                 return;
             }
-            session->ask(m_platform->getCodec().formatStatusQuestion(), [this, finish](const Outcome& answer) {
+            session->ask(m_platform->getCodec().formatStatusQuery(), [this, finish](const Outcome& answer) {
                 StatusReport finding;
                 finding.wasReached = !answer.error || answer.error->kind == ErrorKind::Overloaded;
                 if (!answer.error && !answer.rows.empty()) {
@@ -605,7 +605,7 @@
     m_isDraining = true;
     m_view.isPlacementDue = true;
     m_stopBegan = Clock::now();
-    base::logEvent(LogClass::State, "stop-begins", { { "sessions", static_cast<int64_t>(m_sessions.size()) }, { "grace_ms", static_cast<int64_t>(m_settings.graceMs) } });
+    base::logEvent(LogClass::State, "stop-begins", { { "sessions", static_cast<int64_t>(m_sessions.size()) }, { "grace_ms", static_cast<int64_t>(m_settings.stopGraceMs) } });
 }
 
 // The balancer needs a while to send no more callers; then sessions are closed as they come to rest, and at half of the grace time
@@ -613,7 +613,7 @@
 void Gateway::sweepStop(TimePoint now)
 {
     auto passed = now - m_stopBegan;
-    auto grace = milliseconds(m_settings.graceMs);
+    auto grace = milliseconds(m_settings.stopGraceMs);
     if (passed < std::min(kNoticeTime, grace / 2))
         return;
     if (!m_isEnding)
--- a/src/gateway/gateway_members.cpp
+++ b/src/gateway/gateway_members.cpp
@@ -14,11 +14,11 @@
 static constexpr milliseconds kMembersInterval { 500 }; // between two questions for members to hosts that have the store
 
 // `source`: the store itself, or a host that has it.
-void Gateway::takeListed(const links::ListedMember& member, uint64_t revision, TimePoint leavingSince, std::string_view source)
+void Gateway::takeListed(const links::RegisteredMember& member, uint64_t revision, TimePoint leavingSince, std::string_view source)
 {
     auto known = m_view.members.find(member.id);
     bool wasKnown = known != m_view.members.end();
-    auto before = wasKnown ? known->second.listed : links::ListedMember {};
+    auto before = wasKnown ? known->second.listed : links::RegisteredMember {};
     bool wasUnlisted = wasKnown && known->second.unlistedAt;
     auto change = takeMember(m_view, member, revision, leavingSince, Clock::now());
     if (change == MemberChange::Outdated)
@@ -28,16 +28,16 @@
     takeRoleChange(before, member);
     m_partnersDue = m_partnersDue || !wasKnown;
     m_view.isPlacementDue = true;
-    before.life = member.life; // its count moves with every word of it
+    before.incarnation = member.incarnation; // its count moves with every word of it
     if (before == member && !wasUnlisted)
         return;
     base::logEvent(LogClass::State, "member", { { "member", std::string_view(member.id) }, { "group", std::string_view(member.group) }, { "address", std::string_view(member.address) }, { "leaving", member.isLeaving }, { "says_primary", member.saysPrimary }, { "revision", static_cast<int64_t>(revision) }, { "source", source } });
 }
 
 // Connections that still stand lead to the process of before; whatever runs on them is in doubt, as after any other break.
-void Gateway::endLife(const links::ListedMember& member)
+void Gateway::endLife(const links::RegisteredMember& member)
 {
-    base::logEvent(LogClass::State, "member-restarted", { { "member", std::string_view(member.id) }, { "group", std::string_view(member.group) }, { "born", static_cast<int64_t>(member.life.born) }, { "sequence", static_cast<int64_t>(member.life.sequence) } });
+    base::logEvent(LogClass::State, "member-restarted", { { "member", std::string_view(member.id) }, { "group", std::string_view(member.group) }, { "born", static_cast<int64_t>(member.incarnation.startedAtMs) }, { "sequence", static_cast<int64_t>(member.incarnation.sequence) } });
     m_promoter.noteNewLead(member.group);
     if (auto it = m_pools.find(member.id); it != m_pools.end()) {
         auto pool = it->second;
@@ -86,7 +86,7 @@
 
 // A member says of itself that its role changed. That counts against a leader that has not shown itself lately, no more: a member that
 // was cut off may not know that it was replaced.
-void Gateway::takeRoleChange(const links::ListedMember& before, const links::ListedMember& now)
+void Gateway::takeRoleChange(const links::RegisteredMember& before, const links::RegisteredMember& now)
 {
     auto& group = m_view.groups[now.group];
     bool isFresh = !group.floors.isEmpty() && Clock::now() - group.floors.floors.back().coveredUntil < kProofMissed;
--- a/src/links/http_client.cpp
+++ b/src/links/http_client.cpp
@@ -13,7 +13,7 @@
 namespace http = boost::beast::http;
 using asio::ip::tcp;
 
-static constexpr auto kUse = asio::as_tuple(asio::use_awaitable);
+static constexpr auto kUseAwaitable = asio::as_tuple(asio::use_awaitable);
 static std::atomic<uint64_t> nextRequestId { 1 };
 
 namespace {
@@ -33,7 +33,7 @@
         if (!endpoint)
             co_return tl::make_unexpected(LinkFailure { false, false, endpoint.error() });
         m_stream.expires_at(deadline);
-        auto [ec] = co_await m_stream.async_connect(*endpoint, kUse);
+        auto [ec] = co_await m_stream.async_connect(*endpoint, kUseAwaitable);
         m_stream.expires_never();
         if (ec) {
             close();
@@ -45,38 +45,38 @@
         co_return LinkResult<void> {};
     }
 
-    asio::awaitable<LinkResult<HttpAnswer>> exchange(HttpRequest request, base::TimePoint deadline) override
+    asio::awaitable<LinkResult<HttpResponse>> exchange(HttpRequest request, base::TimePoint deadline) override
     {
         if (!m_isOpen)
             co_return tl::make_unexpected(LinkFailure { false, false, "not connected" });
         auto requestId = std::to_string(nextRequestId.fetch_add(1));
         auto message = makeMessage(std::move(request), requestId);
         m_stream.expires_at(deadline);
-        auto [writeError, written] = co_await http::async_write(m_stream, message, kUse);
+        auto [writeError, written] = co_await http::async_write(m_stream, message, kUseAwaitable);
         m_transferred += written;
         if (writeError)
             co_return failExchange(written > 0, writeError);
         boost::beast::flat_buffer buf;
         http::response<http::string_body> reply;
-        auto [readError, n] = co_await http::async_read(m_stream, buf, reply, kUse);
+        auto [readError, n] = co_await http::async_read(m_stream, buf, reply, kUseAwaitable);
         m_transferred += n;
         if (readError)
             co_return failExchange(true, readError);
         m_stream.expires_never();
         if (m_options.expectsRequestId && reply["X-Request-Id"] != requestId) {
             close();
-            co_return tl::make_unexpected(LinkFailure { true, false, "the answer belongs to another request" });
+            co_return tl::make_unexpected(LinkFailure { true, false, "response carries another request id" });
         }
         if (!reply.keep_alive())
             close();
-        HttpAnswer answer;
+        HttpResponse answer;
         answer.status = reply.result_int();
         answer.body = std::move(reply.body());
         co_return answer;
     }
 
-    // A kept connection that the far side closed, or on which something came unasked, is of no use. Finding that out before
-    // sending keeps "not run" a certainty where "unknown" would be the answer afterwards.
+    // Detects an idle connection that the server closed, or on which unexpected bytes arrived. Sending on it would fail with
+    // an unknown outcome, although the request could not have run.
     bool isOpen() override
     {
         if (!m_isOpen)
@@ -95,7 +95,7 @@
         m_stream.close();
     }
 
-    uint64_t getTransferred() const override { return m_transferred; }
+    uint64_t getTransferredBytes() const override { return m_transferred; }
 
 private:
     static http::request<http::string_body> makeMessage(HttpRequest request, const std::string& requestId)
--- a/tests/unit/accounts_test.cpp
+++ b/tests/unit/accounts_test.cpp
@@ -110,19 +110,19 @@
 BOOST_AUTO_TEST_CASE(hidden_keys_are_still_recognized_by_their_digests)
 {
     auto value = makeConfiguration(std::vector<json::object> { makeAccount("mill", { "key-one-of-mill", "key-two-of-mill" }), makeAccount("shop", { "key-of-shop" }) });
-    auto hidden = platform::hideKeys(value);
+    auto hidden = platform::replaceKeysWithDigests(value);
     for (auto* key : { "key-one-of-mill", "key-two-of-mill", "key-of-shop", "ApiKeys\"" })
         BOOST_TEST(hidden.find(key) == std::string::npos, key);
     auto read = platform::readConfiguration(value);
     auto received = platform::readConfiguration(hidden);
     BOOST_REQUIRE(received.has_value());
     BOOST_TEST((*read == *received));
-    BOOST_TEST(platform::hideKeys(hidden) == hidden);
-    BOOST_TEST(platform::hideKeys("no JSON with key-of-shop").empty());
-    BOOST_TEST(platform::hideKeys(R"({"Tenants":"key-of-shop"})").empty());
-    BOOST_TEST(platform::hideKeys(R"({"Tenants":[{"Name":"x","ApiKeys":"key-of-shop"}]})").find("key-of-shop") == std::string::npos);
+    BOOST_TEST(platform::replaceKeysWithDigests(hidden) == hidden);
+    BOOST_TEST(platform::replaceKeysWithDigests("no JSON with key-of-shop").empty());
+    BOOST_TEST(platform::replaceKeysWithDigests(R"({"Tenants":"key-of-shop"})").empty());
+    BOOST_TEST(platform::replaceKeysWithDigests(R"({"Tenants":[{"Name":"x","ApiKeys":"key-of-shop"}]})").find("key-of-shop") == std::string::npos);
     auto plain = std::string(R"({"Version":1,"Routes":[]})");
-    BOOST_TEST(platform::hideKeys(plain) == plain);
+    BOOST_TEST(platform::replaceKeysWithDigests(plain) == plain);
 }
 
 BOOST_AUTO_TEST_CASE(digests_survive_formatting_and_parsing)
@@ -154,7 +154,7 @@
 BOOST_AUTO_TEST_CASE(callers_send_a_key_and_targets_receive_the_account_name)
 {
     auto codec = platform::makeLineCodec();
-    auto hello = std::get<links::OpenSession>(codec->parseCaller("CONNECT bookings a key with blanks"));
+    auto hello = std::get<links::OpenSession>(codec->parseCallerMessage("CONNECT bookings a key with blanks"));
     BOOST_TEST(hello.database == "bookings");
     BOOST_TEST((hello.key == digestKey("a key with blanks")));
     BOOST_TEST(codec->formatHello("ledger", "mill", "m1") == "CONNECT ledger mill m1\r\n");
--- a/tests/unit/comparison_test.cpp
+++ b/tests/unit/comparison_test.cpp
@@ -63,11 +63,11 @@
 BOOST_AUTO_TEST_CASE(restarted_primary_is_compared_again)
 {
     ClusterView view;
-    links::ListedMember member { .id = "m", .group = "g", .address = "10.0.0.1:1", .dataCentre = "a", .slots = 2, .saysPrimary = true, .life = { 1000, 1 } };
+    links::RegisteredMember member { .id = "m", .group = "g", .address = "10.0.0.1:1", .dataCentre = "a", .slots = 2, .saysPrimary = true, .incarnation = { 1000, 1 } };
     takeMember(view, member, 1, {}, kStart);
     view.groups["g"].wasCompared = true;
     BOOST_TEST(canTellLostLog(view.groups["g"]));
-    member.life = { 2000, 1 };
+    member.incarnation = { 2000, 1 };
     BOOST_TEST((takeMember(view, member, 2, {}, kStart) == MemberChange::StartedAgain));
     BOOST_TEST(!canTellLostLog(view.groups["g"]));
 }
--- a/tests/unit/entries_test.cpp
+++ b/tests/unit/entries_test.cpp
@@ -36,7 +36,7 @@
 }
 
 // The invariants of a parsed member.
-bool isWhole(const links::ListedMember& it)
+bool isWhole(const links::RegisteredMember& it)
 {
     return !it.id.empty() && !it.group.empty() && !it.address.empty() && !it.dataCentre.empty() && it.slots > 0;
 }
@@ -83,7 +83,7 @@
 {
     auto member = platform::readMemberEntry("m1", json::serialize(makeEntry()));
     BOOST_REQUIRE(member.has_value());
-    links::ListedMember expected { .id = "m1", .group = "ledger", .address = "10.0.0.1:8149", .dataCentre = "hall-a", .slots = 2, .life = { 1789000000000, 4 } };
+    links::RegisteredMember expected { .id = "m1", .group = "ledger", .address = "10.0.0.1:8149", .dataCentre = "hall-a", .slots = 2, .incarnation = { 1789000000000, 4 } };
     BOOST_TEST((*member == expected));
     auto older = makeEntry();
     older.erase("born");
@@ -189,13 +189,13 @@
         std::mt19937 random(seed);
         for (int i = 0; i < kChanges; ++i) {
             auto line = change(lines[static_cast<size_t>(i) % lines.size()], random);
-            codec->parseCaller(line);
-            codec->parseTarget(line);
+            codec->parseCallerMessage(line);
+            codec->parseTargetMessage(line);
             codec->parseStatus(line);
         }
     }
     for (auto* mark : { "READY I .", "READY I 1.", "READY I .1", "READY I 99999999999999999999.1", "READY I -1.-1", "READY" })
-        codec->parseTarget(mark);
+        codec->parseTargetMessage(mark);
     BOOST_TEST(!codec->parseStatus("ROW").has_value());
 }
 
--- a/tests/unit/gateway_decisions_test.cpp
+++ b/tests/unit/gateway_decisions_test.cpp
@@ -175,7 +175,7 @@
     gateway::ClusterView view;
     for (auto* name : { "a1", "a2", "b1" })
         takeHost(view, { name, "", std::string(name).substr(0, 1), 1 });
-    links::ListedMember listed;
+    links::RegisteredMember listed;
     listed.id = "m";
     listed.group = "g";
     listed.dataCentre = "a";
@@ -387,7 +387,7 @@
 BOOST_AUTO_TEST_CASE(messages_of_callers_are_parsed_into_statements)
 {
     auto codec = platform::makeLineCodec();
-    auto parse = [&](const std::string& text) { return std::get<Statement>(codec->parseCaller(text)); };
+    auto parse = [&](const std::string& text) { return std::get<Statement>(codec->parseCallerMessage(text)); };
     BOOST_TEST((parse("QUERY a BEGIN").kind == StatementKind::Begin));
     BOOST_TEST((parse("QUERY a BEGIN READ").kind == StatementKind::BeginReadOnly));
     BOOST_TEST((parse("QUERY a READ x").kind == StatementKind::Read));
@@ -402,30 +402,30 @@
     for (auto* text : { "QUERY a BEGIN NOW", "QUERY a READ", "QUERY a PREPARE s", "QUERY a PREPARE s MAYBE q", "QUERY a SET", "QUERY a begin" })
         BOOST_TEST((parse(text).kind == StatementKind::Unknown), text);
     for (auto* text : { "", "QUERY", "QUERY a", "QUERY - READ x", "READ x", "CONNECT", "connect db" })
-        BOOST_TEST(std::holds_alternative<links::BadMessage>(codec->parseCaller(text)), text);
-    BOOST_TEST(std::get<links::OpenSession>(codec->parseCaller("CONNECT db who")).database == "db");
+        BOOST_TEST(std::holds_alternative<links::MalformedMessage>(codec->parseCallerMessage(text)), text);
+    BOOST_TEST(std::get<links::OpenSession>(codec->parseCallerMessage("CONNECT db who")).database == "db");
 }
 
 BOOST_AUTO_TEST_CASE(statements_are_forwarded_unchanged_except_for_mark_and_prepared_name)
 {
     auto codec = platform::makeLineCodec();
-    auto statement = std::get<Statement>(codec->parseCaller("QUERY 5c READ  odd  blanks "));
+    auto statement = std::get<Statement>(codec->parseCallerMessage("QUERY 5c READ  odd  blanks "));
     BOOST_TEST(codec->formatStatement(statement, {}, "") == "QUERY 5c READ  odd  blanks \r\n");
     BOOST_TEST(codec->formatStatement(statement, { 3, 7 }, "") == "QUERY 5c AFTER 3.7 READ  odd  blanks \r\n");
-    statement = std::get<Statement>(codec->parseCaller("QUERY 5c EXECUTE s1 1a4 data with blanks"));
+    statement = std::get<Statement>(codec->parseCallerMessage("QUERY 5c EXECUTE s1 1a4 data with blanks"));
     BOOST_TEST(codec->formatStatement(statement, {}, "w_q2c") == "QUERY 5c EXECUTE w_q2c 1a4 data with blanks\r\n");
 }
 
 BOOST_AUTO_TEST_CASE(answers_of_targets_are_parsed_and_retryable_errors_keep_their_codes)
 {
     auto codec = platform::makeLineCodec();
-    auto ready = std::get<links::ReadyMessage>(codec->parseTarget("READY T 3.1207"));
+    auto ready = std::get<links::ReadyMessage>(codec->parseTargetMessage("READY T 3.1207"));
     BOOST_TEST((ready.state == SessionState::InTransaction));
     BOOST_TEST((ready.position == Mark { 3, 1207 }));
-    BOOST_TEST((std::get<links::ReadyMessage>(codec->parseTarget("READY I -")).position == Mark {}));
-    BOOST_TEST((std::get<links::FailureMessage>(codec->parseTarget("ERROR LAGGING i-1")).error.kind == ErrorKind::TooStale));
-    BOOST_TEST((std::get<links::FailureMessage>(codec->parseTarget("ERROR NEWWORD i-1")).error.kind == ErrorKind::Internal));
-    BOOST_TEST(std::holds_alternative<links::BadMessage>(codec->parseTarget("HELLO")));
+    BOOST_TEST((std::get<links::ReadyMessage>(codec->parseTargetMessage("READY I -")).position == Mark {}));
+    BOOST_TEST((std::get<links::FailureMessage>(codec->parseTargetMessage("ERROR LAGGING i-1")).error.kind == ErrorKind::TooStale));
+    BOOST_TEST((std::get<links::FailureMessage>(codec->parseTargetMessage("ERROR NEWWORD i-1")).error.kind == ErrorKind::Internal));
+    BOOST_TEST(std::holds_alternative<links::MalformedMessage>(codec->parseTargetMessage("HELLO")));
     auto status = codec->parseStatus("replica 3 3.1209 0 12 2 17");
     BOOST_TEST((status == links::TargetStatus { false, 3, { 3, 1209 }, milliseconds(12) }));
     BOOST_TEST(!codec->parseStatus("leader 3"));
@@ -443,12 +443,12 @@
     auto line = links::splitLine("READ x\r\nmore", 0);
     BOOST_TEST(line.size == 8u);
     BOOST_TEST(line.length == 6u);
-    BOOST_TEST(links::splitLine("READ x\nmore", 0).isBad);
-    BOOST_TEST(links::splitLine(std::string(links::kMessageLimit + 1, 'x'), 0).isBad);
-    auto frame = links::makeFrame("hello");
+    BOOST_TEST(links::splitLine("READ x\nmore", 0).isMalformed);
+    BOOST_TEST(links::splitLine(std::string(links::kMaxMessageSize + 1, 'x'), 0).isMalformed);
+    auto frame = links::encodeFrame("hello");
     BOOST_TEST(links::splitFrame(frame, 0).length == 5u);
     BOOST_TEST(links::splitFrame(std::string_view(frame).substr(0, 6), 0).size == 0u);
-    BOOST_TEST(links::splitFrame("\xff\xff\xff\xff", 0).isBad);
+    BOOST_TEST(links::splitFrame("\xff\xff\xff\xff", 0).isMalformed);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
@@ -458,14 +458,14 @@
 BOOST_AUTO_TEST_CASE(every_metric_is_documented_and_follows_naming_conventions)
 {
     auto page = readPage("docs/METRICS.md");
-    for (auto& it : base::getFamilies()) {
+    for (auto& it : base::getMetricFamilies()) {
         BOOST_TEST(page.find(fmt::format("| `{}` |", it.name)) != std::string::npos, it.name << " is not in docs/METRICS.md");
         BOOST_TEST(std::regex_match(std::string(it.name), std::regex("[a-z][a-z0-9_]*")));
-        BOOST_TEST((it.type != base::FamilyType::Counter || it.name.ends_with("_total")), it.name);
+        BOOST_TEST((it.type != base::MetricType::Counter || it.name.ends_with("_total")), it.name);
     }
-    base::addTo(base::Family::StoreCalls, { { "call", "get" }, { "result", "a\"b\\" } });
-    base::observe(base::Family::StoreSeconds, { { "call", "get" } }, 0.02);
-    auto text = base::formatFamilies();
+    base::incrementCounter(base::MetricFamily::StoreCalls, { { "call", "get" }, { "result", "a\"b\\" } });
+    base::observeHistogram(base::MetricFamily::StoreSeconds, { { "call", "get" } }, 0.02);
+    auto text = base::formatMetricFamilies();
     BOOST_TEST(text.find("alderward_store_calls_total{call=\"get\",result=\"a\\\"b\\\\\"} 1") != std::string::npos);
     BOOST_TEST(text.find("alderward_store_seconds_bucket{call=\"get\",le=\"0.01\"} 0") != std::string::npos);
     BOOST_TEST(text.find("alderward_store_seconds_bucket{call=\"get\",le=\"+Inf\"} 1") != std::string::npos);
@@ -510,7 +510,7 @@
     for (auto& it : base::getGatewaySettingTable())
         BOOST_TEST(page.find(fmt::format("| `[{}] {}` |", it.section, it.key)) != std::string::npos, it.key << " is not in docs/OPERATIONS.md");
     std::string good = "[gateway]\nname = a\ndata_centre = b\ncaller_address = 127.0.0.1:1\npeer_address = 127.0.0.1:2\nready_address = 127.0.0.1:3\n[platform]\nstore_address = 127.0.0.1:4\norders_address = 127.0.0.1:5\n";
-    BOOST_TEST(base::isGatewayText(good));
+    BOOST_TEST(base::hasGatewaySection(good));
     BOOST_TEST(base::parseGatewaySettings(good, "f").has_value());
     BOOST_TEST(base::parseGatewaySettings(good + "call_limit_ms = 5\n", "f").error() == "f:10: [platform] call_limit_ms must be a whole number from 100 to 60000 (ms)");
     BOOST_TEST(base::parseGatewaySettings("[gateway]\nname = a\n", "f").error() == "f:1: [gateway] data_centre is missing");
