--- a/src/gateway/caller_session.cpp
+++ b/src/gateway/caller_session.cpp
@@ -308,13 +308,13 @@
     bool isOpening = m_state == SessionState::InTransaction;
     routed.order.kind = isOpening ? OrderKind::Begin : OrderKind::Single;
     bool readsOnly = isOpening ? m_isReadOnly : !ran.isWrite;
-    routed.needsLeader = !readsOnly || m_route.consistency == decisions::Consistency::Primary;
-    if (!routed.needsLeader) {
+    routed.needsPrimary = !readsOnly || m_route.consistency == decisions::Consistency::Primary;
+    if (!routed.needsPrimary) {
         auto mark = decisions::getReadMark(m_route, m_context.view.groups[m_route.group].floors, m_lastCommit, routed.arrivedAt);
-        routed.needsLeader = !mark; // no floor is young enough: the leader itself proves freshness
-        routed.need = mark.value_or(Mark {});
+        routed.needsPrimary = !mark; // no floor is young enough: the leader itself proves freshness
+        routed.requiredMark = mark.value_or(Mark {});
     }
-    routed.order.isReadOnly = readsOnly && !routed.needsLeader;
+    routed.order.isReadOnly = readsOnly && !routed.needsPrimary;
     m_context.router.run(std::move(routed), done);
 }
 
--- a/src/gateway/statement_router.cpp
+++ b/src/gateway/statement_router.cpp
@@ -13,11 +13,11 @@
 using decisions::ErrorKind;
 using decisions::StatementKind;
 
-static constexpr milliseconds kRetryPause { 15 }; // before members that all said no are asked again
-static constexpr milliseconds kCallerWay { 2 }; // between caller and host, there and back, on the sites that were seen
-static constexpr double kOwnDistanceGuessMs = 10; // to a member in another data centre from here: some ms each way on the sites that were seen
+static constexpr milliseconds kRetryDelay { 15 }; // before members that all said no are asked again
+static constexpr milliseconds kCallerRoundTrip { 2 }; // between caller and host, there and back, on the sites that were seen
+static constexpr double kRemoteRoundTripEstimateMs = 10; // to a member in another data centre from here: some ms each way on the sites that were seen
 
-void StatementRouter::run(RoutedStatement routed, RoutedDone done)
+void StatementRouter::run(RoutedStatement routed, RoutedCallback done)
 {
     auto shared = std::make_shared<RoutedStatement>(std::move(routed));
     // An operation beyond its account's quota waits in no queue: others would pay for it.
@@ -30,7 +30,7 @@
     });
 }
 
-void StatementRouter::refuse(const std::shared_ptr<RoutedStatement>& routed, RoutedDone done, const decisions::Error& refusal)
+void StatementRouter::refuse(const std::shared_ptr<RoutedStatement>& routed, RoutedCallback done, const decisions::Error& refusal)
 {
     boost::asio::post(m_context.context, [this, routed, done = std::move(done), refusal] {
         Outcome outcome;
@@ -40,7 +40,7 @@
 }
 
 // Whether the host is up and has not said lately that it cannot reach the member.
-bool StatementRouter::mayCarry(const std::string& host, const MemberBelief& member) const
+bool StatementRouter::canForward(const std::string& host, const MemberBelief& member) const
 {
     if (host == m_context.name)
         return !m_context.isTroubled(member.getTarget());
@@ -51,34 +51,34 @@
     return !(load && load->unreachable()) && !m_context.peers.lacksMember(host, member.listed.id);
 }
 
-std::string StatementRouter::chooseCarrier(const MemberBelief& member) const
+std::string StatementRouter::chooseForwarder(const MemberBelief& member) const
 {
     auto& ranked = getCarriers(m_context.view, member);
-    auto first = std::ranges::find_if(ranked, [&](const std::string& host) { return mayCarry(host, member); });
+    auto first = std::ranges::find_if(ranked, [&](const std::string& host) { return canForward(host, member); });
     return first == ranked.end() ? m_context.name : *first;
 }
 
-decisions::Candidate StatementRouter::makeCandidate(const RoutedStatement& routed, const MemberBelief& member, const std::string& leader) const
+decisions::Candidate StatementRouter::makeCandidate(const RoutedStatement& routed, const MemberBelief& member, const std::string& primary) const
 {
     auto now = Clock::now();
     decisions::Candidate candidate;
     candidate.isUsable = !member.listed.isLeaving && !member.unlistedAt && !mustShow(member);
-    candidate.isPrimary = member.listed.id == leader;
-    candidate.wasTried = std::ranges::find(routed.tried, member.listed.id) != routed.tried.end();
+    candidate.isPrimary = member.listed.id == primary;
+    candidate.wasTried = std::ranges::find(routed.triedMembers, member.listed.id) != routed.triedMembers.end();
     candidate.position = decisions::estimatePosition(member.progress, now);
     candidate.positionAge = std::chrono::duration_cast<milliseconds>(now - std::max(member.progress.observedAt, member.progress.lastRefusalAt));
     candidate.wasBehind = member.progress.lastRefusalAt != TimePoint {};
     candidate.isFarBehind = isFarBehind(m_context.view.groups.at(member.listed.group), member, now);
     candidate.slots = std::max(1U, member.listed.slots);
-    auto carrier = chooseCarrier(member);
-    if (carrier == m_context.name) {
+    auto forwarder = chooseForwarder(member);
+    if (forwarder == m_context.name) {
         auto load = m_context.getPool(member.getTarget())->getLoad();
         candidate.queued = load.waiting + load.running;
         candidate.statementMs = load.workMs;
-        candidate.roundTripMs = member.listed.dataCentre == m_context.dataCentre ? 0 : kOwnDistanceGuessMs;
+        candidate.roundTripMs = member.listed.dataCentre == m_context.dataCentre ? 0 : kRemoteRoundTripEstimateMs;
     } else {
-        candidate.roundTripMs = m_context.peers.getDistanceMs(carrier);
-        if (auto load = m_context.peers.getLoad(carrier, member.listed.id)) {
+        candidate.roundTripMs = m_context.peers.getDistanceMs(forwarder);
+        if (auto load = m_context.peers.getLoad(forwarder, member.listed.id)) {
             candidate.queued = load->waiting() + load->running();
             candidate.statementMs = load->work_ms();
         }
@@ -91,10 +91,10 @@
     auto group = m_context.view.groups.find(routed.route.group);
     if (group == m_context.view.groups.end())
         return std::nullopt;
-    auto& leader = group->second.lead.member;
-    if (routed.needsLeader) {
-        auto it = m_context.view.members.find(leader);
-        bool wasTried = std::ranges::find(routed.tried, leader) != routed.tried.end();
+    auto& primary = group->second.lead.member;
+    if (routed.needsPrimary) {
+        auto it = m_context.view.members.find(primary);
+        bool wasTried = std::ranges::find(routed.triedMembers, primary) != routed.triedMembers.end();
         if (it == m_context.view.members.end() || wasTried)
             return std::nullopt;
         // Also the only one that can serve: it may end at any moment now, and whoever hears nothing from it cannot know what ran.
@@ -104,84 +104,84 @@
     }
     std::vector<decisions::Candidate> candidates;
     for (auto& id : group->second.members)
-        candidates.push_back(makeCandidate(routed, m_context.view.members.at(id), leader));
-    auto best = decisions::chooseReadMember(candidates, routed.need);
+        candidates.push_back(makeCandidate(routed, m_context.view.members.at(id), primary));
+    auto best = decisions::chooseReadMember(candidates, routed.requiredMark);
     if (!best)
         return std::nullopt;
     return m_context.view.members.at(group->second.members[*best]).getTarget();
 }
 
 // What an answer still has to travel once the carrier has it.
-TimePoint::duration StatementRouter::getWayBack(const std::string& carrier) const
+TimePoint::duration StatementRouter::getReturnTime(const std::string& forwarder) const
 {
-    auto toHereMs = carrier == m_context.name ? 0 : m_context.peers.getDistanceMs(carrier) / 2;
-    return kCallerWay + std::chrono::duration_cast<TimePoint::duration>(std::chrono::duration<double, std::milli>(toHereMs));
+    auto returnMs = forwarder == m_context.name ? 0 : m_context.peers.getDistanceMs(forwarder) / 2;
+    return kCallerRoundTrip + std::chrono::duration_cast<TimePoint::duration>(std::chrono::duration<double, std::milli>(returnMs));
 }
 
-void StatementRouter::giveUp(const std::shared_ptr<RoutedStatement>& routed, RoutedDone done, ErrorKind kind)
+void StatementRouter::fail(const std::shared_ptr<RoutedStatement>& routed, RoutedCallback done, ErrorKind kind)
 {
     refuse(routed, std::move(done), { kind, routed->lastReason.empty() ? "no member can serve this now" : routed->lastReason });
 }
 
 // No member is left to ask. A primary may come back or be replaced while there is time; on a host that is cut off the caller is told at
 // once, as others may reach the primary. Where two of nine hosts were cut off for 7 s, 262 of their statements waited 800 ms in vain.
-void StatementRouter::waitOrGiveUp(const std::shared_ptr<RoutedStatement>& routed, RoutedDone done)
+void StatementRouter::retryLaterOrFail(const std::shared_ptr<RoutedStatement>& routed, RoutedCallback done)
 {
     auto now = Clock::now();
-    if (routed->wasOverloaded) {
-        giveUp(routed, std::move(done), ErrorKind::Overloaded);
+    if (routed->wasQueueOverloaded) {
+        fail(routed, std::move(done), ErrorKind::Overloaded);
         return;
     }
-    if (now + kRetryPause >= routed->order.deadline || m_context.isCutOff()) {
-        giveUp(routed, std::move(done), routed->needsLeader ? ErrorKind::NoPrimary : ErrorKind::TooStale);
+    if (now + kRetryDelay >= routed->order.deadline || m_context.isIsolated()) {
+        fail(routed, std::move(done), routed->needsPrimary ? ErrorKind::NoPrimary : ErrorKind::TooStale);
         return;
     }
-    if (routed->needsLeader && !routed->wasTurnedAway)
-        m_context.onNoLeader(routed->route.group);
-    routed->tried.clear();
-    m_waiting.push_back({ routed, std::move(done), now + kRetryPause });
+    if (routed->needsPrimary && !routed->wasMemberBusy)
+        m_context.onNoPrimary(routed->route.group);
+    routed->triedMembers.clear();
+    m_pendingRetries.push_back({ routed, std::move(done), now + kRetryDelay });
 }
 
-void StatementRouter::attempt(const std::shared_ptr<RoutedStatement>& routed, RoutedDone done)
+void StatementRouter::attempt(const std::shared_ptr<RoutedStatement>& routed, RoutedCallback done)
 {
     auto target = chooseMember(*routed);
     if (!target) {
-        waitOrGiveUp(routed, std::move(done));
+        retryLaterOrFail(routed, std::move(done));
         return;
     }
     ++routed->attempts;
-    routed->tried.push_back(target->member);
+    routed->triedMembers.push_back(target->member);
     auto& member = m_context.view.members.at(target->member);
-    auto carrier = chooseCarrier(member);
-    if (!mayCarry(carrier, member) && m_context.isCutOff()) {
+    auto forwarder = chooseForwarder(member);
+    if (!canForward(forwarder, member) && m_context.isIsolated()) {
         routed->lastReason = "the member is out of reach";
         attempt(routed, std::move(done));
         return;
     }
     auto order = routed->order;
-    order.atLeast = routed->need;
-    order.objective -= getWayBack(carrier);
-    if (order.kind == OrderKind::Single && routed->needsLeader && !order.statement.isWrite)
+    order.atLeast = routed->requiredMark;
+    order.objective -= getReturnTime(forwarder);
+    if (order.kind == OrderKind::Single && routed->needsPrimary && !order.statement.isWrite)
         order.kind = OrderKind::ProvenSingle;
     std::optional<TransactionHandle> transaction;
-    bool isOwn = carrier == m_context.name;
-    auto pool = isOwn ? m_context.getPool(*target) : nullptr;
+    bool isLocal = forwarder == m_context.name;
+    auto pool = isLocal ? m_context.getPool(*target) : nullptr;
     if (order.kind == OrderKind::Begin) {
-        transaction = TransactionHandle { *target, isOwn ? "" : carrier, isOwn ? pool->takeTransactionNumber() : m_context.peers.takeTransactionNumber() };
+        transaction = TransactionHandle { *target, isLocal ? "" : forwarder, isLocal ? pool->takeTransactionNumber() : m_context.peers.takeTransactionNumber() };
         order.transaction = transaction->number;
     }
-    auto onOutcome = [this, routed, target = *target, carrier, transaction, done](const Outcome& outcome) {
-        if (outcome.error && m_context.peers.lacksMember(carrier, target.member))
-            std::erase(routed->tried, target.member); // the member was not asked: another host can carry to it at once
-        takeOutcome(routed, target, transaction, outcome, done);
+    auto onOutcome = [this, routed, target = *target, forwarder, transaction, done](const Outcome& outcome) {
+        if (outcome.error && m_context.peers.lacksMember(forwarder, target.member))
+            std::erase(routed->triedMembers, target.member); // the member was not asked: another host can carry to it at once
+        handleOutcome(routed, target, transaction, outcome, done);
     };
-    if (isOwn)
+    if (isLocal)
         pool->submit(std::move(order), onOutcome);
     else
-        m_context.peers.sendOrder(carrier, *target, order, onOutcome);
+        m_context.peers.sendOrder(forwarder, *target, order, onOutcome);
 }
 
-void StatementRouter::noteBehind(const TargetAddress& target, const Mark& position, TimePoint now)
+void StatementRouter::recordReadRefusal(const TargetAddress& target, const Mark& position, TimePoint now)
 {
     auto it = m_context.view.members.find(target.member);
     if (it == m_context.view.members.end())
@@ -192,7 +192,7 @@
     progress = decisions::applyRefusal(progress, now);
 }
 
-void StatementRouter::takeOutcome(const std::shared_ptr<RoutedStatement>& routed, const TargetAddress& target, const std::optional<TransactionHandle>& transaction, const Outcome& outcome, RoutedDone done)
+void StatementRouter::handleOutcome(const std::shared_ptr<RoutedStatement>& routed, const TargetAddress& target, const std::optional<TransactionHandle>& transaction, const Outcome& outcome, RoutedCallback done)
 {
     if (!outcome.error) {
         finish(*routed, outcome, transaction, done, target);
@@ -202,27 +202,27 @@
     auto kind = outcome.error->kind;
     routed->wasSent = routed->wasSent || outcome.wasSent;
     routed->lastReason = outcome.error->message;
-    routed->wasTurnedAway = kind == ErrorKind::Overloaded && outcome.wasSent;
-    bool isQueueFull = kind == ErrorKind::Overloaded && !outcome.wasSent;
-    routed->wasOverloaded = routed->wasOverloaded || isQueueFull || (routed->wasTurnedAway && routed->attempts >= decisions::kMaxBusyAttempts);
+    routed->wasMemberBusy = kind == ErrorKind::Overloaded && outcome.wasSent;
+    bool isLocalQueueFull = kind == ErrorKind::Overloaded && !outcome.wasSent;
+    routed->wasQueueOverloaded = routed->wasQueueOverloaded || isLocalQueueFull || (routed->wasMemberBusy && routed->attempts >= decisions::kMaxBusyAttempts);
     if (kind == ErrorKind::NotPrimary)
         denyLead(m_context.view.groups[target.group], target.member, now);
     if (kind == ErrorKind::TooStale)
-        noteBehind(target, outcome.position, now);
+        recordReadRefusal(target, outcome.position, now);
     if (transaction)
         end(*transaction);
     auto& statement = routed->order.statement;
     // A single write that may have arrived is never sent again. All else leaves nothing behind until its commit.
-    bool mayRepeat = decisions::canTryOtherTarget(kind) || (kind == ErrorKind::OutcomeUnknown && (!statement.isWrite || routed->order.kind == OrderKind::Begin));
-    bool hasTime = now + kRetryPause < routed->order.deadline;
-    if (!mayRepeat || !hasTime) {
+    bool canRetry = decisions::canTryOtherTarget(kind) || (kind == ErrorKind::OutcomeUnknown && (!statement.isWrite || routed->order.kind == OrderKind::Begin));
+    bool hasTime = now + kRetryDelay < routed->order.deadline;
+    if (!canRetry || !hasTime) {
         finish(*routed, outcome, std::nullopt, done, target);
         return;
     }
     attempt(routed, std::move(done));
 }
 
-void StatementRouter::runNext(const TransactionHandle& transaction, RoutedStatement routed, RoutedDone done)
+void StatementRouter::runNext(const TransactionHandle& transaction, RoutedStatement routed, RoutedCallback done)
 {
     routed.order.kind = OrderKind::Continue;
     routed.order.transaction = transaction.number;
@@ -249,7 +249,7 @@
     return names[static_cast<size_t>(kind)];
 }
 
-void StatementRouter::finish(const RoutedStatement& routed, const Outcome& outcome, const std::optional<TransactionHandle>& transaction, const RoutedDone& done, const TargetAddress& target)
+void StatementRouter::finish(const RoutedStatement& routed, const Outcome& outcome, const std::optional<TransactionHandle>& transaction, const RoutedCallback& done, const TargetAddress& target)
 {
     std::chrono::duration<double, std::milli> took = Clock::now() - routed.arrivedAt;
     std::string_view kind = routed.order.statement.kind == StatementKind::Commit ? "commit" : routed.order.statement.isWrite ? "write"
@@ -260,8 +260,8 @@
     auto logClass = outcome.error || isLate ? LogClass::Failure : LogClass::Request;
     if (base::hasLogBudget(logClass)) {
         auto group = m_context.view.groups.find(routed.route.group);
-        std::string_view leader = group == m_context.view.groups.end() ? std::string_view() : std::string_view(group->second.lead.member);
-        auto need = std::to_string(routed.need.term) + "." + std::to_string(routed.need.position);
+        std::string_view primary = group == m_context.view.groups.end() ? std::string_view() : std::string_view(group->second.lead.member);
+        auto requiredMark = std::to_string(routed.requiredMark.term) + "." + std::to_string(routed.requiredMark.position);
         auto member = m_context.view.members.find(target.member);
         bool isLeaving = member != m_context.view.members.end() && member->second.leavingSince;
         int64_t leavingMs = isLeaving ? std::chrono::duration_cast<milliseconds>(Clock::now() - *member->second.leavingSince).count() : -1;
@@ -269,7 +269,7 @@
         base::logEvent(logClass, "request",
             { { "request", std::string_view(routed.order.statement.id) }, { "session", std::string_view(routed.session) }, { "database", std::string_view(routed.route.database) },
                 { "group", std::string_view(routed.route.group) }, { "account", std::string_view(routed.order.account) }, { "kind", getName(routed.order.kind) }, { "target", std::string_view(target.member) }, { "target_leaving_ms", leavingMs },
-                { "carrier", transaction ? std::string_view(transaction->host) : std::string_view() }, { "leader", leader }, { "need", std::string_view(need) },
+                { "carrier", transaction ? std::string_view(transaction->host) : std::string_view() }, { "leader", primary }, { "need", std::string_view(requiredMark) },
                 { "configuration", static_cast<int64_t>(m_context.view.configuration.version) }, { "attempts", static_cast<int64_t>(routed.attempts) },
                 { "outcome", result }, { "reason", outcome.error ? std::string_view(outcome.error->message) : std::string_view() }, { "sent", outcome.wasSent }, { "ms", took.count() } });
     }
@@ -280,9 +280,9 @@
 
 void StatementRouter::sweep(TimePoint now)
 {
-    std::vector<Waiting> due;
-    std::erase_if(m_waiting, [&](Waiting& it) {
-        bool isDue = now >= it.notBefore;
+    std::vector<PendingRetry> due;
+    std::erase_if(m_pendingRetries, [&](PendingRetry& it) {
+        bool isDue = now >= it.retryAt;
         if (isDue)
             due.push_back(std::move(it));
         return isDue;
--- a/src/gateway/statement_router.h
+++ b/src/gateway/statement_router.h
@@ -17,20 +17,20 @@
 struct RoutedStatement {
     decisions::DatabaseRoute route {};
     Order order {};
-    bool needsLeader { false };
-    Mark need {}; // reads elsewhere: what the log must hold
+    bool needsPrimary { false };
+    Mark requiredMark {}; // reads elsewhere: what the log must hold
     TimePoint arrivedAt {};
-    std::vector<std::string> tried {}; // members, since the last pause
+    std::vector<std::string> triedMembers {}; // members, since the last pause
     unsigned attempts { 0 };
-    bool wasOverloaded { false }; // our queue before a member could not take it in time: once no other is left, its caller is told at once
+    bool wasQueueOverloaded { false }; // our queue before a member could not take it in time: once no other is left, its caller is told at once
     bool isCounted { false }; // its operation counts against the quota of its client account
     bool wasSent { false }; // some member may have had it
-    bool wasTurnedAway { false }; // the last member that was asked lives and was busy, and said so at once
+    bool wasMemberBusy { false }; // the last member that was asked lives and was busy, and said so at once
     std::string session {}; // for the log
     std::string lastReason {};
 };
 
-using RoutedDone = std::function<void(const Outcome& outcome, const std::optional<TransactionHandle>& transaction)>;
+using RoutedCallback = std::function<void(const Outcome& outcome, const std::optional<TransactionHandle>& transaction)>;
 
 struct StatementRouterContext {
     boost::asio::io_context& context;
@@ -40,8 +40,8 @@
     std::string dataCentre;
     std::function<std::shared_ptr<TargetPool>(const TargetAddress&)> getPool;
     std::function<bool(const TargetAddress&)> isTroubled; // this host cannot reach the target
-    std::function<void(const std::string& group)> onNoLeader;
-    std::function<bool()> isCutOff; // this host has lost most others: they may reach what it does not
+    std::function<void(const std::string& group)> onNoPrimary;
+    std::function<bool()> isIsolated; // this host has lost most others: they may reach what it does not
     milliseconds drainTime; // of members that leave
     QuotaExchange& quotas;
 };
@@ -54,35 +54,35 @@
     }
 
     // A statement outside a transaction, or the first one inside.
-    void run(RoutedStatement routed, RoutedDone done);
+    void run(RoutedStatement routed, RoutedCallback done);
     // The next statement of a transaction, or its commit.
-    void runNext(const TransactionHandle& transaction, RoutedStatement routed, RoutedDone done);
+    void runNext(const TransactionHandle& transaction, RoutedStatement routed, RoutedCallback done);
     void end(const TransactionHandle& transaction);
     // Tries again what waits for a member to become available.
     void sweep(TimePoint now);
 
 private:
-    struct Waiting {
+    struct PendingRetry {
         std::shared_ptr<RoutedStatement> routed;
-        RoutedDone done;
-        TimePoint notBefore;
+        RoutedCallback done;
+        TimePoint retryAt;
     };
 
-    TimePoint::duration getWayBack(const std::string& carrier) const;
-    void attempt(const std::shared_ptr<RoutedStatement>& routed, RoutedDone done);
-    void waitOrGiveUp(const std::shared_ptr<RoutedStatement>& routed, RoutedDone done);
-    void refuse(const std::shared_ptr<RoutedStatement>& routed, RoutedDone done, const decisions::Error& refusal);
-    void giveUp(const std::shared_ptr<RoutedStatement>& routed, RoutedDone done, decisions::ErrorKind kind);
+    TimePoint::duration getReturnTime(const std::string& forwarder) const;
+    void attempt(const std::shared_ptr<RoutedStatement>& routed, RoutedCallback done);
+    void retryLaterOrFail(const std::shared_ptr<RoutedStatement>& routed, RoutedCallback done);
+    void refuse(const std::shared_ptr<RoutedStatement>& routed, RoutedCallback done, const decisions::Error& refusal);
+    void fail(const std::shared_ptr<RoutedStatement>& routed, RoutedCallback done, decisions::ErrorKind kind);
     std::optional<TargetAddress> chooseMember(const RoutedStatement& routed) const;
-    decisions::Candidate makeCandidate(const RoutedStatement& routed, const MemberBelief& member, const std::string& leader) const;
-    bool mayCarry(const std::string& host, const MemberBelief& member) const;
-    std::string chooseCarrier(const MemberBelief& member) const;
-    void noteBehind(const TargetAddress& target, const Mark& position, TimePoint now);
-    void takeOutcome(const std::shared_ptr<RoutedStatement>& routed, const TargetAddress& target, const std::optional<TransactionHandle>& transaction, const Outcome& outcome, RoutedDone done);
-    void finish(const RoutedStatement& routed, const Outcome& outcome, const std::optional<TransactionHandle>& transaction, const RoutedDone& done, const TargetAddress& target);
+    decisions::Candidate makeCandidate(const RoutedStatement& routed, const MemberBelief& member, const std::string& primary) const;
+    bool canForward(const std::string& host, const MemberBelief& member) const;
+    std::string chooseForwarder(const MemberBelief& member) const;
+    void recordReadRefusal(const TargetAddress& target, const Mark& position, TimePoint now);
+    void handleOutcome(const std::shared_ptr<RoutedStatement>& routed, const TargetAddress& target, const std::optional<TransactionHandle>& transaction, const Outcome& outcome, RoutedCallback done);
+    void finish(const RoutedStatement& routed, const Outcome& outcome, const std::optional<TransactionHandle>& transaction, const RoutedCallback& done, const TargetAddress& target);
 
     StatementRouterContext m_context;
-    std::vector<Waiting> m_waiting;
+    std::vector<PendingRetry> m_pendingRetries;
 };
 
 }
