--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -131,7 +131,7 @@
     return m_view.configuration.version > 0 && m_view.hasMembers && !m_isDraining;
 }
 
-HostPlace Gateway::getPlace() const
+LocalHost Gateway::getPlace() const
 {
     return { m_self.name, m_settings.dataCentre, m_isDraining, m_directory.isReachable(), Clock::now() - m_askedToRelayAt < kRelayAskedFor };
 }
@@ -202,7 +202,7 @@
         if (m_view.groups[target.group].lead.member == target.member) {
             takeFloor(target.group, { position, sentAt });
             m_view.groups[target.group].provenAt = Clock::now();
-            m_promoter.noteProof(target.group, Clock::now());
+            m_promoter.onPrimaryConfirmed(target.group, Clock::now());
         }
     };
     observer.onFollows = [this](const TargetAddress& target) {
@@ -249,7 +249,7 @@
         return;
     alarmedAt = now;
     auto& leader = m_view.groups[group].lead.member;
-    for (auto& name : m_promoter.getOrderers(group)) {
+    for (auto& name : m_promoter.getCoordinators(group)) {
         if (name != m_self.name)
             m_peers.sendAlarm(name, group, leader, reason);
     }
@@ -272,7 +272,7 @@
     message.set_configuration(m_view.configuration.version);
     message.set_change(m_directory.getNewestChange());
     message.set_is_leaving(m_isDraining);
-    auto ability = m_promoter.getAbility();
+    auto ability = m_promoter.getCapabilities();
     message.set_lacks_store(!ability.hasStore);
     message.set_lacks_orders(!ability.canOrder);
 }
@@ -283,7 +283,7 @@
         m_directory.takeChanges(readChanges(message, sentAt));
     m_directory.refreshConfiguration(message.configuration());
     m_directory.hearChange(message.change());
-    auto leadTimes = findLeadTimes(message, sentAt);
+    auto leadTimes = findEvidenceTimes(message, sentAt);
     for (int i = 0; i < message.leads_size(); ++i) {
         auto& it = message.leads(i);
         auto& askedAt = leadTimes[static_cast<size_t>(i)];
@@ -294,11 +294,11 @@
         else
             takeAssumed(it.group(), it.member(), it.term());
     }
-    takePositions(m_view, message, sentAt);
+    applyPositions(m_view, message, sentAt);
     for (auto& it : message.floors()) {
         auto provenAt = sentAt - microseconds(it.age_us());
         takeFloor(it.group(), { { it.mark().term(), it.mark().position() }, provenAt });
-        m_promoter.noteProof(it.group(), provenAt);
+        m_promoter.onPrimaryConfirmed(it.group(), provenAt);
     }
 }
 
@@ -317,7 +317,7 @@
     };
     service.onHoldWrites = [this](const std::string&, const std::string& member, milliseconds time) { holdWrites(member, time); };
     service.onLead = [this](const std::string& host, const std::string& group, const std::string& member, uint64_t term) {
-        m_promoter.noteOrder(group, host);
+        m_promoter.onPromotionOrdered(group, host);
         if (!m_view.members.contains(member))
             return;
         takeOrdered(group, member, term);
@@ -332,7 +332,7 @@
     service.fillPong = [this](const peer::Ping& ping, peer::Pong& pong) {
         auto now = Clock::now();
         fillStatus(pong);
-        writeGroups(pong, m_view, ping.wants_heard(), now);
+        writeGroupStatus(pong, m_view, ping.wants_heard(), now);
         if (ping.wants_heard()) {
             m_partnersDue = m_partnersDue || now - m_askedToRelayAt > kRelayAskedFor;
             m_askedToRelayAt = now;
@@ -406,7 +406,7 @@
         if (name != m_self.name && m_view.hosts.contains(name))
             m_hostsGoneAt[name] = Clock::now();
     };
-    events.onSuccession = [this](const std::string& group, const links::StoreItem& item) { m_promoter.takeSuccession(group, item); };
+    events.onSuccession = [this](const std::string& group, const links::StoreItem& item) { m_promoter.applyCoordinatorRecord(group, item); };
     events.onNearAccounts = [this](size_t shard, const std::set<std::string>& accounts) { m_quotas.takeWritten(shard, accounts); };
     return events;
 }
@@ -444,7 +444,7 @@
     m_partnersDue = false;
     m_partnersAt = now;
     // Decided anew with the partners: a watcher that stops or falls silent is replaced by the next.
-    auto partners = choosePartners(m_view, m_peers, getPlace(), m_promoter.getOrdererPlace(), m_quietInterval);
+    auto partners = choosePartners(m_view, m_peers, getPlace(), m_promoter.getCoordinatorRole(), m_quietInterval);
     m_peers.setPartners(partners);
     auto relays = getRelays(m_view, m_peers, getPlace());
     bool isWatcher = std::ranges::find(relays, m_self.name) != relays.end() || getPlace().isAskedToRelay;
@@ -574,7 +574,7 @@
         if (m_view.groups[member.listed.group].lead.member.empty() && now - member.leadAskedAt >= kLeadAskInterval)
             askWhetherItLeads(member);
         bool leads = m_view.groups[member.listed.group].lead.member == id;
-        if ((leads || mustShow(member)) && isCarrier(m_view, m_peers, place, member))
+        if ((leads || mustShow(member)) && isForwarder(m_view, m_peers, place, member))
             getPool(member.getTarget());
     }
     for (auto& [id, pool] : m_pools) {
@@ -583,7 +583,7 @@
         bool leads = isKnown && m_view.groups[member->second.listed.group].lead.member == id;
         pool->setLimits(getLimits(pool->getTarget())); // configuration and list may have come after the pool
         pool->setComparison(getComparison(pool->getTarget()));
-        bool carries = isKnown && isCarrier(m_view, m_peers, place, member->second);
+        bool carries = isKnown && isForwarder(m_view, m_peers, place, member->second);
         pool->setCarrier(carries);
         pool->setProofInterval(leads && carries ? kProofInterval : milliseconds(0));
     }
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -67,7 +67,7 @@
     void tellPeers();
     void sweepHosts(TimePoint now);
     milliseconds getDrainTime() const { return milliseconds(m_settings.memberDrainMs); }
-    HostPlace getPlace() const;
+    LocalHost getPlace() const;
     boost::asio::awaitable<links::HttpResponse> answerReady(links::HttpRequest request);
     void noteReadiness();
     void measure() const;
--- a/src/gateway/gateway_leads.cpp
+++ b/src/gateway/gateway_leads.cpp
@@ -90,7 +90,7 @@
 // A host that carries to a member which says that it leads finds out whether it does. Others prove the lead through this host only, so nobody would tell it.
 void Gateway::askWhetherItLeads(MemberBelief& member)
 {
-    if (!member.listed.saysPrimary || !isCarrier(m_view, m_peers, getPlace(), member))
+    if (!member.listed.saysPrimary || !isForwarder(m_view, m_peers, getPlace(), member))
         return;
     member.leadAskedAt = Clock::now();
     auto known = getKnownMark(m_view.groups[member.listed.group]);
@@ -145,7 +145,7 @@
         belief.lacksAnswers = false;
     }
     m_view.isPlacementDue = true;
-    m_promoter.noteNewLead(group);
+    m_promoter.onPrimaryChanged(group);
     base::logEvent(LogClass::State, "lead", { { "group", std::string_view(group) }, { "member", std::string_view(lead.member) }, { "term", static_cast<int64_t>(lead.term) }, { "source", source } });
 }
 
--- a/src/gateway/gateway_members.cpp
+++ b/src/gateway/gateway_members.cpp
@@ -38,7 +38,7 @@
 void Gateway::endLife(const links::RegisteredMember& member)
 {
     base::logEvent(LogClass::State, "member-restarted", { { "member", std::string_view(member.id) }, { "group", std::string_view(member.group) }, { "born", static_cast<int64_t>(member.incarnation.startedAtMs) }, { "sequence", static_cast<int64_t>(member.incarnation.sequence) } });
-    m_promoter.noteNewLead(member.group);
+    m_promoter.onPrimaryChanged(member.group);
     if (auto it = m_pools.find(member.id); it != m_pools.end()) {
         auto pool = it->second;
         m_pools.erase(it);
--- a/src/gateway/partners.cpp
+++ b/src/gateway/partners.cpp
@@ -6,26 +6,26 @@
 
 namespace alderward::gateway {
 
-static constexpr size_t kStandIns = 3; // hosts of a ranking that watch those before them, so that the first is replaced by one that knows
+static constexpr size_t kStandbyDepth = 3; // hosts of a ranking that watch those before them, so that the first is replaced by one that knows
 // Hosts that are asked in turn for one that has the store. Once it is gone for all, the first two relay all the same: without a bound, all hosts of a data centre
 // would be made relays one after the other, and each asks all carriers.
-static constexpr size_t kRelayCandidates = 4;
-static constexpr size_t kPartnersLeast = 8; // with neighbours: a host that has lost most of so many is cut off itself
-static constexpr size_t kPartnersOfOrderer = 20; // of those that judge whether a primary is dead: where a third of all hosts are cut off, most of 20 are lost once in 60 times
+static constexpr size_t kMaxRelayCandidates = 4;
+static constexpr size_t kMinPartners = 8; // with neighbours: a host that has lost most of so many is cut off itself
+static constexpr size_t kMinCoordinatorPartners = 20; // of those that judge whether a primary is dead: where a third of all hosts are cut off, most of 20 are lost once in 60 times
 
-std::vector<std::string> getRelays(ClusterView& view, const Peers& peers, const HostPlace& self)
+std::vector<std::string> getRelays(ClusterView& view, const Peers& peers, const LocalHost& self)
 {
     std::vector<decisions::WatcherHost> usable;
-    size_t able = 0;
+    size_t hostsWithStore = 0;
     for (auto& name : getRelayOrder(view, self.dataCentre)) {
-        bool isEnough = able == decisions::kWatchersPerDataCentre || usable.size() == kRelayCandidates;
-        if (view.hosts.at(name).dataCentre != self.dataCentre || isEnough)
+        bool hasEnough = hostsWithStore == decisions::kWatchersPerDataCentre || usable.size() == kMaxRelayCandidates;
+        if (view.hosts.at(name).dataCentre != self.dataCentre || hasEnough)
             break;
         bool isSelf = name == self.name;
         if (isSelf ? self.isDraining : !peers.isUsable(name))
             continue;
         usable.push_back({ name, isSelf ? self.hasStore : peers.getAbility(name).hasStore });
-        able += usable.back().hasStore ? 1 : 0;
+        hostsWithStore += usable.back().hasStore ? 1 : 0;
     }
     return decisions::chooseWatchers(usable);
 }
@@ -41,7 +41,7 @@
 }
 
 // Those that carry to the member as far as this host sees, and would before it.
-static void addCarriers(Partners& partners, const std::vector<std::string>& ranked, const Peers& peers, const std::string& self, milliseconds interval)
+static void addForwarders(Partners& partners, const std::vector<std::string>& ranked, const Peers& peers, const std::string& self, milliseconds interval)
 {
     for (auto& name : ranked) {
         if (name == self)
@@ -55,7 +55,7 @@
 // The hosts just before this one: it takes over from them.
 static void addPredecessors(Partners& partners, const std::vector<std::string>& ranked, const std::string& self, milliseconds interval)
 {
-    auto end = ranked.begin() + static_cast<std::ptrdiff_t>(std::min(kStandIns, ranked.size()));
+    auto end = ranked.begin() + static_cast<std::ptrdiff_t>(std::min(kStandbyDepth, ranked.size()));
     auto own = std::find(ranked.begin(), end, self);
     if (own == end)
         return;
@@ -73,36 +73,36 @@
         addPartner(partners, name, { interval, true, name == ranked.front() });
 }
 
-Partners choosePartners(ClusterView& view, const Peers& peers, const HostPlace& self, const OrdererPlace& orders, milliseconds quiet)
+Partners choosePartners(ClusterView& view, const Peers& peers, const LocalHost& self, const CoordinatorRole& role, milliseconds quietInterval)
 {
     Partners partners;
     auto hosts = std::ranges::count_if(view.hosts, [&](auto& it) { return it.second.dataCentre == self.dataCentre; });
     bool isRelayed = decisions::usesRelays(static_cast<size_t>(hosts));
-    auto intervals = decisions::getExchangeIntervals(quiet, isRelayed);
+    auto intervals = decisions::getExchangeIntervals(quietInterval, isRelayed);
     auto relays = getRelays(view, peers, self);
-    bool asksCarriers = !isRelayed || self.isAskedToRelay || std::ranges::find(relays, self.name) != relays.end();
+    bool queriesForwarders = !isRelayed || self.isAskedToRelay || std::ranges::find(relays, self.name) != relays.end();
     if (isRelayed)
         addRelays(partners, relays, self.name, intervals.relays);
-    for (auto& name : orders.orderers)
-        addPartner(partners, name, { quiet });
+    for (auto& name : role.coordinators)
+        addPartner(partners, name, { quietInterval });
     for (auto& [id, member] : view.members) {
         auto& ranked = getCarriers(view, member);
-        if (asksCarriers)
-            addCarriers(partners, ranked, peers, self.name, intervals.forwarders);
-        else if (orders.groups.contains(member.listed.group))
-            addCarriers(partners, ranked, peers, self.name, quiet);
+        if (queriesForwarders)
+            addForwarders(partners, ranked, peers, self.name, intervals.forwarders);
+        else if (role.groups.contains(member.listed.group))
+            addForwarders(partners, ranked, peers, self.name, quietInterval);
         else
-            addPredecessors(partners, ranked, self.name, quiet);
+            addPredecessors(partners, ranked, self.name, quietInterval);
     }
     if (isRelayed) {
-        addPredecessors(partners, getRelayOrder(view, self.dataCentre), self.name, quiet);
+        addPredecessors(partners, getRelayOrder(view, self.dataCentre), self.name, quietInterval);
         for (auto& [name, group] : view.groups)
-            addPredecessors(partners, getRankedHosts(view, name), self.name, quiet);
+            addPredecessors(partners, getRankedHosts(view, name), self.name, quietInterval);
     }
     partners.erase(self.name);
-    auto wanted = orders.groups.empty() ? kPartnersLeast : kPartnersOfOrderer;
+    auto minPartners = role.groups.empty() ? kMinPartners : kMinCoordinatorPartners;
     for (auto& name : getNeighbours(view, self.name)) {
-        if (!isRelayed || partners.size() >= wanted)
+        if (!isRelayed || partners.size() >= minPartners)
             break;
         if (name != self.name)
             addPartner(partners, name, { decisions::kMaxPingInterval });
@@ -110,7 +110,7 @@
     return partners;
 }
 
-bool isCarrier(ClusterView& view, const Peers& peers, const HostPlace& self, const MemberBelief& member)
+bool isForwarder(ClusterView& view, const Peers& peers, const LocalHost& self, const MemberBelief& member)
 {
     auto& ranked = getCarriers(view, member);
     auto first = std::ranges::find_if(ranked, [&](const std::string& name) { return name == self.name ? !self.isDraining : peers.isUsable(name); });
--- a/src/gateway/partners.h
+++ b/src/gateway/partners.h
@@ -5,7 +5,7 @@
 namespace alderward::gateway {
 
 // One host's place among the others.
-struct HostPlace {
+struct LocalHost {
     const std::string& name;
     const std::string& dataCentre;
     const bool& isDraining; // a host that stops gives its tasks up
@@ -14,20 +14,20 @@
 };
 
 // The hosts that this one may have to act with when a primary is to be replaced.
-struct OrdererPlace {
-    std::set<std::string> orderers {}; // others that may order for the same groups
+struct CoordinatorRole {
+    std::set<std::string> coordinators {}; // others that may order for the same groups
     std::set<std::string> groups {}; // that this one may order for
 };
 
 // The hosts of this host's data centre that look at the platform's store often and, where there are many hosts, relay. One that does not answer,
 // stops or, while one of the next few has it, has lost the store is passed over.
-std::vector<std::string> getRelays(ClusterView& view, const Peers& peers, const HostPlace& self);
+std::vector<std::string> getRelays(ClusterView& view, const Peers& peers, const LocalHost& self);
 
 // The hosts that this one needs all the time, and how often it exchanges with each: its relays; the hosts that it would stand in for; for a relay the
 // carriers of all members, for an orderer those of its groups; and a few neighbours, from which a host that is cut off tells that it is. Bounded but for relays, whose carriers
 // grow with members. `quiet`: how often a host that has no relay asks carriers.
-Partners choosePartners(ClusterView& view, const Peers& peers, const HostPlace& self, const OrdererPlace& orders, milliseconds quiet);
+Partners choosePartners(ClusterView& view, const Peers& peers, const LocalHost& self, const CoordinatorRole& role, milliseconds quietInterval);
 // Whether this host carries statements to the member.
-bool isCarrier(ClusterView& view, const Peers& peers, const HostPlace& self, const MemberBelief& member);
+bool isForwarder(ClusterView& view, const Peers& peers, const LocalHost& self, const MemberBelief& member);
 
 }
--- a/src/gateway/promoter_evidence.h
+++ b/src/gateway/promoter_evidence.h
@@ -6,8 +6,8 @@
 namespace alderward::gateway {
 
 // Replicas are asked while the primary is examined, so that a dead one costs one wait, not two.
-struct Promoter::Replicas {
-    explicit Replicas(const boost::asio::any_io_executor& executor)
+struct Promoter::ReplicaQuery {
+    explicit ReplicaQuery(const boost::asio::any_io_executor& executor)
         : latch(executor, 1) // until askReplicas() knows how many there are
     {
     }
--- a/src/gateway/status_exchange.cpp
+++ b/src/gateway/status_exchange.cpp
@@ -6,23 +6,23 @@
 using std::chrono::duration_cast;
 using std::chrono::microseconds;
 
-static constexpr milliseconds kProofToldFor { 1000 }; // a proof of ours is told to others this long
-static constexpr milliseconds kHeardToldFor { 2000 }; // a floor that was heard; an older one helps no read
+static constexpr milliseconds kProofSharingTime { 1000 }; // a proof of ours is told to others this long
+static constexpr milliseconds kRelayedFloorSharingTime { 2000 }; // a floor that was heard; an older one helps no read
 
 static uint64_t getAgeUs(TimePoint since, TimePoint now)
 {
     return static_cast<uint64_t>(duration_cast<microseconds>(now - since).count());
 }
 
-void writeGroups(peer::Pong& wire, const ClusterView& view, bool withHeard, TimePoint now)
+void writeGroupStatus(peer::Pong& wire, const ClusterView& view, bool withRelayed, TimePoint now)
 {
     for (auto& [name, group] : view.groups) {
         if (group.floors.isEmpty())
             continue;
         auto& newest = group.floors.floors.back();
-        bool isProven = now - group.provenAt <= kProofToldFor;
-        bool isHeard = withHeard && now - newest.coveredUntil <= kHeardToldFor;
-        if (!isProven && !isHeard)
+        bool isProven = now - group.provenAt <= kProofSharingTime;
+        bool isRelayed = withRelayed && now - newest.coveredUntil <= kRelayedFloorSharingTime;
+        if (!isProven && !isRelayed)
             continue;
         auto& floor = *wire.add_floors();
         floor.set_group(name);
@@ -40,14 +40,14 @@
 }
 
 // Floors and leads stand in the same order, a floor for each lead.
-std::vector<std::optional<TimePoint>> findLeadTimes(const peer::Pong& wire, TimePoint sentAt)
+std::vector<std::optional<TimePoint>> findEvidenceTimes(const peer::Pong& wire, TimePoint sentAt)
 {
     std::vector<std::optional<TimePoint>> times;
     auto floor = wire.floors().begin();
     for (auto& lead : wire.leads()) {
         floor = std::find_if(floor, wire.floors().end(), [&](const peer::Floor& it) { return it.group() == lead.group(); });
-        bool isShown = floor != wire.floors().end() && floor->mark().term() == lead.term();
-        times.push_back(isShown ? std::optional(sentAt - microseconds(floor->age_us())) : std::nullopt);
+        bool hasEvidence = floor != wire.floors().end() && floor->mark().term() == lead.term();
+        times.push_back(hasEvidence ? std::optional(sentAt - microseconds(floor->age_us())) : std::nullopt);
     }
     return times;
 }
@@ -61,7 +61,7 @@
     wire.set_position_age_us(getAgeUs(it->second.progress.observedAt, now));
 }
 
-void takePositions(ClusterView& view, const peer::Pong& wire, TimePoint sentAt)
+void applyPositions(ClusterView& view, const peer::Pong& wire, TimePoint sentAt)
 {
     for (auto& it : wire.loads()) {
         auto member = view.members.find(it.member());
--- a/src/gateway/status_exchange.h
+++ b/src/gateway/status_exchange.h
@@ -6,13 +6,13 @@
 namespace alderward::gateway {
 
 // Leads and floors that this host has seen for itself and, `withHeard`, those that others told it (docs/design/0010-relays.md says why they stay sound).
-void writeGroups(peer::Pong& wire, const ClusterView& view, bool withHeard, TimePoint now);
+void writeGroupStatus(peer::Pong& wire, const ClusterView& view, bool withRelayed, TimePoint now);
 // When the sender's evidence of a lead was asked for, on this host's clock; empty: it shows none. `sentAt` is before the time at which it was told. A lead is shown by
 // a floor of its term.
-std::vector<std::optional<TimePoint>> findLeadTimes(const peer::Pong& wire, TimePoint sentAt);
+std::vector<std::optional<TimePoint>> findEvidenceTimes(const peer::Pong& wire, TimePoint sentAt);
 // Where the member's log stands, if anything is known of it.
 void writePosition(peer::Load& wire, const ClusterView& view, TimePoint now);
 // Positions that another host told. `sentAt` is before the time at which it did.
-void takePositions(ClusterView& view, const peer::Pong& wire, TimePoint sentAt);
+void applyPositions(ClusterView& view, const peer::Pong& wire, TimePoint sentAt);
 
 }
--- a/tests/unit/lead_terms_test.cpp
+++ b/tests/unit/lead_terms_test.cpp
@@ -94,12 +94,12 @@
     group.provenAt = kStart;
     takeOrderedLead(group, "n", 3, kStart);
     peer::Pong wire;
-    writeGroups(wire, view, false, kStart + milliseconds(500));
+    writeGroupStatus(wire, view, false, kStart + milliseconds(500));
     BOOST_TEST(wire.leads_size() == 1);
-    BOOST_TEST((findLeadTimes(wire, kStart).at(0) == std::nullopt)); // reported without proof
+    BOOST_TEST((findEvidenceTimes(wire, kStart).at(0) == std::nullopt)); // reported without proof
     group.provenAt = group.pendingUntil;
     peer::Pong later;
-    writeGroups(later, view, false, group.pendingUntil);
+    writeGroupStatus(later, view, false, group.pendingUntil);
     BOOST_TEST(later.leads_size() == 0);
 }
 
@@ -114,12 +114,12 @@
     view.groups["g"].lead = { "n", 3, false }; // assumed from a new order
     view.groups["h"].lead = { "o", 2, true };
     peer::Pong wire;
-    writeGroups(wire, view, false, kStart);
+    writeGroupStatus(wire, view, false, kStart);
     BOOST_TEST(wire.leads_size() == 2); // an assumed term is not reported
     auto& assumed = *wire.add_leads(); // as hosts of an older version send it
     assumed.set_group("h");
     assumed.set_term(3);
-    auto times = findLeadTimes(wire, kStart + milliseconds(1000));
+    auto times = findEvidenceTimes(wire, kStart + milliseconds(1000));
     BOOST_TEST(times.size() == 3u);
     for (size_t i : { 0U, 1U })
         BOOST_TEST((times[i] == std::optional(kStart + milliseconds(800))));
--- a/tests/unit/relaying_test.cpp
+++ b/tests/unit/relaying_test.cpp
@@ -37,7 +37,7 @@
         }
     }
 
-    Partners choose(size_t self, const OrdererPlace& orders = {}, bool isAsked = false)
+    Partners choose(size_t self, const CoordinatorRole& orders = {}, bool isAsked = false)
     {
         Peers peers(context, hosts[self].name, {});
         peers.setHosts(hosts);
@@ -209,7 +209,7 @@
             auto sentAt = now; // when the question was sent
             now += any(300); // network delay or a frozen relay
             peer::Pong pong;
-            writeGroups(pong, view, !isFirst, TimePoint(now + offset));
+            writeGroupStatus(pong, view, !isFirst, TimePoint(now + offset));
             isFirst = false;
             now += any(400);
             if (pong.floors().empty())
@@ -235,11 +235,11 @@
     group.floors = decisions::addFloor({}, { { 3, 70 }, now - milliseconds(100) });
     group.lead = { "n", 4, false };
     peer::Pong pong;
-    writeGroups(pong, view, true, now);
+    writeGroupStatus(pong, view, true, now);
     BOOST_TEST(pong.floors_size() == 1);
     BOOST_TEST(pong.leads_size() == 0);
     peer::Pong own;
-    writeGroups(own, view, false, now);
+    writeGroupStatus(own, view, false, now);
     BOOST_TEST(own.floors_size() == 0); // this host did not obtain it from the member itself
 }
 
