--- a/src/gateway/partners.cpp
+++ b/src/gateway/partners.cpp
@@ -6,12 +6,12 @@
 
 namespace alderward::gateway {
 
-static constexpr size_t kStandbyDepth = 3; // hosts of a ranking that watch those before them, so that the first is replaced by one that knows
-// Hosts that are asked in turn for one that has the store. Once it is gone for all, the first two relay all the same: without a bound, all hosts of a data centre
-// would be made relays one after the other, and each asks all carriers.
+static constexpr size_t kStandbyDepth = 3; // the first hosts of a ranking exchange with those before them, to be ready to take over
+// How many hosts are considered in the search for relays with the store. While no host has it, the first ones relay anyway. The bound keeps all
+// hosts of a data centre from becoming relays one after the other, as each relay queries all forwarders.
 static constexpr size_t kMaxRelayCandidates = 4;
-static constexpr size_t kMinPartners = 8; // with neighbours: a host that has lost most of so many is cut off itself
-static constexpr size_t kMinCoordinatorPartners = 20; // of those that judge whether a primary is dead: where a third of all hosts are cut off, most of 20 are lost once in 60 times
+static constexpr size_t kMinPartners = 8; // filled up with neighbours: a host that has lost most of them is isolated itself
+static constexpr size_t kMinCoordinatorPartners = 20; // coordinators need a larger sample to tell whether they are isolated
 
 std::vector<std::string> getRelays(ClusterView& view, const Peers& peers, const LocalHost& self)
 {
@@ -40,7 +40,7 @@
     it->second.tellsLoads = it->second.tellsLoads || partner.tellsLoads;
 }
 
-// Those that carry to the member as far as this host sees, and would before it.
+// The member's forwarder as this host sees it, and the hosts ranked before that one; nothing from this host on.
 static void addForwarders(Partners& partners, const std::vector<std::string>& ranked, const Peers& peers, const std::string& self, milliseconds interval)
 {
     for (auto& name : ranked) {
@@ -52,7 +52,7 @@
     }
 }
 
-// The hosts just before this one: it takes over from them.
+// The hosts ranked before this one, if it is among the first kStandbyDepth: it takes over from them.
 static void addPredecessors(Partners& partners, const std::vector<std::string>& ranked, const std::string& self, milliseconds interval)
 {
     auto end = ranked.begin() + static_cast<std::ptrdiff_t>(std::min(kStandbyDepth, ranked.size()));
@@ -63,7 +63,7 @@
         addPartner(partners, *it, { interval });
 }
 
-// Each host asks one of its relays how busy connections are, so that the larger part of what relays tell is shared among them.
+// Each host receives loads from one of its relays only, which spreads the largest part of the traffic among relays.
 static void addRelays(Partners& partners, const std::vector<std::string>& relays, const std::string& self, milliseconds interval)
 {
     std::vector<std::string> others;
--- a/src/gateway/partners.h
+++ b/src/gateway/partners.h
@@ -1,33 +1,32 @@
-// Which other hosts this one keeps in touch with, and which tasks it has among the hosts, by rankings that all hosts compute alike.
+// Chooses the hosts that this host exchanges status with, and its own roles (relay, forwarder). All hosts compute the same rankings.
 #pragma once
 #include "gateway/peers.h"
 
 namespace alderward::gateway {
 
-// One host's place among the others.
+// What the choice needs to know about this host.
 struct LocalHost {
     const std::string& name;
     const std::string& dataCentre;
-    const bool& isDraining; // a host that stops gives its tasks up
-    bool hasStore { true }; // it reaches the platform's store
-    bool isAskedToRelay { false }; // others ask it what it hears, be it the one that it would choose or not
+    const bool& isDraining; // a stopping host gives up its roles
+    bool hasStore { true }; // receives changes from the platform's store
+    bool isAskedToRelay { false }; // other hosts use it as a relay, whether or not its own ranking makes it one
 };
 
-// The hosts that this one may have to act with when a primary is to be replaced.
+// The groups that this host is a coordinator of, and the coordinators of these groups.
 struct CoordinatorRole {
-    std::set<std::string> coordinators {}; // others that may order for the same groups
-    std::set<std::string> groups {}; // that this one may order for
+    std::set<std::string> coordinators {}; // of the groups below, by name
+    std::set<std::string> groups {}; // that this host may order promotions for
 };
 
-// The hosts of this host's data centre that look at the platform's store often and, where there are many hosts, relay. One that does not answer,
-// stops or, while one of the next few has it, has lost the store is passed over.
+// The watchers of this host's data centre, which also act as relays if it has many hosts. Skips hosts that are unreachable or stopping,
+// and hosts without the store as long as one of the next few has it.
 std::vector<std::string> getRelays(ClusterView& view, const Peers& peers, const LocalHost& self);
 
-// The hosts that this one needs all the time, and how often it exchanges with each: its relays; the hosts that it would stand in for; for a relay the
-// carriers of all members, for an orderer those of its groups; and a few neighbours, from which a host that is cut off tells that it is. Bounded but for relays, whose carriers
-// grow with members. `quiet`: how often a host that has no relay asks carriers.
+// The exchange partners of this host, with their intervals. `quietInterval`: between exchanges with forwarders if there are no relays.
+// The number of partners is bounded, except that a relay's grows with the number of members.
 Partners choosePartners(ClusterView& view, const Peers& peers, const LocalHost& self, const CoordinatorRole& role, milliseconds quietInterval);
-// Whether this host carries statements to the member.
+// Whether this host is the member's forwarder: the first usable host in the member's ranking.
 bool isForwarder(ClusterView& view, const Peers& peers, const LocalHost& self, const MemberBelief& member);
 
 }
--- a/src/gateway/promoter.cpp
+++ b/src/gateway/promoter.cpp
@@ -18,16 +18,16 @@
 using decisions::MemberFinding;
 using links::PromotionResult;
 
-static constexpr milliseconds kRecordCheckInterval { 100 }; // between two looks at a succession; hosts come and go more seldom
-static constexpr milliseconds kStoreTimeout { 600 }; // a change of the succession that takes longer is tried again
-static constexpr milliseconds kOrderTimeout { 800 }; // an order is answered within tens of ms; without an answer the member itself is asked
-static constexpr milliseconds kOrderRetryDelay { 150 }; // between orders of one decision
-static constexpr milliseconds kAttemptCooldown { 400 }; // after an attempt that ended, good or bad, or a primary that was found alive
-static constexpr milliseconds kNoPrimaryDelay { 600 }; // without a known primary for this long, one is looked for
-static constexpr milliseconds kRelistingTime { 2500 }; // entries that lapsed with the store are back by then
-static constexpr milliseconds kStandbyDelay { 300 }; // each deputy waits this much longer than the one before
-static constexpr int kMaxOrderAttempts = 8; // of one decision while no clear answer comes
-static constexpr milliseconds kOrderRejectionCooldown { 10000 }; // a host whose order was not taken is passed over this long, while there are others
+static constexpr milliseconds kRecordCheckInterval { 100 };
+static constexpr milliseconds kStoreTimeout { 600 }; // of a write of the coordinator record
+static constexpr milliseconds kOrderTimeout { 800 }; // then the member itself is asked whether it is primary
+static constexpr milliseconds kOrderRetryDelay { 150 };
+static constexpr milliseconds kAttemptCooldown { 400 }; // after an attempt without a promotion, and after a failed write of the record
+static constexpr milliseconds kNoPrimaryDelay { 600 }; // how long no primary may be known before an attempt to find or promote one
+static constexpr milliseconds kRelistingTime { 2500 }; // members whose entries expired during a store outage register again within this time
+static constexpr milliseconds kStandbyDelay { 300 }; // added for each rank before a reported primary is checked
+static constexpr int kMaxOrderAttempts = 8; // with one fencing token, while the result is unknown or busy
+static constexpr milliseconds kOrderRejectionCooldown { 10000 }; // how long a host whose order was rejected leaves orders to other coordinators
 
 bool Promoter::isLive(const std::string& host) const
 {
@@ -45,9 +45,8 @@
     return decisions::canPerform(host == m_context.self.host ? getCapabilities() : m_context.peers.getAbility(host), task);
 }
 
-// Whether this host is the first in the group's order of those that can write the record, or of all if none can. Every host asks this for every
-// group ten times a second, so the order is walked no further than to the first: ranking all hosts each time took two fifths of the processor time
-// at 295 hosts and 20 groups.
+// Whether this host is the best-ranked live host that can write the record, or the best-ranked live host if none can. Called often by
+// every host for every group, so it stops at the first match instead of ranking all hosts.
 bool Promoter::isFirstCandidate(const std::string& group) const
 {
     const std::string* firstLive = nullptr;
@@ -61,7 +60,7 @@
     return firstLive && *firstLive == m_context.self.host;
 }
 
-// As many live hosts as it takes to judge the record: those that it names, this one, and the first in the group's order.
+// The live hosts needed to check the record: this host, its coordinators, and the best-ranked ones up to kCoordinatorCount.
 std::vector<decisions::LiveCandidate> Promoter::getLiveCandidates(const std::string& group, const GroupState& state) const
 {
     std::vector<decisions::LiveCandidate> live;
@@ -103,11 +102,11 @@
         return;
     state.revision = item.isDeleted ? 0 : item.revision;
     auto record = decisions::parseCoordinatorRecord(item.value);
-    // Whoever starts now finds none and would begin with token 1: those who know the last one write the next.
+    // A host that starts now would find no record and begin with token 1 again, so a host that knows the previous record must replace it.
     state.mustRenewRecord = item.isDeleted || !record;
     if (state.mustRenewRecord) {
         base::incrementCounter(base::MetricFamily::EntriesRefused, { { "result", item.isDeleted ? "gone" : "unreadable" } });
-        base::logEvent(LogClass::State, "entry-unreadable", { { "key", std::string_view(item.key) }, { "reason", item.isDeleted ? std::string_view("a record of who may order is gone") : std::string_view("no record of who may order") }, { "revision", static_cast<int64_t>(item.revision) } });
+        base::logEvent(LogClass::State, "entry-unreadable", { { "key", std::string_view(item.key) }, { "reason", item.isDeleted ? std::string_view("the coordinator record was deleted") : std::string_view("the value is not a coordinator record") }, { "revision", static_cast<int64_t>(item.revision) } });
         return;
     }
     if (*record == state.record)
@@ -205,7 +204,7 @@
     return static_cast<size_t>(it - acting.begin());
 }
 
-// Tells afterwards why nobody acted: each orderer says whom it leaves the group to.
+// Logged by every coordinator, so that the log shows who each of them expected to act.
 void Promoter::logActingCoordinator(const std::string& group, GroupState& state)
 {
     if (!decisions::findRank(state.record, m_context.self))
@@ -224,7 +223,7 @@
     return it != m_context.view.members.end() && (it->second.listed.isLeaving || it->second.unlistedAt);
 }
 
-// What is to be done for a group, and since when.
+// A task that is due for a group.
 struct Promoter::DueTask {
     decisions::PromotionTask task;
     TimePoint at;
@@ -243,9 +242,9 @@
         state.handoverDueAt = {};
     else if (state.handoverDueAt == TimePoint {})
         state.handoverDueAt = now;
-    // A primary that leaves is replaced whether it is alive or not: an alarm must not make this an examination that ends with "it lives".
+    // A leaving primary is replaced even if it is alive, so an alarm must not turn the handover into a check that finds it alive.
     if (state.handoverDueAt != TimePoint {})
-        return DueTask { decisions::PromotionTask::HandOver, state.handoverDueAt, "the primary leaves" };
+        return DueTask { decisions::PromotionTask::HandOver, state.handoverDueAt, "the primary is leaving" };
     if (state.alarmedAt != TimePoint {} && !hasNoPrimary)
         return DueTask { decisions::PromotionTask::CheckPrimary, state.alarmedAt + rank * kStandbyDelay, state.alarmReason };
     if (hasNoPrimary && now - state.startedAt > kRelistingTime)
@@ -253,14 +252,14 @@
     return std::nullopt;
 }
 
-// The holder acts at once, a deputy when those before it are out of reach, say that they cannot, or have not done it in time.
+// The first usable coordinator acts at once, each standby one takeover delay later.
 bool Promoter::isMyTurn(const GroupState& state, const DueTask& due, TimePoint now) const
 {
     auto turn = getTurnIndex(state, due.task);
-    return turn && now >= due.at + *turn * decisions::getTakeoverDelay(due.task); // no differences: a product with a size is unsigned
+    return turn && now >= due.at + *turn * decisions::getTakeoverDelay(due.task); // a sum, as the product is unsigned
 }
 
-// Most hosts order for no group: they only look now and then whether a record is due.
+// Hosts that are not coordinators only check at intervals whether a record is due.
 void Promoter::sweep(TimePoint now)
 {
     if (!m_isCoordinator && now - m_sweptAt < kRecordCheckInterval)
@@ -268,7 +267,7 @@
     m_sweptAt = now;
     m_isCoordinator = std::ranges::any_of(m_groups, [&](auto& it) { return decisions::findRank(it.second.record, m_context.self).has_value(); });
     for (auto& [group, belief] : m_context.view.groups) {
-        if (!m_context.view.configuration.groups.contains(group)) // some entry names it, operators do not
+        if (!m_context.view.configuration.groups.contains(group)) // named by a member's entry only
             continue;
         auto& state = m_groups[group];
         if (state.startedAt == TimePoint {})
@@ -318,7 +317,7 @@
     state.isWritingRecord = false;
 }
 
-// What a decision rests on, a line a member.
+// Logs the status of each member, one line each.
 static void logEvidence(const std::string& group, const std::vector<MemberFinding>& findings)
 {
     for (auto& it : findings) {
@@ -341,11 +340,11 @@
     queryReplicas(group, believed.member, isPlanned, replicas);
     if (member != m_context.view.members.end() && !isPlanned)
         isDue = co_await isPrimaryDead(group, member->second.getTarget());
-    // Only now: a cut shows in the links to other hosts no sooner than in the silence of those that were asked.
+    // Counted after the examination: a network partition shows up in the connections to other hosts only after their timeouts.
     auto reachability = m_context.peers.countInReach();
     if (isDue && !isPlanned && !decisions::canJudgePrimary(reachability)) {
         isDue = false;
-        base::logEvent(LogClass::State, "promotion-held-back", { { "group", std::string_view(group) }, { "reason", std::string_view("most other hosts are out of reach") }, { "hosts_answering", static_cast<int64_t>(reachability.answering) }, { "hosts_lost", static_cast<int64_t>(reachability.lost) } });
+        base::logEvent(LogClass::State, "promotion-held-back", { { "group", std::string_view(group) }, { "reason", std::string_view("most other hosts are unreachable") }, { "hosts_answering", static_cast<int64_t>(reachability.answering) }, { "hosts_lost", static_cast<int64_t>(reachability.lost) } });
     }
     if (isDue)
         co_await replicas->latch.wait();
@@ -367,21 +366,21 @@
         m_context.view.isPlacementDue = true;
         auto newerTerm = decisions::findNewerTerm(findings, believed.term);
         if (confirmedPrimary != findings.end() && confirmedPrimary->term < getLeastTerm(belief, startedAt))
-            base::logEvent(LogClass::State, "promotion-held-back", { { "group", std::string_view(group) }, { "reason", std::string_view("a member leads, and an order is not over yet") }, { "member", std::string_view(confirmedPrimary->member) }, { "term", static_cast<int64_t>(confirmedPrimary->term) } });
+            base::logEvent(LogClass::State, "promotion-held-back", { { "group", std::string_view(group) }, { "reason", std::string_view("a member reports that it is primary while an earlier promotion may still take effect") }, { "member", std::string_view(confirmedPrimary->member) }, { "term", static_cast<int64_t>(confirmedPrimary->term) } });
         else if (confirmedPrimary != findings.end()) {
             takeShownLead(belief, confirmedPrimary->member, confirmedPrimary->term, startedAt, ShownTo::ThisHost);
             m_context.notifyPrimaryChanged(group, before, "proof");
         } else if (newerTerm) {
             takeShownTerm(belief, *newerTerm);
             m_context.notifyPrimaryChanged(group, before, "members");
-            base::logEvent(LogClass::State, "promotion-held-back", { { "group", std::string_view(group) }, { "reason", std::string_view("members know a newer term") }, { "term", static_cast<int64_t>(*newerTerm) }, { "known", static_cast<int64_t>(believed.term) } });
+            base::logEvent(LogClass::State, "promotion-held-back", { { "group", std::string_view(group) }, { "reason", std::string_view("members report a newer term") }, { "term", static_cast<int64_t>(*newerTerm) }, { "known", static_cast<int64_t>(believed.term) } });
         } else if (successor) {
-            uint64_t term = believed.term; // also an assumed one: hosts that believe it have to take the next
+            uint64_t term = believed.term; // even if assumed: hosts that believe it must accept the next term
             for (auto& it : findings)
                 term = std::max(term, std::max(it.term, it.received.term));
             wasOrdered = co_await orderPromotion(group, *successor, term, attempt);
         } else
-            base::logEvent(LogClass::State, "promotion-held-back", { { "group", std::string_view(group) }, { "reason", std::string_view("no member can be chosen") }, { "members_asked", static_cast<int64_t>(findings.size()) } });
+            base::logEvent(LogClass::State, "promotion-held-back", { { "group", std::string_view(group) }, { "reason", std::string_view("no member can be promoted safely") }, { "members_asked", static_cast<int64_t>(findings.size()) } });
     }
     auto& state = m_groups[group];
     std::chrono::duration<double, std::milli> took = Clock::now() - startedAt;
@@ -391,23 +390,23 @@
     state.nextAttemptAt = Clock::now() + (wasOrdered ? kPromotionTakes : kAttemptCooldown);
 }
 
-// A handover waits up to 0.8 s for a replica, an examination up to 2 s for answers, an order without an answer is repeated for up to 7.6 s. A primary that takes its word back
-// meanwhile, or shows that it leads, stays: to replace it would take back what it acknowledged since and replicas lack.
+// Rechecked after each wait. A primary that is no longer leaving, or has confirmed its role since the attempt began, must stay:
+// replacing it would lose writes that it acknowledged meanwhile and that replicas lack.
 std::string_view Promoter::findHoldBackReason(const std::string& group, const PromotionAttempt& attempt) const
 {
     auto& belief = m_context.view.groups[group];
     if (decisions::isSuperseded(attempt.primary, belief.lead))
-        return "another primary became known meanwhile";
+        return "another primary became known during the attempt";
     if (attempt.isPlanned) {
-        bool isSame = belief.lead.member == attempt.primary.member; // or nobody is known to lead since, and the change is due all the more
-        return !isSame || mustHandOver(belief) ? "" : "the primary does not leave any more";
+        bool isSame = belief.lead.member == attempt.primary.member; // otherwise no primary is known any more, and a promotion is still due
+        return !isSame || mustHandOver(belief) ? "" : "the primary is no longer leaving";
     }
     auto& floors = belief.floors.floors;
     bool isConfirmed = !floors.empty() && floors.back().coveredUntil > attempt.startedAt && floors.back().mark.term == belief.lead.term;
-    return isConfirmed && !belief.lead.member.empty() ? "the primary showed meanwhile that it leads" : "";
+    return isConfirmed && !belief.lead.member.empty() ? "the primary confirmed its role during the attempt" : "";
 }
 
-// One decision: one token, one member. An order without an answer is repeated as it was; it may still be carried out.
+// Uses one fencing token for one member. An unanswered order may still be carried out, so it is repeated unchanged.
 asio::awaitable<bool> Promoter::orderPromotion(std::string group, std::string member, uint64_t previousTerm, PromotionAttempt attempt)
 {
     auto& state = m_groups[group];
@@ -416,18 +415,18 @@
     if (!token)
         co_return false;
     ++state.orderCount;
-    base::checkInvariant(*token > state.lastFencingToken, "a token for a promotion was not above the one before", group);
+    base::checkInvariant(*token > state.lastFencingToken, "a fencing token was not above the previous one", group);
     state.lastFencingToken = *token;
     for (int i = 0; i < kMaxOrderAttempts; ++i) {
         auto askedAt = Clock::now();
-        // A named value: g++ 12 destroys aggregates that are made within a co_await expression twice.
+        // A named variable, as g++ 12 destroys aggregates created within a co_await expression twice.
         links::PromotionOrder request { group, member, m_context.self.host, *token };
         auto result = co_await m_context.platform.promote(request, askedAt + kOrderTimeout);
         static constexpr std::array names { "done", "outranked", "not-running", "busy", "unknown" };
         std::chrono::duration<double, std::milli> took = Clock::now() - askedAt;
         base::logEvent(LogClass::State, "promotion-ordered", { { "group", std::string_view(group) }, { "member", std::string_view(member) }, { "token", static_cast<int64_t>(*token) }, { "result", std::string_view(names[static_cast<size_t>(result)]) }, { "ms", took.count() } });
         base::incrementCounter(base::MetricFamily::PromotionOrders, { { "group", group }, { "result", names[static_cast<size_t>(result)] } });
-        // One without an answer may yet be carried out, unless a deputy's higher token comes in between: that is no reason to leave it to others.
+        // Set for rejected orders only: an unanswered one may still be carried out, unless a standby uses a higher token first.
         m_orderRejectedAt = result == PromotionResult::Busy ? Clock::now() : TimePoint {};
         bool isPromoted = result == PromotionResult::Done;
         auto newTerm = previousTerm + 1;
@@ -447,12 +446,12 @@
             co_return true;
         }
         if (result == PromotionResult::Outranked || result == PromotionResult::NotRunning) {
-            if (result == PromotionResult::Outranked) // another host has ordered; the next record's tokens are above all of this one's
+            if (result == PromotionResult::Outranked) // a higher token was used: renew the record
                 state.firstUsableRank = std::max(state.firstUsableRank, *rank + 1);
             co_return false;
         }
         co_await base::sleepFor(kOrderRetryDelay);
-        // Somebody else may have taken over meanwhile, the more so if this process was frozen.
+        // Another coordinator may have taken over, in particular if this process was suspended.
         if (Clock::now() - askedAt > kOrderTimeout + kOrderRetryDelay + kAttemptCooldown || *rank < state.firstUsableRank || m_context.isDraining)
             co_return false;
         if (auto holdBackReason = findHoldBackReason(group, attempt); !holdBackReason.empty()) {
--- a/src/gateway/promoter.h
+++ b/src/gateway/promoter.h
@@ -1,5 +1,5 @@
-// Replaces primaries: settles beforehand who may order that, gathers evidence when one looks dead or is leaving, and orders it.
-// Everything that decides safety stands in decisions/succession.h.
+// Failover and planned handover: maintains each group's coordinator record, gathers evidence when a primary looks dead or is
+// leaving, and orders the promotion of another member. The rules that keep this safe are in decisions/succession.h.
 #pragma once
 #include "decisions/succession.h"
 #include "gateway/partners.h"
@@ -14,10 +14,10 @@
     Peers& peers;
     links::PlatformAdapter& platform;
     decisions::Coordinator self;
-    std::function<void(const TargetAddress&, std::function<void(const StatusReport&)>)> queryLocalStatus; // from this host
-    std::function<void(const std::string& group, const std::string& member, milliseconds)> holdWrites; // at this host
-    std::function<bool()> hasStore; // this host hears of changes there
-    std::function<void(const std::string& group, const decisions::KnownPrimary& before, std::string_view source)> notifyPrimaryChanged; // the belief was changed here
+    std::function<void(const TargetAddress&, std::function<void(const StatusReport&)>)> queryLocalStatus; // asks a member for its status from this host
+    std::function<void(const std::string& group, const std::string& member, milliseconds)> holdWrites; // on this host only
+    std::function<bool()> hasStore; // this host receives changes from the platform's store
+    std::function<void(const std::string& group, const decisions::KnownPrimary& before, std::string_view source)> notifyPrimaryChanged; // Promoter changed the group's believed primary
     const bool& isDraining;
 };
 
@@ -29,49 +29,49 @@
     }
 
     void applyCoordinatorRecord(const std::string& group, const links::StoreItem& item);
-    // Somebody had trouble with a member that is thought to lead, or nobody is known to lead.
+    // A statement or a host failed to reach the primary, or no primary is known. Starts a check unless one is already due.
     void raiseAlarm(const std::string& group, const std::string& reason);
-    // The hosts that may order for a group, the holder first.
+    // The group's coordinators, the first coordinator first.
     std::vector<std::string> getCoordinators(const std::string& group) const;
-    // The groups that this host may order for, and the hosts that it shares that with.
+    // The groups that this host is a coordinator of, and the other coordinators of these groups.
     CoordinatorRole getCoordinatorRole() const;
-    // The primary showed that it leads, to this host or another: an alarm from before is void.
+    // The primary confirmed its role to this host or another one. Clears an alarm raised before that.
     void onPrimaryConfirmed(const std::string& group, TimePoint confirmedAt);
-    // Another member is thought to lead, or none: what was due concerned the one before.
+    // Another member is believed to be primary, or none. Clears an alarm or handover that concerned the previous one.
     void onPrimaryChanged(const std::string& group);
-    // A host ordered a change of primary. Tokens of those ranked before it are spent.
+    // Another host ordered a promotion. Coordinators ranked before it can no longer order: the platform refuses their lower tokens.
     void onPromotionOrdered(const std::string& group, const std::string& host);
-    // What this host can do, for others that would leave a task to it.
+    // Reported to other coordinators, which act instead of this host if it cannot perform a task.
     decisions::HostCapabilities getCapabilities() const;
-    // Decides what is due. Call every few tens of ms.
+    // Starts due tasks. Call every few tens of ms.
     void sweep(TimePoint now);
 
 private:
     struct GroupState {
         decisions::CoordinatorRecord record {};
-        uint64_t revision { 0 }; // of the record in the store; 0: there is none
+        uint64_t revision { 0 }; // of the record in the store; 0: no record
         bool isWritingRecord { false };
-        bool mustRenewRecord { false }; // what stands in the store cannot be read
-        bool isPromoting { false }; // a change of primary is under way here
-        size_t firstUsableRank { 0 }; // orderers ranked before this one can order no more: a higher token was used. The record is to be renewed
-        uint64_t orderCount { 0 }; // orders of this host since the record changed: each uses one token
-        uint64_t lastFencingToken { 0 }; // that this process used for the group
-        TimePoint alarmedAt {}; // zero: no alarm stands
-        TimePoint handoverDueAt {}; // zero: the primary does not leave
-        TimePoint startedAt {}; // when this host began to look at the group
-        TimePoint recordCheckedAt {}; // when it last looked whether the succession is due
+        bool mustRenewRecord { false }; // the stored record was deleted or is unreadable
+        bool isPromoting { false }; // replacePrimary() is running
+        size_t firstUsableRank { 0 }; // lower ranks can't order: a higher token was used. Above 0: renew the record
+        uint64_t orderCount { 0 }; // fencing tokens that this host has used since the record changed
+        uint64_t lastFencingToken { 0 }; // last one used by this process for the group
+        TimePoint alarmedAt {}; // zero: no alarm
+        TimePoint handoverDueAt {}; // zero: the primary is not leaving
+        TimePoint startedAt {}; // first sweep of the group on this host
+        TimePoint recordCheckedAt {}; // last check whether the record is due for renewal
         TimePoint nextAttemptAt {};
         TimePoint noPrimarySince {};
         std::string alarmReason {};
-        std::string loggedCoordinator {}; // as last logged
+        std::string loggedCoordinator {}; // acting coordinator in the last log line
     };
 
     struct DueTask;
-    // What a change of primary rests on.
+    // Why and since when a primary is being replaced.
     struct PromotionAttempt {
-        decisions::KnownPrimary primary {}; // as it was believed when the change became due
+        decisions::KnownPrimary primary {}; // the believed primary when the attempt began
         bool isPlanned { false };
-        TimePoint startedAt {}; // what was found out is not older
+        TimePoint startedAt {}; // all evidence is newer
     };
 
     bool isLive(const std::string& host) const;
@@ -80,7 +80,7 @@
     std::vector<decisions::LiveCandidate> getLiveCandidates(const std::string& group, const GroupState& state) const;
     std::vector<decisions::RankedCandidate> rankLiveHosts(const std::string& group) const;
     std::vector<decisions::CoordinatorState> getCoordinatorStates(const GroupState& state, decisions::PromotionTask task) const;
-    // How many orderers act before this one; empty: this one does not.
+    // How many coordinators act before this host; empty: this host does not act.
     std::optional<size_t> getTurnIndex(const GroupState& state, decisions::PromotionTask task) const;
     void logActingCoordinator(const std::string& group, GroupState& state);
     std::optional<DueTask> findDueTask(const GroupBelief& belief, GroupState& state, TimePoint now) const;
@@ -91,13 +91,13 @@
     boost::asio::awaitable<void> replacePrimary(std::string group, bool isPlanned, std::string cause);
     boost::asio::awaitable<bool> isPrimaryDead(std::string group, TargetAddress primary);
     struct ReplicaQuery;
-    // All members but the leader, or `withLeader`: it counts among those that are reached, and is no candidate.
+    // Asks the replicas for their status, and with `includePrimary` the primary too: it counts as reached, but is no candidate.
     void queryReplicas(const std::string& group, const std::string& primary, bool includePrimary, const std::shared_ptr<ReplicaQuery>& replicas);
     boost::asio::awaitable<void> queryReplica(MemberBelief member, bool isCandidate, std::shared_ptr<ReplicaQuery> replicas);
     struct PrimaryExamination;
     boost::asio::awaitable<void> examinePrimary(std::string witness, TargetAddress primary, std::shared_ptr<PrimaryExamination> examination);
     boost::asio::awaitable<void> waitForReplicaCatchUp(std::string group, std::string primary);
-    // Why a change of primary that was due is not any more; empty: it still is.
+    // The reason not to order the promotion any more; empty: it is still due.
     std::string_view findHoldBackReason(const std::string& group, const PromotionAttempt& attempt) const;
     boost::asio::awaitable<bool> orderPromotion(std::string group, std::string member, uint64_t previousTerm, PromotionAttempt attempt);
     boost::asio::awaitable<StatusReport> queryStatus(std::string host, TargetAddress target);
@@ -106,9 +106,9 @@
 
     PromoterContext m_context;
     std::map<std::string, GroupState> m_groups;
-    TimePoint m_sweptAt {}; // when all groups were last looked at
-    bool m_isCoordinator { false }; // of any group, as of then
-    TimePoint m_orderRejectedAt {}; // when an order was not taken; zero: the last one was
+    TimePoint m_sweptAt {}; // last sweep over all groups
+    bool m_isCoordinator { false }; // of any group, as of m_sweptAt
+    TimePoint m_orderRejectedAt {}; // when an order was rejected; zero: the last one was not
 };
 
 }
--- a/src/gateway/promoter_evidence.cpp
+++ b/src/gateway/promoter_evidence.cpp
@@ -1,4 +1,4 @@
-// What an orderer finds out before it replaces a primary: who reaches it, and what its replicas hold.
+// Evidence gathered before a primary is replaced: which hosts reach it, and what its replicas hold.
 #include "gateway/promoter_evidence.h"
 #include "base/event_log.h"
 #include <algorithm>
@@ -12,15 +12,15 @@
 using base::Clock;
 using base::LogClass;
 
-static constexpr milliseconds kCatchUpTimeout { 800 }; // a planned change waits this long for a replica
-static constexpr milliseconds kHoldPropagationTime { 60 }; // until all hosts have heard that writes wait, and what they had sent has run: one way is 20 ms at most on the sites that were seen
-static constexpr milliseconds kCatchUpPollInterval { 30 }; // between two looks at the replicas, which are 50 ms behind in calm
-static constexpr milliseconds kWriteHoldTime { 1800 }; // writes wait this long at most in a planned change
-static constexpr size_t kMaxWitnesses = 6; // besides this host: a primary that is cut off from two thirds of the hosts is taken for dead once in twenty times
-static constexpr milliseconds kStatusQueryTimeout { 1000 }; // an inquiry ends by itself before; this bounds a host that freezes
-static constexpr size_t kMaxReplicaWitnesses = 2; // of other data centres, asked about replicas too
+static constexpr milliseconds kCatchUpTimeout { 800 }; // how long a handover waits for a replica to catch up
+static constexpr milliseconds kHoldPropagationTime { 60 }; // until all hosts hold their writes and the writes already sent have run
+static constexpr milliseconds kCatchUpPollInterval { 30 };
+static constexpr milliseconds kWriteHoldTime { 1800 }; // the longest that a handover holds writes
+static constexpr size_t kMaxWitnesses = 6; // besides this host; more of them make it less likely that a partly isolated primary is declared dead
+static constexpr milliseconds kStatusQueryTimeout { 1000 }; // guards against a frozen host: others end the query earlier themselves
+static constexpr size_t kMaxReplicaWitnesses = 2; // from other data centres where possible; also asked about replicas
 
-// What one host found out about one member.
+// A status query about one member, at one host.
 struct PendingStatusQuery {
     explicit PendingStatusQuery(const asio::any_io_executor& executor)
         : latch(executor, 1)
@@ -45,7 +45,7 @@
     co_return query->finding;
 }
 
-// A few hosts besides this one, of other data centres if there are any.
+// Reachable hosts besides this one, from different data centres where possible.
 std::vector<std::string> Promoter::chooseWitnesses() const
 {
     std::vector<std::string> witnesses;
@@ -69,7 +69,7 @@
     return witnesses;
 }
 
-// What witnesses found out about a primary; open as soon as one reached it.
+// The witnesses' status queries about a primary. The latch opens as soon as one confirms it.
 struct Promoter::PrimaryExamination {
     PrimaryExamination(const asio::any_io_executor& executor, size_t witnesses)
         : latch(executor, witnesses)
@@ -77,14 +77,14 @@
     }
     base::Latch latch;
     std::string reachedBy {};
-    std::string deniedBy {}; // it answered there that it does not lead
+    std::string deniedBy {}; // the member answered this host that it is not primary, or had lost its log
 };
 
 asio::awaitable<void> Promoter::examinePrimary(std::string witness, TargetAddress primary, std::shared_ptr<PrimaryExamination> examination)
 {
     auto known = getKnownMark(m_context.view.groups[primary.group]);
     auto finding = co_await queryStatus(witness, primary);
-    // One that has lost what it acknowledged is no primary to be reached.
+    // A member that has lost acknowledged writes does not count as a live primary.
     bool hasLost = finding.status.term != 0 && decisions::hasLostLog(known, finding.status.received);
     bool deniesPrimary = hasLost || (finding.status.term != 0 && !finding.status.isPrimary);
     if (finding.wasReached)
@@ -95,11 +95,11 @@
         examination->latch.countDown();
 }
 
-// Dead is what nobody reaches: a primary that only some hosts cannot reach still serves through the others.
+// Dead only if no witness reaches it: a primary that some hosts cannot reach still serves through the others.
 asio::awaitable<bool> Promoter::isPrimaryDead(std::string group, TargetAddress primary)
 {
     auto witnesses = chooseWitnesses();
-    // Those that carry to it, in their order, know it best.
+    // Its forwarders, which hold connections to it.
     auto member = m_context.view.members.find(primary.member);
     auto carriers = member == m_context.view.members.end() ? std::vector<std::string>() : getCarriers(m_context.view, member->second);
     for (auto& name : carriers) {
@@ -122,7 +122,7 @@
     co_return reachedBy.empty();
 }
 
-// Members that the store lists: those that are gone from it have ended, or lost it for longer than a short cut takes.
+// Members listed in the store. Unlisted ones have stopped, or have lost the store for longer than a short network failure.
 size_t Promoter::countListedMembers(const std::string& group) const
 {
     auto& ids = m_context.view.groups.at(group).members;
@@ -135,15 +135,15 @@
     auto target = member.getTarget();
     auto known = getKnownMark(m_context.view.groups[target.group]);
     auto finding = co_await queryStatus(m_context.self.host, target);
-    auto witnesses = chooseWitnesses(); // a path may be broken for this host only
+    auto witnesses = chooseWitnesses(); // the member may be unreachable from this host only
     if (finding.status.term == 0 && !witnesses.empty()) {
         auto second = co_await queryStatus(witnesses.front(), target);
         if (second.status.term != 0 || !finding.wasReached)
             finding = second;
     }
     bool hasLost = decisions::hasLostLog(known, finding.status.received);
-    // The platform answers an order for its present primary with "done" and changes nothing: no new term begins, and of the old one it is not believed. Where all replicas held
-    // less than it, such a primary was ordered again and again, and callers had none.
+    // A primary that has lost its log must not be its own successor: the platform answers such an order with "done" without starting a
+    // new term, so the order would be repeated forever and callers would have no primary.
     isPromotable = isPromotable && !(finding.status.isPrimary && hasLost);
     replicas->findings.push_back({ member.listed.id, finding.wasReached, finding.status.isPrimary && !hasLost, finding.status.term, finding.status.received, isPromotable });
     replicas->latch.countDown();
@@ -161,7 +161,7 @@
     replicas->latch.countDown();
 }
 
-// Writes wait at all hosts until the best replica holds what the primary holds, so that the change takes nothing back.
+// Holds writes on all hosts until a replica holds the primary's whole log, so that the handover loses no acknowledged write.
 asio::awaitable<void> Promoter::waitForReplicaCatchUp(std::string group, std::string primary)
 {
     m_context.holdWrites(group, primary, kWriteHoldTime);
--- a/src/gateway/statement_router.cpp
+++ b/src/gateway/statement_router.cpp
@@ -13,14 +13,14 @@
 using decisions::ErrorKind;
 using decisions::StatementKind;
 
-static constexpr milliseconds kRetryDelay { 15 }; // before members that all said no are asked again
-static constexpr milliseconds kCallerRoundTrip { 2 }; // between caller and host, there and back, on the sites that were seen
-static constexpr double kRemoteRoundTripEstimateMs = 10; // to a member in another data centre from here: some ms each way on the sites that were seen
+static constexpr milliseconds kRetryDelay { 15 }; // before members that have all refused are tried again
+static constexpr milliseconds kCallerRoundTrip { 2 }; // estimate, between caller and host
+static constexpr double kRemoteRoundTripEstimateMs = 10; // from this host to a member in another data centre
 
 void StatementRouter::run(RoutedStatement routed, RoutedCallback done)
 {
     auto shared = std::make_shared<RoutedStatement>(std::move(routed));
-    // An operation beyond its account's quota waits in no queue: others would pay for it.
+    // Checked before queueing, so that operations beyond the quota do not delay those of other accounts.
     m_context.quotas.begin(shared->order.account, [this, shared, done = std::move(done)](const std::optional<decisions::Error>& refusal) {
         shared->isCounted = !refusal;
         if (refusal)
@@ -39,14 +39,14 @@
     });
 }
 
-// Whether the host is up and has not said lately that it cannot reach the member.
+// Whether the host is usable and has not reported recently that it cannot reach the member.
 bool StatementRouter::canForward(const std::string& host, const MemberBelief& member) const
 {
     if (host == m_context.name)
         return !m_context.isTroubled(member.getTarget());
     if (!m_context.peers.isUsable(host))
         return false;
-    // A host that answers may still not know the member, or not reach it.
+    // A reachable host may not know the member, or not reach it.
     auto load = m_context.peers.getLoad(host, member.listed.id);
     return !(load && load->unreachable()) && !m_context.peers.lacksMember(host, member.listed.id);
 }
@@ -97,7 +97,7 @@
         bool wasTried = std::ranges::find(routed.triedMembers, primary) != routed.triedMembers.end();
         if (it == m_context.view.members.end() || wasTried)
             return std::nullopt;
-        // Also the only one that can serve: it may end at any moment now, and whoever hears nothing from it cannot know what ran.
+        // Holds even if no other member can serve: the primary may stop at any moment, and the outcome of a statement would be unknown.
         if (!acceptsNewOperations(it->second, m_context.drainTime, Clock::now()))
             return std::nullopt;
         return it->second.getTarget();
@@ -111,7 +111,7 @@
     return m_context.view.members.at(group->second.members[*best]).getTarget();
 }
 
-// What an answer still has to travel once the carrier has it.
+// The time that an answer takes from the forwarder to the caller.
 TimePoint::duration StatementRouter::getReturnTime(const std::string& forwarder) const
 {
     auto returnMs = forwarder == m_context.name ? 0 : m_context.peers.getDistanceMs(forwarder) / 2;
@@ -120,11 +120,11 @@
 
 void StatementRouter::fail(const std::shared_ptr<RoutedStatement>& routed, RoutedCallback done, ErrorKind kind)
 {
-    refuse(routed, std::move(done), { kind, routed->lastReason.empty() ? "no member can serve this now" : routed->lastReason });
+    refuse(routed, std::move(done), { kind, routed->lastReason.empty() ? "no member can serve this statement now" : routed->lastReason });
 }
 
-// No member is left to ask. A primary may come back or be replaced while there is time; on a host that is cut off the caller is told at
-// once, as others may reach the primary. Where two of nine hosts were cut off for 7 s, 262 of their statements waited 800 ms in vain.
+// Called when no member is left to try. Retries until the deadline, as a primary may recover or be replaced. An isolated host fails the
+// statement at once, as the caller may find a host that reaches the primary.
 void StatementRouter::retryLaterOrFail(const std::shared_ptr<RoutedStatement>& routed, RoutedCallback done)
 {
     auto now = Clock::now();
@@ -154,7 +154,7 @@
     auto& member = m_context.view.members.at(target->member);
     auto forwarder = chooseForwarder(member);
     if (!canForward(forwarder, member) && m_context.isIsolated()) {
-        routed->lastReason = "the member is out of reach";
+        routed->lastReason = "the member is unreachable";
         attempt(routed, std::move(done));
         return;
     }
@@ -172,7 +172,7 @@
     }
     auto onOutcome = [this, routed, target = *target, forwarder, transaction, done](const Outcome& outcome) {
         if (outcome.error && m_context.peers.lacksMember(forwarder, target.member))
-            std::erase(routed->triedMembers, target.member); // the member was not asked: another host can carry to it at once
+            std::erase(routed->triedMembers, target.member); // it was not asked: another forwarder can be tried at once
         handleOutcome(routed, target, transaction, outcome, done);
     };
     if (isLocal)
@@ -212,7 +212,7 @@
     if (transaction)
         end(*transaction);
     auto& statement = routed->order.statement;
-    // A single write that may have arrived is never sent again. All else leaves nothing behind until its commit.
+    // A single write that may have been received is never sent again. Other statements have no effect until their commit.
     bool canRetry = decisions::canTryOtherTarget(kind) || (kind == ErrorKind::OutcomeUnknown && (!statement.isWrite || routed->order.kind == OrderKind::Begin));
     bool hasTime = now + kRetryDelay < routed->order.deadline;
     if (!canRetry || !hasTime) {
--- a/src/gateway/statement_router.h
+++ b/src/gateway/statement_router.h
@@ -1,31 +1,31 @@
-// Runs callers' statements: chooses a member and the host that carries the statement there, tries another one where the target said that
-// it did not run it, and ends within the route's limit with exactly one outcome.
+// Runs callers' statements: chooses a member and its forwarder, tries another member if the target reports that it did not run the
+// statement, and ends with exactly one outcome before the statement's deadline.
 #pragma once
 #include "gateway/quota_exchange.h"
 #include <unordered_map>
 
 namespace alderward::gateway {
 
-// An open transaction of a caller and where it lives.
+// An open transaction of a caller.
 struct TransactionHandle {
     TargetAddress target {};
-    std::string host {}; // that carries it; empty: this one
-    uint64_t number { 0 }; // at the carrier
+    std::string host {}; // the forwarder; empty: this host
+    uint64_t number { 0 }; // assigned by this host, unique per forwarder
 };
 
-// A statement on its way.
+// A statement with the state of its attempts.
 struct RoutedStatement {
     decisions::DatabaseRoute route {};
     Order order {};
     bool needsPrimary { false };
-    Mark requiredMark {}; // reads elsewhere: what the log must hold
+    Mark requiredMark {}; // for reads at a replica: its log must have reached this mark
     TimePoint arrivedAt {};
-    std::vector<std::string> triedMembers {}; // members, since the last pause
+    std::vector<std::string> triedMembers {}; // since the last retry delay
     unsigned attempts { 0 };
-    bool wasQueueOverloaded { false }; // our queue before a member could not take it in time: once no other is left, its caller is told at once
-    bool isCounted { false }; // its operation counts against the quota of its client account
-    bool wasSent { false }; // some member may have had it
-    bool wasMemberBusy { false }; // the last member that was asked lives and was busy, and said so at once
+    bool wasQueueOverloaded { false }; // refused by a member queue, or by busy members too often: fails without waiting once no other member is left
+    bool isCounted { false }; // against the quota of its client account
+    bool wasSent { false }; // some member may have received it
+    bool wasMemberBusy { false }; // the last member asked answered that it is busy, so it is alive
     std::string session {}; // for the log
     std::string lastReason {};
 };
@@ -39,10 +39,10 @@
     std::string name; // of this host
     std::string dataCentre;
     std::function<std::shared_ptr<TargetPool>(const TargetAddress&)> getPool;
-    std::function<bool(const TargetAddress&)> isTroubled; // this host cannot reach the target
+    std::function<bool(const TargetAddress&)> isTroubled; // whether this host has failed to reach the target recently
     std::function<void(const std::string& group)> onNoPrimary;
-    std::function<bool()> isIsolated; // this host has lost most others: they may reach what it does not
-    milliseconds drainTime; // of members that leave
+    std::function<bool()> isIsolated; // this host has lost most other hosts, which may still reach the members
+    milliseconds drainTime; // how long a leaving member accepts new operations
     QuotaExchange& quotas;
 };
 
@@ -53,12 +53,12 @@
     {
     }
 
-    // A statement outside a transaction, or the first one inside.
+    // Runs a statement outside a transaction, or the first statement of one.
     void run(RoutedStatement routed, RoutedCallback done);
-    // The next statement of a transaction, or its commit.
+    // Runs the next statement of a transaction, or its commit.
     void runNext(const TransactionHandle& transaction, RoutedStatement routed, RoutedCallback done);
     void end(const TransactionHandle& transaction);
-    // Tries again what waits for a member to become available.
+    // Retries statements whose retry delay has passed.
     void sweep(TimePoint now);
 
 private:
--- a/src/gateway/status_exchange.cpp
+++ b/src/gateway/status_exchange.cpp
@@ -6,8 +6,8 @@
 using std::chrono::duration_cast;
 using std::chrono::microseconds;
 
-static constexpr milliseconds kProofSharingTime { 1000 }; // a proof of ours is told to others this long
-static constexpr milliseconds kRelayedFloorSharingTime { 2000 }; // a floor that was heard; an older one helps no read
+static constexpr milliseconds kProofSharingTime { 1000 }; // how long this host's own confirmation of a primary is reported
+static constexpr milliseconds kRelayedFloorSharingTime { 2000 }; // how long a floor from another host is reported; older ones are of no use to reads
 
 static uint64_t getAgeUs(TimePoint since, TimePoint now)
 {
@@ -28,7 +28,7 @@
         floor.set_group(name);
         writeMark(*floor.mutable_mark(), newest.mark);
         floor.set_age_us(getAgeUs(newest.coveredUntil, now));
-        // Hosts that the orderer has no connection to hear of an order from those that have one; after the order's time an assumed term is told no more.
+        // An ordered promotion is reported while it is pending, for hosts without a connection to the coordinator. Later an assumed term is not.
         bool isOrdered = isProven && now < group.pendingUntil;
         if (group.lead.term != newest.mark.term && !isOrdered)
             continue;
@@ -39,7 +39,7 @@
     }
 }
 
-// Floors and leads stand in the same order, a floor for each lead.
+// Floors and leads are in the same order, and each lead has a floor.
 std::vector<std::optional<TimePoint>> findEvidenceTimes(const peer::Pong& wire, TimePoint sentAt)
 {
     std::vector<std::optional<TimePoint>> times;
--- a/src/gateway/status_exchange.h
+++ b/src/gateway/status_exchange.h
@@ -1,18 +1,19 @@
-// What hosts tell each other of database groups with pings: who leads, from which position on reads are fresh, where members' logs stand.
+// Group status in pongs: primaries, read floors and members' log positions.
 #pragma once
 #include "gateway/cluster_view.h"
 #include "gateway/peer_codec.h"
 
 namespace alderward::gateway {
 
-// Leads and floors that this host has seen for itself and, `withHeard`, those that others told it (docs/design/0010-relays.md says why they stay sound).
+// Adds the primaries and floors that this host has confirmed itself and, if `withRelayed`, those reported by other hosts
+// (docs/design/0010-relays.md says why relayed ones stay correct).
 void writeGroupStatus(peer::Pong& wire, const ClusterView& view, bool withRelayed, TimePoint now);
-// When the sender's evidence of a lead was asked for, on this host's clock; empty: it shows none. `sentAt` is before the time at which it was told. A lead is shown by
-// a floor of its term.
+// For each lead of the pong: when the sender queried the primary for its evidence, on this host's clock; empty: no evidence. Evidence
+// is a floor of the same term. `sentAt`: when the ping was sent, so that ages count from before the answer.
 std::vector<std::optional<TimePoint>> findEvidenceTimes(const peer::Pong& wire, TimePoint sentAt);
-// Where the member's log stands, if anything is known of it.
+// Sets the member's log position, if known.
 void writePosition(peer::Load& wire, const ClusterView& view, TimePoint now);
-// Positions that another host told. `sentAt` is before the time at which it did.
+// Applies the log positions in a pong. `sentAt`: when the ping was sent.
 void applyPositions(ClusterView& view, const peer::Pong& wire, TimePoint sentAt);
 
 }
