--- a/src/gateway/caller_session.cpp
+++ b/src/gateway/caller_session.cpp
@@ -268,21 +268,21 @@
     routed.route = m_route;
     routed.session = m_name;
     routed.arrivedAt = now;
-    routed.order.statement = statement;
-    routed.order.values = m_values;
-    routed.order.priority = m_route.priority;
-    routed.order.account = m_account;
-    routed.order.database = static_cast<uint32_t>(decisions::getHash(m_route.database));
+    routed.request.statement = statement;
+    routed.request.values = m_values;
+    routed.request.priority = m_route.priority;
+    routed.request.account = m_account;
+    routed.request.database = static_cast<uint32_t>(decisions::getHash(m_route.database));
     bool isInTransaction = m_state == SessionState::InTransaction;
-    routed.order.objective = decisions::getObjectiveEnd(now, m_route.objective, isInTransaction ? m_spent : TimePoint::duration());
-    routed.order.deadline = now + m_route.statementLimit;
+    routed.request.objective = decisions::getObjectiveEnd(now, m_route.objective, isInTransaction ? m_spent : TimePoint::duration());
+    routed.request.deadline = now + m_route.statementLimit;
     if (statement.kind != StatementKind::Execute)
         return true;
     auto it = m_prepared.find(statement.name);
     if (it == m_prepared.end())
         return false;
-    routed.order.shape = it->second;
-    routed.order.statement.isWrite = it->second.isWrite;
+    routed.request.shape = it->second;
+    routed.request.statement.isWrite = it->second.isWrite;
     return true;
 }
 
@@ -299,14 +299,14 @@
         return;
     }
     auto self = shared_from_this();
-    auto ran = routed.order.statement;
+    auto ran = routed.request.statement;
     auto done = [self, ran](const Outcome& outcome, const std::optional<TransactionHandle>& transaction) { self->takeOutcome(ran, outcome, transaction); };
     if (m_transaction) {
         m_context.router.runNext(*m_transaction, std::move(routed), done);
         return;
     }
     bool isOpening = m_state == SessionState::InTransaction;
-    routed.order.kind = isOpening ? OrderKind::Begin : OrderKind::Single;
+    routed.request.kind = isOpening ? OrderKind::Begin : OrderKind::Single;
     bool readsOnly = isOpening ? m_isReadOnly : !ran.isWrite;
     routed.needsPrimary = !readsOnly || m_route.consistency == decisions::Consistency::Primary;
     if (!routed.needsPrimary) {
@@ -314,7 +314,7 @@
         routed.needsPrimary = !mark; // no floor is young enough: the leader itself proves freshness
         routed.requiredMark = mark.value_or(Mark {});
     }
-    routed.order.isReadOnly = readsOnly && !routed.needsPrimary;
+    routed.request.isReadOnly = readsOnly && !routed.needsPrimary;
     m_context.router.run(std::move(routed), done);
 }
 
--- a/src/gateway/promoter.cpp
+++ b/src/gateway/promoter.cpp
@@ -256,7 +256,7 @@
 bool Promoter::isMyTurn(const GroupState& state, const DueTask& due, TimePoint now) const
 {
     auto turn = getTurnIndex(state, due.task);
-    return turn && now >= due.at + *turn * decisions::getTakeoverDelay(due.task); // a sum, as the product is unsigned
+    return turn && now >= due.at + *turn * decisions::getTakeoverDelay(due.task); // no subtraction, as the product is unsigned
 }
 
 // Hosts that are not coordinators only check at intervals whether a record is due.
@@ -289,8 +289,8 @@
     state.recordCheckedAt = now;
     if (!isFirstCandidate(group))
         return;
-    bool areTokensSpent = state.firstUsableRank > 0 || state.mustRenewRecord;
-    if (!areTokensSpent && !decisions::isCoordinatorRecordDue(state.record, getLiveCandidates(group, state)))
+    bool mustRenew = state.firstUsableRank > 0 || state.mustRenewRecord;
+    if (!mustRenew && !decisions::isCoordinatorRecordDue(state.record, getLiveCandidates(group, state)))
         return;
     auto ranked = rankLiveHosts(group);
     std::ranges::stable_partition(ranked, [this](const decisions::RankedCandidate& it) { return canPerformTask(it.coordinator.host, decisions::PromotionTask::HandOver); });
@@ -369,10 +369,10 @@
             base::logEvent(LogClass::State, "promotion-held-back", { { "group", std::string_view(group) }, { "reason", std::string_view("a member reports that it is primary while an earlier promotion may still take effect") }, { "member", std::string_view(confirmedPrimary->member) }, { "term", static_cast<int64_t>(confirmedPrimary->term) } });
         else if (confirmedPrimary != findings.end()) {
             takeShownLead(belief, confirmedPrimary->member, confirmedPrimary->term, startedAt, ShownTo::ThisHost);
-            m_context.notifyPrimaryChanged(group, before, "proof");
+            m_context.notifyPrimaryChange(group, before, "proof");
         } else if (newerTerm) {
             takeShownTerm(belief, *newerTerm);
-            m_context.notifyPrimaryChanged(group, before, "members");
+            m_context.notifyPrimaryChange(group, before, "members");
             base::logEvent(LogClass::State, "promotion-held-back", { { "group", std::string_view(group) }, { "reason", std::string_view("members report a newer term") }, { "term", static_cast<int64_t>(*newerTerm) }, { "known", static_cast<int64_t>(believed.term) } });
         } else if (successor) {
             uint64_t term = believed.term; // even if assumed: hosts that believe it must accept the next term
@@ -441,7 +441,7 @@
             auto& belief = m_context.view.groups[group];
             auto before = belief.lead;
             takeOrderedLead(belief, member, newTerm, Clock::now());
-            m_context.notifyPrimaryChanged(group, before, "ordered");
+            m_context.notifyPrimaryChange(group, before, "ordered");
             m_context.peers.sendLead(group, member, newTerm);
             co_return true;
         }
--- a/src/gateway/promoter.h
+++ b/src/gateway/promoter.h
@@ -17,7 +17,7 @@
     std::function<void(const TargetAddress&, std::function<void(const StatusReport&)>)> queryLocalStatus; // asks a member for its status from this host
     std::function<void(const std::string& group, const std::string& member, milliseconds)> holdWrites; // on this host only
     std::function<bool()> hasStore; // this host receives changes from the platform's store
-    std::function<void(const std::string& group, const decisions::KnownPrimary& before, std::string_view source)> notifyPrimaryChanged; // Promoter changed the group's believed primary
+    std::function<void(const std::string& group, const decisions::KnownPrimary& before, std::string_view source)> notifyPrimaryChange; // Promoter changed the group's believed primary
     const bool& isDraining;
 };
 
@@ -67,7 +67,7 @@
     };
 
     struct DueTask;
-    // Why and since when a primary is being replaced.
+    // A replacement of a primary that is under way.
     struct PromotionAttempt {
         decisions::KnownPrimary primary {}; // the believed primary when the attempt began
         bool isPlanned { false };
--- a/src/gateway/promoter_evidence.cpp
+++ b/src/gateway/promoter_evidence.cpp
@@ -101,8 +101,8 @@
     auto witnesses = chooseWitnesses();
     // Its forwarders, which hold connections to it.
     auto member = m_context.view.members.find(primary.member);
-    auto carriers = member == m_context.view.members.end() ? std::vector<std::string>() : getCarriers(m_context.view, member->second);
-    for (auto& name : carriers) {
+    auto forwarders = member == m_context.view.members.end() ? std::vector<std::string>() : getCarriers(m_context.view, member->second);
+    for (auto& name : forwarders) {
         bool isChosen = name == m_context.self.host || std::ranges::find(witnesses, name) != witnesses.end();
         if (!isChosen && m_context.peers.isUp(name) && witnesses.size() < kMaxWitnesses)
             witnesses.push_back(name);
--- a/src/gateway/statement_router.cpp
+++ b/src/gateway/statement_router.cpp
@@ -21,7 +21,7 @@
 {
     auto shared = std::make_shared<RoutedStatement>(std::move(routed));
     // Checked before queueing, so that operations beyond the quota do not delay those of other accounts.
-    m_context.quotas.begin(shared->order.account, [this, shared, done = std::move(done)](const std::optional<decisions::Error>& refusal) {
+    m_context.quotas.begin(shared->request.account, [this, shared, done = std::move(done)](const std::optional<decisions::Error>& refusal) {
         shared->isCounted = !refusal;
         if (refusal)
             refuse(shared, done, *refusal);
@@ -43,7 +43,7 @@
 bool StatementRouter::canForward(const std::string& host, const MemberBelief& member) const
 {
     if (host == m_context.name)
-        return !m_context.isTroubled(member.getTarget());
+        return !m_context.isUnreachable(member.getTarget());
     if (!m_context.peers.isUsable(host))
         return false;
     // A reachable host may not know the member, or not reach it.
@@ -132,7 +132,7 @@
         fail(routed, std::move(done), ErrorKind::Overloaded);
         return;
     }
-    if (now + kRetryDelay >= routed->order.deadline || m_context.isIsolated()) {
+    if (now + kRetryDelay >= routed->request.deadline || m_context.isIsolated()) {
         fail(routed, std::move(done), routed->needsPrimary ? ErrorKind::NoPrimary : ErrorKind::TooStale);
         return;
     }
@@ -158,17 +158,17 @@
         attempt(routed, std::move(done));
         return;
     }
-    auto order = routed->order;
-    order.atLeast = routed->requiredMark;
-    order.objective -= getReturnTime(forwarder);
-    if (order.kind == OrderKind::Single && routed->needsPrimary && !order.statement.isWrite)
-        order.kind = OrderKind::ProvenSingle;
+    auto request = routed->request;
+    request.atLeast = routed->requiredMark;
+    request.objective -= getReturnTime(forwarder);
+    if (request.kind == OrderKind::Single && routed->needsPrimary && !request.statement.isWrite)
+        request.kind = OrderKind::ProvenSingle;
     std::optional<TransactionHandle> transaction;
     bool isLocal = forwarder == m_context.name;
     auto pool = isLocal ? m_context.getPool(*target) : nullptr;
-    if (order.kind == OrderKind::Begin) {
+    if (request.kind == OrderKind::Begin) {
         transaction = TransactionHandle { *target, isLocal ? "" : forwarder, isLocal ? pool->takeTransactionNumber() : m_context.peers.takeTransactionNumber() };
-        order.transaction = transaction->number;
+        request.transaction = transaction->number;
     }
     auto onOutcome = [this, routed, target = *target, forwarder, transaction, done](const Outcome& outcome) {
         if (outcome.error && m_context.peers.lacksMember(forwarder, target.member))
@@ -176,9 +176,9 @@
         handleOutcome(routed, target, transaction, outcome, done);
     };
     if (isLocal)
-        pool->submit(std::move(order), onOutcome);
+        pool->submit(std::move(request), onOutcome);
     else
-        m_context.peers.sendOrder(forwarder, *target, order, onOutcome);
+        m_context.peers.sendOrder(forwarder, *target, request, onOutcome);
 }
 
 void StatementRouter::recordReadRefusal(const TargetAddress& target, const Mark& position, TimePoint now)
@@ -211,10 +211,10 @@
         recordReadRefusal(target, outcome.position, now);
     if (transaction)
         end(*transaction);
-    auto& statement = routed->order.statement;
+    auto& statement = routed->request.statement;
     // A single write that may have been received is never sent again. Other statements have no effect until their commit.
-    bool canRetry = decisions::canTryOtherTarget(kind) || (kind == ErrorKind::OutcomeUnknown && (!statement.isWrite || routed->order.kind == OrderKind::Begin));
-    bool hasTime = now + kRetryDelay < routed->order.deadline;
+    bool canRetry = decisions::canTryOtherTarget(kind) || (kind == ErrorKind::OutcomeUnknown && (!statement.isWrite || routed->request.kind == OrderKind::Begin));
+    bool hasTime = now + kRetryDelay < routed->request.deadline;
     if (!canRetry || !hasTime) {
         finish(*routed, outcome, std::nullopt, done, target);
         return;
@@ -224,15 +224,15 @@
 
 void StatementRouter::runNext(const TransactionHandle& transaction, RoutedStatement routed, RoutedCallback done)
 {
-    routed.order.kind = OrderKind::Continue;
-    routed.order.transaction = transaction.number;
+    routed.request.kind = OrderKind::Continue;
+    routed.request.transaction = transaction.number;
     routed.attempts = 1;
     auto shared = std::make_shared<RoutedStatement>(std::move(routed));
     auto onOutcome = [this, shared, transaction, done](const Outcome& outcome) { finish(*shared, outcome, transaction, done, transaction.target); };
     if (transaction.host.empty())
-        m_context.getPool(transaction.target)->submit(shared->order, onOutcome);
+        m_context.getPool(transaction.target)->submit(shared->request, onOutcome);
     else
-        m_context.peers.sendOrder(transaction.host, transaction.target, shared->order, onOutcome);
+        m_context.peers.sendOrder(transaction.host, transaction.target, shared->request, onOutcome);
 }
 
 void StatementRouter::end(const TransactionHandle& transaction)
@@ -252,11 +252,11 @@
 void StatementRouter::finish(const RoutedStatement& routed, const Outcome& outcome, const std::optional<TransactionHandle>& transaction, const RoutedCallback& done, const TargetAddress& target)
 {
     std::chrono::duration<double, std::milli> took = Clock::now() - routed.arrivedAt;
-    std::string_view kind = routed.order.statement.kind == StatementKind::Commit ? "commit" : routed.order.statement.isWrite ? "write"
-                                                                                                                             : "read";
+    std::string_view kind = routed.request.statement.kind == StatementKind::Commit ? "commit" : routed.request.statement.isWrite ? "write"
+                                                                                                                                 : "read";
     base::incrementCounter(base::MetricFamily::Statements, { { "database", routed.route.database }, { "kind", kind }, { "outcome", outcome.error ? decisions::getErrorRow(outcome.error->kind).name : "served" } });
     base::observeHistogram(base::MetricFamily::StatementSeconds, { { "database", routed.route.database }, { "kind", kind } }, took.count() / 1000);
-    bool isLate = Clock::now() > routed.order.objective;
+    bool isLate = Clock::now() > routed.request.objective;
     auto logClass = outcome.error || isLate ? LogClass::Failure : LogClass::Request;
     if (base::hasLogBudget(logClass)) {
         auto group = m_context.view.groups.find(routed.route.group);
@@ -267,14 +267,14 @@
         int64_t leavingMs = isLeaving ? std::chrono::duration_cast<milliseconds>(Clock::now() - *member->second.leavingSince).count() : -1;
         std::string_view result = outcome.error ? decisions::getErrorRow(outcome.error->kind).name : "served";
         base::logEvent(logClass, "request",
-            { { "request", std::string_view(routed.order.statement.id) }, { "session", std::string_view(routed.session) }, { "database", std::string_view(routed.route.database) },
-                { "group", std::string_view(routed.route.group) }, { "account", std::string_view(routed.order.account) }, { "kind", getName(routed.order.kind) }, { "target", std::string_view(target.member) }, { "target_leaving_ms", leavingMs },
+            { { "request", std::string_view(routed.request.statement.id) }, { "session", std::string_view(routed.session) }, { "database", std::string_view(routed.route.database) },
+                { "group", std::string_view(routed.route.group) }, { "account", std::string_view(routed.request.account) }, { "kind", getName(routed.request.kind) }, { "target", std::string_view(target.member) }, { "target_leaving_ms", leavingMs },
                 { "carrier", transaction ? std::string_view(transaction->host) : std::string_view() }, { "leader", primary }, { "need", std::string_view(requiredMark) },
                 { "configuration", static_cast<int64_t>(m_context.view.configuration.version) }, { "attempts", static_cast<int64_t>(routed.attempts) },
                 { "outcome", result }, { "reason", outcome.error ? std::string_view(outcome.error->message) : std::string_view() }, { "sent", outcome.wasSent }, { "ms", took.count() } });
     }
     if (routed.isCounted && outcome.error && !outcome.wasSent && !routed.wasSent)
-        m_context.quotas.giveBack(routed.order.account);
+        m_context.quotas.giveBack(routed.request.account);
     done(outcome, transaction);
 }
 
--- a/src/gateway/statement_router.h
+++ b/src/gateway/statement_router.h
@@ -16,7 +16,7 @@
 // A statement with the state of its attempts.
 struct RoutedStatement {
     decisions::DatabaseRoute route {};
-    Order order {};
+    Order request {};
     bool needsPrimary { false };
     Mark requiredMark {}; // for reads at a replica: its log must have reached this mark
     TimePoint arrivedAt {};
@@ -39,7 +39,7 @@
     std::string name; // of this host
     std::string dataCentre;
     std::function<std::shared_ptr<TargetPool>(const TargetAddress&)> getPool;
-    std::function<bool(const TargetAddress&)> isTroubled; // whether this host has failed to reach the target recently
+    std::function<bool(const TargetAddress&)> isUnreachable; // whether this host has failed to reach the target recently
     std::function<void(const std::string& group)> onNoPrimary;
     std::function<bool()> isIsolated; // this host has lost most other hosts, which may still reach the members
     milliseconds drainTime; // how long a leaving member accepts new operations
