--- a/src/daemon/gateway.cpp
+++ b/src/daemon/gateway.cpp
@@ -61,7 +61,7 @@
         if (signal == SIGHUP)
             watch.reload("signal");
         else
-            gateway.beginStop();
+            gateway.startShutdown();
         waitForSignal(signals, gateway, watch);
     });
 }
@@ -89,7 +89,7 @@
     SettingsWatch watch(path, *gateway);
     waitForSignal(signals, *gateway, watch);
     auto checks = timers->subscribe(context.get_executor(), kFileCheckInterval, [&] { watch.check(); });
-    auto begun = gateway->begin();
+    auto begun = gateway->start();
     if (!begun) {
         fmt::print(stderr, "{}\n", begun.error());
         return 1;
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -24,10 +24,10 @@
 static constexpr milliseconds kTroubleFor { 500 }; // a member that this host could not reach is left to others this long
 static constexpr milliseconds kInquiryLimit { 350 }; // a busy target answers a status within some tens of ms; ordinary answers count as well
 static constexpr milliseconds kUnlistedFor { 4000 }; // an unlisted member is forgotten then; entries that lapsed are back before
-static constexpr milliseconds kStartTakes { 1000 }; // callers of a host that starts wait this long for its configuration; 20 to 220 ms where the store answers
-static constexpr milliseconds kNoticeTime { 2200 }; // the balancer asks once a second and needs two refusals
-static constexpr milliseconds kEndReserve { 700 }; // of the grace time, for the last answers
-static constexpr milliseconds kLastAnswers { 50 }; // for bytes that wait in sockets before the process ends
+static constexpr milliseconds kInitialConfigurationWait { 1000 }; // callers of a host that starts wait this long for its configuration; 20 to 220 ms where the store answers
+static constexpr milliseconds kLoadBalancerNoticeTime { 2200 }; // the balancer asks once a second and needs two refusals
+static constexpr milliseconds kShutdownReserve { 700 }; // of the grace time, for the last answers
+static constexpr milliseconds kSocketFlushTime { 50 }; // for bytes that wait in sockets before the process ends
 static constexpr milliseconds kListedAgain { 2500 }; // entries that lapsed with the store are back within this
 static constexpr milliseconds kPartnersInterval { 500 }; // between two choices of partners while no host came or went
 static constexpr milliseconds kPlacementInterval { 500 }; // at most, between two looks at what this host carries while nothing that decides it changed
@@ -54,7 +54,7 @@
 
 Gateway::~Gateway() = default;
 
-tl::expected<void, std::string> Gateway::begin()
+tl::expected<void, std::string> Gateway::start()
 {
     m_startedAt = Clock::now();
     takeHost(m_view, m_self);
@@ -150,7 +150,7 @@
         if (!m_acceptor.is_open())
             return;
         if (!ec) {
-            SessionContext context { m_context, m_platform->getCodec(), m_view, m_router, m_isEnding, m_startedAt + kStartTakes, [this](const std::shared_ptr<CallerSession>& it) { m_sessions.erase(it); } };
+            SessionContext context { m_context, m_platform->getCodec(), m_view, m_router, m_isClosingSessions, m_startedAt + kInitialConfigurationWait, [this](const std::shared_ptr<CallerSession>& it) { m_sessions.erase(it); } };
             auto session = std::make_shared<CallerSession>(std::move(context), ++m_lastSession);
             m_sessions.insert(session);
             session->begin(std::move(socket));
@@ -515,14 +515,14 @@
     m_promoter.sweep(now);
     sweepSessions(now);
     if (m_isDraining)
-        sweepStop(now);
+        advanceShutdown(now);
     base::flushEventLog();
 }
 
 // What a session waits for lasts seconds, but for its host's first configuration.
 void Gateway::sweepSessions(TimePoint now)
 {
-    bool isStarting = now < m_startedAt + kStartTakes;
+    bool isStarting = now < m_startedAt + kInitialConfigurationWait;
     if (!isStarting && now - m_sessionsAt < kSessionsInterval)
         return;
     m_sessionsAt = now;
@@ -598,45 +598,45 @@
     m_settings = settings;
 }
 
-void Gateway::beginStop()
+void Gateway::startShutdown()
 {
     if (m_isDraining)
         return;
     m_isDraining = true;
     m_view.isPlacementDue = true;
-    m_stopBegan = Clock::now();
+    m_shutdownStartedAt = Clock::now();
     base::logEvent(LogClass::State, "stop-begins", { { "sessions", static_cast<int64_t>(m_sessions.size()) }, { "grace_ms", static_cast<int64_t>(m_settings.stopGraceMs) } });
 }
 
 // The balancer needs a while to send no more callers; then sessions are closed as they come to rest, and at half of the grace time
 // transactions are ended.
-void Gateway::sweepStop(TimePoint now)
+void Gateway::advanceShutdown(TimePoint now)
 {
-    auto passed = now - m_stopBegan;
+    auto passed = now - m_shutdownStartedAt;
     auto grace = milliseconds(m_settings.stopGraceMs);
-    if (passed < std::min(kNoticeTime, grace / 2))
+    if (passed < std::min(kLoadBalancerNoticeTime, grace / 2))
         return;
-    if (!m_isEnding)
+    if (!m_isClosingSessions)
         base::logEvent(LogClass::State, "stop-closing", { { "sessions", static_cast<int64_t>(m_sessions.size()) } });
-    m_isEnding = true;
+    m_isClosingSessions = true;
     auto sessions = std::vector(m_sessions.begin(), m_sessions.end());
     for (auto& it : sessions) {
         it->drain();
         if (passed > grace / 2 && it->isBusy() && !it->isRunning())
             it->abort();
     }
-    if (!m_sessions.empty() && passed < grace - kEndReserve)
+    if (!m_sessions.empty() && passed < grace - kShutdownReserve)
         return;
     m_sweep.stop();
-    asio::co_spawn(m_context, finishStop(), asio::detached);
+    asio::co_spawn(m_context, finishShutdown(), asio::detached);
 }
 
-asio::awaitable<void> Gateway::finishStop()
+asio::awaitable<void> Gateway::finishShutdown()
 {
     auto cut = static_cast<int64_t>(m_sessions.size());
     m_peers.stop();
     co_await m_directory.end();
-    co_await base::sleepFor(kLastAnswers);
+    co_await base::sleepFor(kSocketFlushTime);
     base::logEvent(LogClass::State, "stop", { { "sessions_cut", cut } });
     base::flushEventLog();
     m_context.stop();
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -17,9 +17,9 @@
     Gateway(boost::asio::io_context& context, base::TimerService& timers, base::GatewaySettings settings, std::unique_ptr<links::PlatformAdapter> platform);
     ~Gateway();
 
-    tl::expected<void, std::string> begin();
+    tl::expected<void, std::string> start();
     // A planned stop. The executor is stopped when it is done.
-    void beginStop();
+    void startShutdown();
     // The settings file may have changed.
     void reload(const base::GatewaySettings& settings);
     bool isReady() const;
@@ -31,7 +31,7 @@
     void sweepSessions(TimePoint now);
     void forgetUnlisted(TimePoint now);
     void placePools(TimePoint now);
-    void sweepStop(TimePoint now);
+    void advanceShutdown(TimePoint now);
     std::shared_ptr<TargetPool> getPool(const TargetAddress& target);
     void compareWithReplicas(const std::string& group);
     struct ComparisonRound;
@@ -71,7 +71,7 @@
     boost::asio::awaitable<links::HttpResponse> answerReady(links::HttpRequest request);
     void noteReadiness();
     void measure() const;
-    boost::asio::awaitable<void> finishStop();
+    boost::asio::awaitable<void> finishShutdown();
 
     boost::asio::io_context& m_context;
     base::GatewaySettings m_settings;
@@ -105,9 +105,9 @@
     base::TimerService& m_timers;
     base::TimerSubscription m_sweep;
     TimePoint m_startedAt {};
-    TimePoint m_stopBegan {};
+    TimePoint m_shutdownStartedAt {};
     bool m_isDraining { false };
-    bool m_isEnding { false };
+    bool m_isClosingSessions { false };
     bool m_wasReady { false };
 };
 
