--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -34,7 +34,7 @@
 static constexpr milliseconds kForgetInterval { 500 }; // between two looks for members that have been unlisted for kUnlistedFor
 static constexpr milliseconds kSessionsInterval { 100 }; // how late a transaction that rested too long is ended; operators allow it seconds
 static constexpr milliseconds kRelayAskedFor { 2000 }; // a host that others ask what it hears goes on relaying this long
-static constexpr milliseconds kLeadAskInterval { 500 }; // between two questions to a listed primary while nobody is known to lead; a change of primary takes longer
+static constexpr milliseconds kPrimaryClaimCheckInterval { 500 }; // between two questions to a listed primary while nobody is known to lead; a change of primary takes longer
 static constexpr unsigned kSpareConnections = 2; // of a member's limit, for inquiries and newcomers
 
 Gateway::Gateway(asio::io_context& context, base::TimerService& timers, base::GatewaySettings settings, std::unique_ptr<links::PlatformAdapter> platform)
@@ -46,7 +46,7 @@
     , m_quotas({ m_view, m_peers, m_settings.name, m_self.incarnation, getQuotaRule(), m_isDraining, [this](size_t shard, const std::set<std::string>& accounts, std::function<void(bool)> done) { writeNearAccounts(shard, accounts, std::move(done)); } })
     , m_router({ context, m_view, m_peers, m_settings.name, m_settings.dataCentre, [this](const TargetAddress& it) { return getPool(it); }, [this](const TargetAddress& it) { return isTroubled(it); }, [this](const std::string& group) { raiseAlarm(group, "no primary is known"); }, [this] { return !decisions::canJudgePrimary(m_peers.countInReach()); }, getDrainTime(), m_quotas })
     , m_directory(context, *m_platform, m_self, { milliseconds(m_settings.storeCallTimeoutMs), milliseconds(m_settings.watchWaitMs), milliseconds(m_settings.longWatchWaitMs), milliseconds(m_settings.leaseMs) }, makeDirectoryEvents())
-    , m_promoter({ context, m_view, m_peers, *m_platform, { m_self.name, m_self.incarnation }, [this](const TargetAddress& it, std::function<void(const StatusReport&)> done) { inquire(it, std::move(done)); }, [this](const std::string&, const std::string& member, milliseconds time) { holdWrites(member, time); }, [this] { return m_directory.isReachable(); }, [this](const std::string& group, const decisions::KnownPrimary& before, std::string_view source) { noteLead(group, before, source); }, m_isDraining })
+    , m_promoter({ context, m_view, m_peers, *m_platform, { m_self.name, m_self.incarnation }, [this](const TargetAddress& it, std::function<void(const StatusReport&)> done) { inquire(it, std::move(done)); }, [this](const std::string&, const std::string& member, milliseconds time) { holdWrites(member, time); }, [this] { return m_directory.isReachable(); }, [this](const std::string& group, const decisions::KnownPrimary& before, std::string_view source) { notifyPrimaryChange(group, before, source); }, m_isDraining })
     , m_acceptor(context)
     , m_timers(timers)
 {
@@ -194,13 +194,13 @@
     observer.getKnown = [this](const TargetAddress& target) { return getKnownMark(m_view.groups[target.group]); };
     observer.onLostLog = [this](const TargetAddress& target, const Mark& position) {
         base::logEvent(LogClass::State, "primary-lost-log", { { "group", std::string_view(target.group) }, { "member", std::string_view(target.member) }, { "term", static_cast<int64_t>(position.term) }, { "position", static_cast<int64_t>(position.position) } });
-        takeLead(target.group, decisions::applyPrimaryDenial(m_view.groups[target.group].lead, target.member), "denied");
+        setKnownPrimary(target.group, decisions::applyPrimaryDenial(m_view.groups[target.group].lead, target.member), "denied");
     };
     observer.leads = [this](const TargetAddress& target) { return m_view.groups[target.group].lead.member == target.member; };
     observer.onLeads = [this](const TargetAddress& target, const Mark& position, TimePoint sentAt) {
-        takeShown(target.group, target.member, position.term, sentAt, ShownTo::ThisHost);
+        handlePrimaryProof(target.group, target.member, position.term, sentAt, ShownTo::ThisHost);
         if (m_view.groups[target.group].lead.member == target.member) {
-            takeFloor(target.group, { position, sentAt });
+            recordFloor(target.group, { position, sentAt });
             m_view.groups[target.group].provenAt = Clock::now();
             m_promoter.noteProof(target.group, Clock::now());
         }
@@ -209,7 +209,7 @@
         auto& group = m_view.groups[target.group];
         auto before = group.lead;
         denyLead(group, target.member, Clock::now());
-        noteLead(target.group, before, "denied");
+        notifyPrimaryChange(target.group, before, "denied");
     };
     observer.onPosition = [this](const TargetAddress& target, const Mark& position) {
         auto it = m_view.members.find(target.member);
@@ -290,14 +290,14 @@
         if (!m_view.members.contains(it.member()))
             continue;
         if (askedAt)
-            takeShown(it.group(), it.member(), it.term(), *askedAt, ShownTo::AnotherHost);
+            handlePrimaryProof(it.group(), it.member(), it.term(), *askedAt, ShownTo::AnotherHost);
         else
-            takeAssumed(it.group(), it.member(), it.term());
+            handleAssumedPrimary(it.group(), it.member(), it.term());
     }
     takePositions(m_view, message, sentAt);
     for (auto& it : message.floors()) {
         auto provenAt = sentAt - microseconds(it.age_us());
-        takeFloor(it.group(), { { it.mark().term(), it.mark().position() }, provenAt });
+        recordFloor(it.group(), { { it.mark().term(), it.mark().position() }, provenAt });
         m_promoter.noteProof(it.group(), provenAt);
     }
 }
@@ -320,7 +320,7 @@
         m_promoter.noteOrder(group, host);
         if (!m_view.members.contains(member))
             return;
-        takeOrdered(group, member, term);
+        handlePromotionOrder(group, member, term);
     };
     service.fillPing = [this](peer::Ping& ping) {
         ping.set_configuration(m_view.configuration.version);
@@ -571,8 +571,8 @@
     auto place = getPlace();
     for (auto& [id, member] : m_view.members) {
         // Asked again while nobody is known to lead: one answer that is missing or came too early would leave this host's callers without a primary for good.
-        if (m_view.groups[member.listed.group].lead.member.empty() && now - member.leadAskedAt >= kLeadAskInterval)
-            askWhetherItLeads(member);
+        if (m_view.groups[member.listed.group].lead.member.empty() && now - member.leadAskedAt >= kPrimaryClaimCheckInterval)
+            verifyPrimaryClaim(member);
         bool leads = m_view.groups[member.listed.group].lead.member == id;
         if ((leads || mustShow(member)) && isCarrier(m_view, m_peers, place, member))
             getPool(member.getTarget());
--- a/src/gateway/gateway_leads.cpp
+++ b/src/gateway/gateway_leads.cpp
@@ -88,7 +88,7 @@
 }
 
 // A host that carries to a member which says that it leads finds out whether it does. Others prove the lead through this host only, so nobody would tell it.
-void Gateway::askWhetherItLeads(MemberBelief& member)
+void Gateway::verifyPrimaryClaim(MemberBelief& member)
 {
     if (!member.listed.saysPrimary || !isCarrier(m_view, m_peers, getPlace(), member))
         return;
@@ -96,45 +96,45 @@
     auto known = getKnownMark(m_view.groups[member.listed.group]);
     inquire(member.getTarget(), [this, id = member.listed.id, name = member.listed.group, known, askedAt = member.leadAskedAt](const StatusReport& report) {
         if (report.status.isPrimary && !decisions::hasLostLog(known, report.status.received))
-            takeShown(name, id, report.status.term, askedAt, ShownTo::ThisHost);
+            handlePrimaryProof(name, id, report.status.term, askedAt, ShownTo::ThisHost);
     });
 }
 
-void Gateway::takeLead(const std::string& group, const decisions::KnownPrimary& lead, std::string_view source)
+void Gateway::setKnownPrimary(const std::string& group, const decisions::KnownPrimary& lead, std::string_view source)
 {
     auto& current = m_view.groups[group].lead;
     auto before = current;
     current = lead;
-    noteLead(group, before, source);
+    notifyPrimaryChange(group, before, source);
 }
 
-void Gateway::takeShown(const std::string& group, const std::string& member, uint64_t term, TimePoint askedAt, ShownTo shownTo)
+void Gateway::handlePrimaryProof(const std::string& group, const std::string& member, uint64_t term, TimePoint askedAt, ShownTo shownTo)
 {
     auto& belief = m_view.groups[group];
     auto before = belief.lead;
     takeShownLead(belief, member, term, askedAt, shownTo);
-    noteLead(group, before, shownTo == ShownTo::ThisHost ? "proof" : "told");
+    notifyPrimaryChange(group, before, shownTo == ShownTo::ThisHost ? "proof" : "told");
     if (shownTo == ShownTo::ThisHost)
-        noteRefusedProof(group, member, term);
+        logRefusedProof(group, member, term);
 }
 
-void Gateway::takeOrdered(const std::string& group, const std::string& member, uint64_t term)
+void Gateway::handlePromotionOrder(const std::string& group, const std::string& member, uint64_t term)
 {
     auto& belief = m_view.groups[group];
     auto before = belief.lead;
     takeOrderedLead(belief, member, term, Clock::now());
-    noteLead(group, before, "ordered");
+    notifyPrimaryChange(group, before, "ordered");
 }
 
-void Gateway::takeAssumed(const std::string& group, const std::string& member, uint64_t term)
+void Gateway::handleAssumedPrimary(const std::string& group, const std::string& member, uint64_t term)
 {
     auto& belief = m_view.groups[group];
     auto before = belief.lead;
     takeAssumedLead(belief, member, term, Clock::now());
-    noteLead(group, before, "told");
+    notifyPrimaryChange(group, before, "told");
 }
 
-void Gateway::noteLead(const std::string& group, const decisions::KnownPrimary& before, std::string_view source)
+void Gateway::notifyPrimaryChange(const std::string& group, const decisions::KnownPrimary& before, std::string_view source)
 {
     auto& belief = m_view.groups[group];
     auto& lead = belief.lead;
@@ -150,7 +150,7 @@
 }
 
 // A member shows that it leads in an older term than the one that this host believes the group to be in. A line for each such member and term, not for each proof.
-void Gateway::noteRefusedProof(const std::string& group, const std::string& member, uint64_t term)
+void Gateway::logRefusedProof(const std::string& group, const std::string& member, uint64_t term)
 {
     auto& belief = m_view.groups[group];
     decisions::KnownPrimary refused { member, term, true };
@@ -160,7 +160,7 @@
     base::logEvent(LogClass::State, "proof-refused", { { "group", std::string_view(group) }, { "member", std::string_view(member) }, { "term", static_cast<int64_t>(term) }, { "known", std::string_view(belief.lead.member) }, { "known_term", static_cast<int64_t>(belief.lead.term) } });
 }
 
-void Gateway::takeFloor(const std::string& group, const decisions::Floor& floor)
+void Gateway::recordFloor(const std::string& group, const decisions::Floor& floor)
 {
     auto& floors = m_view.groups[group].floors;
     floors = decisions::addFloor(std::move(floors), floor);
--- a/src/gateway/gateway_members.cpp
+++ b/src/gateway/gateway_members.cpp
@@ -10,7 +10,7 @@
 using base::Clock;
 using base::LogClass;
 
-static constexpr milliseconds kProofMissed { 1500 }; // without a floor of this age the leader has not shown itself: proofs come each 250 ms, pings each second at most
+static constexpr milliseconds kProofTimeout { 1500 }; // without a floor of this age the leader has not shown itself: proofs come each 250 ms, pings each second at most
 static constexpr milliseconds kMembersInterval { 500 }; // between two questions for members to hosts that have the store
 
 // `source`: the store itself, or a host that has it.
@@ -44,7 +44,7 @@
         m_pools.erase(it);
         pool->shutDown("the member started again");
     }
-    askWhetherItLeads(m_view.members.at(member.id));
+    verifyPrimaryClaim(m_view.members.at(member.id));
 }
 
 void Gateway::takeUnlisted(const std::string& id, uint64_t revision, std::string_view source)
@@ -89,13 +89,13 @@
 void Gateway::takeRoleChange(const links::RegisteredMember& before, const links::RegisteredMember& now)
 {
     auto& group = m_view.groups[now.group];
-    bool isFresh = !group.floors.isEmpty() && Clock::now() - group.floors.floors.back().coveredUntil < kProofMissed;
+    bool isFresh = !group.floors.isEmpty() && Clock::now() - group.floors.floors.back().coveredUntil < kProofTimeout;
     if (before.saysPrimary == now.saysPrimary || isFresh)
         return;
     if (now.saysPrimary && group.lead.member != now.id)
-        takeLead(now.group, { now.id, group.lead.term, false }, "listed");
+        setKnownPrimary(now.group, { now.id, group.lead.term, false }, "listed");
     else if (!now.saysPrimary)
-        takeLead(now.group, decisions::applyPrimaryDenial(group.lead, now.id), "listed");
+        setKnownPrimary(now.group, decisions::applyPrimaryDenial(group.lead, now.id), "listed");
 }
 
 }
