--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -35,8 +35,8 @@
     std::shared_ptr<TargetPool> getPool(const TargetAddress& target);
     void compareWithReplicas(const std::string& group);
     struct ComparisonRound;
-    void endComparison(const ComparisonRound& round);
-    Comparison getComparison(const TargetAddress& target);
+    void finishComparison(const ComparisonRound& round);
+    Comparison ensureComparison(const TargetAddress& target);
     decisions::QuotaRule getQuotaRule() const;
     void writeNearAccounts(size_t shard, const std::set<std::string>& accounts, std::function<void(bool)> done);
     PoolLimits getLimits(const TargetAddress& target) const;
--- a/src/gateway/gateway_leads.cpp
+++ b/src/gateway/gateway_leads.cpp
@@ -9,18 +9,18 @@
 using base::Clock;
 using base::LogClass;
 
-static constexpr milliseconds kCompareInterval { 400 }; // between two times that replicas are asked what they hold, which takes up to kInquiryLimit
+static constexpr milliseconds kComparisonInterval { 400 }; // between two times that replicas are asked what they hold, which takes up to kInquiryLimit
 
 // The replicas of one group, as they are asked what they hold.
 struct Gateway::ComparisonRound {
     std::string group;
     std::string primary;
-    links::MemberIncarnation life; // of the primary's process
+    links::MemberIncarnation incarnation; // of the primary's process
     std::vector<decisions::QueriedReplica> replicas {};
-    size_t left { 0 }; // that have not answered yet, nor been given up
+    size_t pendingCount { 0 }; // that have not answered yet, nor been given up
 };
 
-Comparison Gateway::getComparison(const TargetAddress& target)
+Comparison Gateway::ensureComparison(const TargetAddress& target)
 {
     auto& group = m_view.groups[target.group];
     bool isKnown = m_view.members.contains(target.member);
@@ -39,7 +39,7 @@
 {
     auto now = Clock::now();
     auto& group = m_view.groups[name];
-    if (group.isComparing || now - group.comparedAt < kCompareInterval)
+    if (group.isComparing || now - group.comparedAt < kComparisonInterval)
         return;
     group.isComparing = true;
     group.comparedAt = now;
@@ -54,28 +54,28 @@
         bool isOlder = mayBeOlder(member.listed.incarnation, primary.incarnation);
         round->replicas.push_back({ false, isOlder, !isOlder && mayBeOlder(primary.incarnation, member.listed.incarnation) });
     }
-    round->left = targets.size();
+    round->pendingCount = targets.size();
     if (targets.empty())
-        endComparison(*round);
+        finishComparison(*round);
     for (size_t i = 0; i < targets.size(); ++i) {
         inquire(targets[i], [this, round, i](const StatusReport& report) {
             auto& group = m_view.groups[round->group];
             round->replicas[i].hasAnswered = report.status.term != 0;
             if (report.status.term != 0)
                 group.heldByReplicas = std::max(group.heldByReplicas, report.status.received);
-            if (--round->left == 0)
-                endComparison(*round);
+            if (--round->pendingCount == 0)
+                finishComparison(*round);
         });
     }
 }
 
-void Gateway::endComparison(const ComparisonRound& round)
+void Gateway::finishComparison(const ComparisonRound& round)
 {
     auto& group = m_view.groups[round.group];
     group.isComparing = false;
     m_view.isPlacementDue = true;
     auto primary = m_view.members.find(round.primary);
-    bool isSame = primary != m_view.members.end() && group.lead.member == round.primary && !isOtherLife(round.life, primary->second.listed.incarnation);
+    bool isSame = primary != m_view.members.end() && group.lead.member == round.primary && !isOtherLife(round.incarnation, primary->second.listed.incarnation);
     if (!isSame) { // it is compared anew, if need be
         group.comparedAt = {};
         return;
