--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -21,8 +21,8 @@
 static constexpr milliseconds kSweepInterval { 20 }; // how late a limit may be noticed
 static constexpr milliseconds kProofInterval { 250 }; // how old the newest floor may get while nothing else renews it
 static constexpr milliseconds kPositionInterval { 100 }; // how late a carrier notices that a replica which was far behind has caught up
-static constexpr milliseconds kTroubleFor { 500 }; // a member that this host could not reach is left to others this long
-static constexpr milliseconds kInquiryLimit { 350 }; // a busy target answers a status within some tens of ms; ordinary answers count as well
+static constexpr milliseconds kFailureCooldown { 500 }; // a member that this host could not reach is left to others this long
+static constexpr milliseconds kStatusQueryTimeout { 350 }; // a busy target answers a status within some tens of ms; ordinary answers count as well
 static constexpr milliseconds kUnlistedFor { 4000 }; // an unlisted member is forgotten then; entries that lapsed are back before
 static constexpr milliseconds kInitialConfigurationWait { 1000 }; // callers of a host that starts wait this long for its configuration; 20 to 220 ms where the store answers
 static constexpr milliseconds kLoadBalancerNoticeTime { 2200 }; // the balancer asks once a second and needs two refusals
@@ -44,9 +44,9 @@
     , m_self { m_settings.name, m_settings.peerAddress, m_settings.dataCentre, static_cast<uint64_t>(base::getRandom() * 1e15) + 1 }
     , m_peers(context, m_settings.name, makePeerService())
     , m_quotas({ m_view, m_peers, m_settings.name, m_self.incarnation, getQuotaRule(), m_isDraining, [this](size_t shard, const std::set<std::string>& accounts, std::function<void(bool)> done) { writeNearAccounts(shard, accounts, std::move(done)); } })
-    , m_router({ context, m_view, m_peers, m_settings.name, m_settings.dataCentre, [this](const TargetAddress& it) { return getPool(it); }, [this](const TargetAddress& it) { return isTroubled(it); }, [this](const std::string& group) { raiseAlarm(group, "no primary is known"); }, [this] { return !decisions::canJudgePrimary(m_peers.countInReach()); }, getDrainTime(), m_quotas })
+    , m_router({ context, m_view, m_peers, m_settings.name, m_settings.dataCentre, [this](const TargetAddress& it) { return getPool(it); }, [this](const TargetAddress& it) { return hasRecentFailure(it); }, [this](const std::string& group) { raiseAlarm(group, "no primary is known"); }, [this] { return !decisions::canJudgePrimary(m_peers.countInReach()); }, getDrainTime(), m_quotas })
     , m_directory(context, *m_platform, m_self, { milliseconds(m_settings.storeCallTimeoutMs), milliseconds(m_settings.watchWaitMs), milliseconds(m_settings.longWatchWaitMs), milliseconds(m_settings.leaseMs) }, makeDirectoryEvents())
-    , m_promoter({ context, m_view, m_peers, *m_platform, { m_self.name, m_self.incarnation }, [this](const TargetAddress& it, std::function<void(const StatusReport&)> done) { inquire(it, std::move(done)); }, [this](const std::string&, const std::string& member, milliseconds time) { holdWrites(member, time); }, [this] { return m_directory.isReachable(); }, [this](const std::string& group, const decisions::KnownPrimary& before, std::string_view source) { notifyPrimaryChange(group, before, source); }, m_isDraining })
+    , m_promoter({ context, m_view, m_peers, *m_platform, { m_self.name, m_self.incarnation }, [this](const TargetAddress& it, std::function<void(const StatusReport&)> done) { queryStatus(it, std::move(done)); }, [this](const std::string&, const std::string& member, milliseconds time) { holdWrites(member, time); }, [this] { return m_directory.isReachable(); }, [this](const std::string& group, const decisions::KnownPrimary& before, std::string_view source) { notifyPrimaryChange(group, before, source); }, m_isDraining })
     , m_acceptor(context)
     , m_timers(timers)
 {
@@ -261,10 +261,10 @@
         it->second->holdWrites(Clock::now() + time);
 }
 
-bool Gateway::isTroubled(const TargetAddress& target) const
+bool Gateway::hasRecentFailure(const TargetAddress& target) const
 {
     auto it = m_view.members.find(target.member);
-    return it != m_view.members.end() && it->second.troubleAt != TimePoint {} && Clock::now() - it->second.troubleAt < kTroubleFor;
+    return it != m_view.members.end() && it->second.troubleAt != TimePoint {} && Clock::now() - it->second.troubleAt < kFailureCooldown;
 }
 
 void Gateway::fillStatus(peer::Pong& message) const
@@ -309,8 +309,8 @@
         auto member = m_view.members.find(id);
         return member == m_view.members.end() ? nullptr : getPool(member->second.getTarget());
     };
-    service.isTroubled = [this](const TargetAddress& target) { return isTroubled(target); };
-    service.inquire = [this](const TargetAddress& target, std::function<void(const StatusReport&)> done) { inquire(target, std::move(done)); };
+    service.isTroubled = [this](const TargetAddress& target) { return hasRecentFailure(target); };
+    service.inquire = [this](const TargetAddress& target, std::function<void(const StatusReport&)> done) { queryStatus(target, std::move(done)); };
     service.onAlarm = [this](const std::string& group, const std::string& member, const std::string& reason) {
         if (m_view.groups[group].lead.member == member || member.empty())
             m_promoter.raiseAlarm(group, reason);
@@ -341,10 +341,10 @@
                 writeChanges(pong, m_directory.getChanges(ping.known_revision()), now);
         }
         for (auto& [member, pool] : m_pools) {
-            bool isOfUse = pool->isCarrier() || isTroubled(pool->getTarget());
+            bool isOfUse = pool->isCarrier() || hasRecentFailure(pool->getTarget());
             if (!isOfUse)
                 continue;
-            writeLoad(*pong.add_loads(), member, pool->getLoad(), isTroubled(pool->getTarget()));
+            writeLoad(*pong.add_loads(), member, pool->getLoad(), hasRecentFailure(pool->getTarget()));
         }
         for (auto& wire : *pong.mutable_loads())
             writePosition(wire, m_view, now);
@@ -458,12 +458,12 @@
 }
 
 // Asks a member for its status on a connection of its own. Any answer to ordinary statements meanwhile shows that it lives, too.
-void Gateway::inquire(const TargetAddress& target, std::function<void(const StatusReport&)> done)
+void Gateway::queryStatus(const TargetAddress& target, std::function<void(const StatusReport&)> done)
 {
     auto session = std::make_shared<TargetSession>(m_context.get_executor(), m_platform->getCodec());
     auto began = Clock::now();
     auto shared = std::make_shared<std::function<void(const StatusReport&)>>(std::move(done));
-    auto timer = std::make_shared<asio::steady_timer>(m_context, kInquiryLimit);
+    auto timer = std::make_shared<asio::steady_timer>(m_context, kStatusQueryTimeout);
     auto finish = [this, shared, session, timer, target, began](const StatusReport& finding) {
         if (!*shared)
             return;
@@ -482,7 +482,7 @@
             finish({});
     });
     session->open(
-        target, m_settings.name, kInquiryLimit, [this, session, finish](const Outcome& outcome) {
+        target, m_settings.name, kStatusQueryTimeout, [this, session, finish](const Outcome& outcome) {
             if (outcome.error) {
                 // A member that refuses lives; one that is another than expected does not count.
                 StatusReport finding;
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -43,7 +43,7 @@
     PoolObserver makeObserver();
     PeerService makePeerService();
     DirectoryEvents makeDirectoryEvents();
-    void inquire(const TargetAddress& target, std::function<void(const StatusReport&)> done);
+    void queryStatus(const TargetAddress& target, std::function<void(const StatusReport&)> done);
     void holdWrites(const std::string& member, milliseconds time);
     void setKnownPrimary(const std::string& group, const decisions::KnownPrimary& lead, std::string_view source);
     void handlePrimaryProof(const std::string& group, const std::string& member, uint64_t term, TimePoint askedAt, ShownTo shownTo);
@@ -54,7 +54,7 @@
     void logRefusedProof(const std::string& group, const std::string& member, uint64_t term);
     void recordFloor(const std::string& group, const decisions::Floor& floor);
     void raiseAlarm(const std::string& group, const std::string& reason);
-    bool isTroubled(const TargetAddress& target) const;
+    bool hasRecentFailure(const TargetAddress& target) const;
     void fillStatus(peer::Pong& message) const;
     void takeStatus(const peer::Pong& message, TimePoint sentAt);
     void takeListed(const links::RegisteredMember& member, uint64_t revision, TimePoint leavingSince, std::string_view source);
--- a/src/gateway/gateway_leads.cpp
+++ b/src/gateway/gateway_leads.cpp
@@ -58,7 +58,7 @@
     if (targets.empty())
         finishComparison(*round);
     for (size_t i = 0; i < targets.size(); ++i) {
-        inquire(targets[i], [this, round, i](const StatusReport& report) {
+        queryStatus(targets[i], [this, round, i](const StatusReport& report) {
             auto& group = m_view.groups[round->group];
             round->replicas[i].hasAnswered = report.status.term != 0;
             if (report.status.term != 0)
@@ -94,7 +94,7 @@
         return;
     member.leadAskedAt = Clock::now();
     auto known = getKnownMark(m_view.groups[member.listed.group]);
-    inquire(member.getTarget(), [this, id = member.listed.id, name = member.listed.group, known, askedAt = member.leadAskedAt](const StatusReport& report) {
+    queryStatus(member.getTarget(), [this, id = member.listed.id, name = member.listed.group, known, askedAt = member.leadAskedAt](const StatusReport& report) {
         if (report.status.isPrimary && !decisions::hasLostLog(known, report.status.received))
             handlePrimaryProof(name, id, report.status.term, askedAt, ShownTo::ThisHost);
     });
