--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -23,7 +23,7 @@
 static constexpr milliseconds kPositionInterval { 100 }; // how late a carrier notices that a replica which was far behind has caught up
 static constexpr milliseconds kFailureCooldown { 500 }; // a member that this host could not reach is left to others this long
 static constexpr milliseconds kStatusQueryTimeout { 350 }; // a busy target answers a status within some tens of ms; ordinary answers count as well
-static constexpr milliseconds kUnlistedFor { 4000 }; // an unlisted member is forgotten then; entries that lapsed are back before
+static constexpr milliseconds kUnlistedRetention { 4000 }; // an unlisted member is forgotten then; entries that lapsed are back before
 static constexpr milliseconds kInitialConfigurationWait { 1000 }; // callers of a host that starts wait this long for its configuration; 20 to 220 ms where the store answers
 static constexpr milliseconds kLoadBalancerNoticeTime { 2200 }; // the balancer asks once a second and needs two refusals
 static constexpr milliseconds kShutdownReserve { 700 }; // of the grace time, for the last answers
@@ -31,7 +31,7 @@
 static constexpr milliseconds kListedAgain { 2500 }; // entries that lapsed with the store are back within this
 static constexpr milliseconds kPartnersInterval { 500 }; // between two choices of partners while no host came or went
 static constexpr milliseconds kPlacementInterval { 500 }; // at most, between two looks at what this host carries while nothing that decides it changed
-static constexpr milliseconds kForgetInterval { 500 }; // between two looks for members that have been unlisted for kUnlistedFor
+static constexpr milliseconds kUnlistedSweepInterval { 500 }; // between two looks for members that have been unlisted for kUnlistedFor
 static constexpr milliseconds kSessionsInterval { 100 }; // how late a transaction that rested too long is ended; operators allow it seconds
 static constexpr milliseconds kRelayAskedFor { 2000 }; // a host that others ask what it hears goes on relaying this long
 static constexpr milliseconds kPrimaryClaimCheckInterval { 500 }; // between two questions to a listed primary while nobody is known to lead; a change of primary takes longer
@@ -359,7 +359,7 @@
         if (!answer.lacks_store())
             writeMembers(answer, m_view, question.since(), Clock::now());
     };
-    service.onMembers = [this](const std::string&, const peer::MembersAnswer& answer, TimePoint sentAt) { takeMembers(answer, sentAt); };
+    service.onMembers = [this](const std::string&, const peer::MembersAnswer& answer, TimePoint sentAt) { handleMembersAnswer(answer, sentAt); };
     service.takeQuotaReport = [this](const peer::QuotaReport& report) { return m_quotas.takeReport(report); };
     service.answerQuotaAsk = [this](const peer::QuotaAsk& ask) { return m_quotas.answerAsk(ask); };
     service.onQuotaState = [this](const std::string& host, const peer::QuotaState& state) { m_quotas.takeState(host, state); };
@@ -391,9 +391,9 @@
         m_partnersDue = true;
     };
     events.onMember = [this](const links::RegisteredMember& member, uint64_t revision, std::optional<TimePoint> changedAt) {
-        takeListed(member, revision, changedAt ? *changedAt : decisions::estimateLeavingSince(getDrainTime(), Clock::now()), "listed");
+        handleMemberListed(member, revision, changedAt ? *changedAt : decisions::estimateLeavingSince(getDrainTime(), Clock::now()), "listed");
     };
-    events.onMemberGone = [this](const std::string& id, uint64_t revision) { takeUnlisted(id, revision, "listed"); };
+    events.onMemberGone = [this](const std::string& id, uint64_t revision) { handleMemberUnlisted(id, revision, "listed"); };
     events.onMembersRead = [this] { m_view.hasMembers = true; };
     events.onHost = [this](const links::RegisteredHost& host) {
         if (host.name == m_self.name)
@@ -507,7 +507,7 @@
     auto now = Clock::now();
     noteReadiness();
     sweepHosts(now);
-    askForMembers(now);
+    requestMembers(now);
     sweepPools(now);
     m_peers.sweep(now);
     m_quotas.sweep(now);
@@ -531,12 +531,12 @@
         it->sweep(now);
 }
 
-void Gateway::forgetUnlisted(TimePoint now)
+void Gateway::removeUnlistedMembers(TimePoint now)
 {
-    if (now - m_forgottenAt < kForgetInterval)
+    if (now - m_unlistedSweptAt < kUnlistedSweepInterval)
         return;
-    m_forgottenAt = now;
-    for (auto& id : forgetMembers(m_view, kUnlistedFor, now)) {
+    m_unlistedSweptAt = now;
+    for (auto& id : forgetMembers(m_view, kUnlistedRetention, now)) {
         auto it = m_pools.find(id);
         if (it == m_pools.end())
             continue;
@@ -547,7 +547,7 @@
 
 void Gateway::sweepPools(TimePoint now)
 {
-    forgetUnlisted(now);
+    removeUnlistedMembers(now);
     bool isPlacementDue = m_view.isPlacementDue || m_placedVersion != m_peers.getVersion() || now - m_placedAt >= kPlacementInterval;
     if (isPlacementDue)
         placePools(now);
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -29,7 +29,7 @@
     void sweep();
     void sweepPools(TimePoint now);
     void sweepSessions(TimePoint now);
-    void forgetUnlisted(TimePoint now);
+    void removeUnlistedMembers(TimePoint now);
     void placePools(TimePoint now);
     void advanceShutdown(TimePoint now);
     std::shared_ptr<TargetPool> getPool(const TargetAddress& target);
@@ -57,13 +57,13 @@
     bool hasRecentFailure(const TargetAddress& target) const;
     void fillStatus(peer::Pong& message) const;
     void takeStatus(const peer::Pong& message, TimePoint sentAt);
-    void takeListed(const links::RegisteredMember& member, uint64_t revision, TimePoint leavingSince, std::string_view source);
-    void endLife(const links::RegisteredMember& member);
+    void handleMemberListed(const links::RegisteredMember& member, uint64_t revision, TimePoint leavingSince, std::string_view source);
+    void handleMemberRestart(const links::RegisteredMember& member);
     void verifyPrimaryClaim(MemberBelief& member);
-    void takeUnlisted(const std::string& id, uint64_t revision, std::string_view source);
-    void askForMembers(TimePoint now);
-    void takeMembers(const peer::MembersAnswer& answer, TimePoint sentAt);
-    void takeRoleChange(const links::RegisteredMember& before, const links::RegisteredMember& now);
+    void handleMemberUnlisted(const std::string& id, uint64_t revision, std::string_view source);
+    void requestMembers(TimePoint now);
+    void handleMembersAnswer(const peer::MembersAnswer& answer, TimePoint sentAt);
+    void handleRoleChange(const links::RegisteredMember& before, const links::RegisteredMember& now);
     void tellPeers();
     void sweepHosts(TimePoint now);
     milliseconds getDrainTime() const { return milliseconds(m_settings.memberDrainMs); }
@@ -85,14 +85,14 @@
     Promoter m_promoter;
     std::map<std::string, std::shared_ptr<TargetPool>> m_pools; // by member
     std::map<std::string, TimePoint> m_hostsGoneAt; // hosts whose entries went: since when
-    TimePoint m_membersAskedAt {}; // when another host was last asked, the store being lost
+    TimePoint m_membersRequestedAt {}; // when another host was last asked, the store being lost
     TimePoint m_partnersAt {}; // when partners were last chosen
     bool m_partnersDue { true };
     bool m_hostsDue { false }; // hosts came or went since the parts that talk to them were told
     std::vector<std::string> m_relays {}; // of this host's data centre, as last chosen
     TimePoint m_askedToRelayAt {}; // when another host last asked what this one hears
     milliseconds m_quietInterval { decisions::kMinPingInterval }; // between exchanges that nothing else calls for
-    TimePoint m_forgottenAt {}; // when unlisted members were last looked for
+    TimePoint m_unlistedSweptAt {}; // when unlisted members were last looked for
     TimePoint m_sessionsAt {}; // when sessions were last looked at
     TimePoint m_placedAt {}; // when this host last looked which members it carries to
     uint64_t m_placedVersion { 0 }; // of the other hosts, then
--- a/src/gateway/gateway_members.cpp
+++ b/src/gateway/gateway_members.cpp
@@ -11,10 +11,10 @@
 using base::LogClass;
 
 static constexpr milliseconds kProofTimeout { 1500 }; // without a floor of this age the leader has not shown itself: proofs come each 250 ms, pings each second at most
-static constexpr milliseconds kMembersInterval { 500 }; // between two questions for members to hosts that have the store
+static constexpr milliseconds kMembersRequestInterval { 500 }; // between two questions for members to hosts that have the store
 
 // `source`: the store itself, or a host that has it.
-void Gateway::takeListed(const links::RegisteredMember& member, uint64_t revision, TimePoint leavingSince, std::string_view source)
+void Gateway::handleMemberListed(const links::RegisteredMember& member, uint64_t revision, TimePoint leavingSince, std::string_view source)
 {
     auto known = m_view.members.find(member.id);
     bool wasKnown = known != m_view.members.end();
@@ -24,8 +24,8 @@
     if (change == MemberChange::Outdated)
         return;
     if (change == MemberChange::StartedAgain)
-        endLife(member);
-    takeRoleChange(before, member);
+        handleMemberRestart(member);
+    handleRoleChange(before, member);
     m_partnersDue = m_partnersDue || !wasKnown;
     m_view.isPlacementDue = true;
     before.incarnation = member.incarnation; // its count moves with every word of it
@@ -35,7 +35,7 @@
 }
 
 // Connections that still stand lead to the process of before; whatever runs on them is in doubt, as after any other break.
-void Gateway::endLife(const links::RegisteredMember& member)
+void Gateway::handleMemberRestart(const links::RegisteredMember& member)
 {
     base::logEvent(LogClass::State, "member-restarted", { { "member", std::string_view(member.id) }, { "group", std::string_view(member.group) }, { "born", static_cast<int64_t>(member.incarnation.startedAtMs) }, { "sequence", static_cast<int64_t>(member.incarnation.sequence) } });
     m_promoter.noteNewLead(member.group);
@@ -47,46 +47,46 @@
     verifyPrimaryClaim(m_view.members.at(member.id));
 }
 
-void Gateway::takeUnlisted(const std::string& id, uint64_t revision, std::string_view source)
+void Gateway::handleMemberUnlisted(const std::string& id, uint64_t revision, std::string_view source)
 {
     if (takeMemberGone(m_view, id, revision, Clock::now()))
         base::logEvent(LogClass::State, "member-unlisted", { { "member", std::string_view(id) }, { "revision", static_cast<int64_t>(revision) }, { "source", source } });
 }
 
 // A host that has lost the store asks one that has it, another each time.
-void Gateway::askForMembers(TimePoint now)
+void Gateway::requestMembers(TimePoint now)
 {
-    if (!m_view.hasMembers || !m_directory.mayMissChanges() || now - m_membersAskedAt < kMembersInterval)
+    if (!m_view.hasMembers || !m_directory.mayMissChanges() || now - m_membersRequestedAt < kMembersRequestInterval)
         return;
-    std::vector<std::string> able;
+    std::vector<std::string> hostsWithStore;
     for (auto& name : m_peers.getUpHosts()) {
         if (m_peers.getAbility(name).hasStore)
-            able.push_back(name);
+            hostsWithStore.push_back(name);
     }
-    if (able.empty())
+    if (hostsWithStore.empty())
         return;
-    m_membersAskedAt = now;
-    auto index = static_cast<size_t>(base::getRandom() * static_cast<double>(able.size()));
-    m_peers.askMembers(able[std::min(index, able.size() - 1)], m_view.membersRevision);
+    m_membersRequestedAt = now;
+    auto index = static_cast<size_t>(base::getRandom() * static_cast<double>(hostsWithStore.size()));
+    m_peers.askMembers(hostsWithStore[std::min(index, hostsWithStore.size() - 1)], m_view.membersRevision);
 }
 
-void Gateway::takeMembers(const peer::MembersAnswer& answer, TimePoint sentAt)
+void Gateway::handleMembersAnswer(const peer::MembersAnswer& answer, TimePoint sentAt)
 {
     if (answer.lacks_store() || !m_directory.mayMissChanges())
         return;
     for (auto& it : answer.members()) {
         if (it.is_unlisted())
-            takeUnlisted(it.id(), it.revision(), "told");
+            handleMemberUnlisted(it.id(), it.revision(), "told");
         else
-            takeListed(readMember(it), it.revision(), sentAt - milliseconds(it.leaving_ms()), "told");
+            handleMemberListed(readMember(it), it.revision(), sentAt - milliseconds(it.leaving_ms()), "told");
     }
     for (auto& id : findMissing(answer, m_view))
-        takeUnlisted(id, answer.revision(), "told");
+        handleMemberUnlisted(id, answer.revision(), "told");
 }
 
 // A member says of itself that its role changed. That counts against a leader that has not shown itself lately, no more: a member that
 // was cut off may not know that it was replaced.
-void Gateway::takeRoleChange(const links::RegisteredMember& before, const links::RegisteredMember& now)
+void Gateway::handleRoleChange(const links::RegisteredMember& before, const links::RegisteredMember& now)
 {
     auto& group = m_view.groups[now.group];
     bool isFresh = !group.floors.isEmpty() && Clock::now() - group.floors.floors.back().coveredUntil < kProofTimeout;
