--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -30,7 +30,7 @@
 static constexpr milliseconds kSocketFlushTime { 50 }; // for bytes that wait in sockets before the process ends
 static constexpr milliseconds kListedAgain { 2500 }; // entries that lapsed with the store are back within this
 static constexpr milliseconds kPartnersInterval { 500 }; // between two choices of partners while no host came or went
-static constexpr milliseconds kPlacementInterval { 500 }; // at most, between two looks at what this host carries while nothing that decides it changed
+static constexpr milliseconds kForwardingUpdateInterval { 500 }; // at most, between two looks at what this host carries while nothing that decides it changed
 static constexpr milliseconds kUnlistedSweepInterval { 500 }; // between two looks for members that have been unlisted for kUnlistedFor
 static constexpr milliseconds kSessionsInterval { 100 }; // how late a transaction that rested too long is ended; operators allow it seconds
 static constexpr milliseconds kRelayAskedFor { 2000 }; // a host that others ask what it hears goes on relaying this long
@@ -548,9 +548,9 @@
 void Gateway::sweepPools(TimePoint now)
 {
     removeUnlistedMembers(now);
-    bool isPlacementDue = m_view.isPlacementDue || m_placedVersion != m_peers.getVersion() || now - m_placedAt >= kPlacementInterval;
+    bool isPlacementDue = m_view.isPlacementDue || m_forwardingHostsVersion != m_peers.getVersion() || now - m_forwardingUpdatedAt >= kForwardingUpdateInterval;
     if (isPlacementDue)
-        placePools(now);
+        updateForwarding(now);
     for (auto& [id, pool] : m_pools) {
         auto member = m_view.members.find(id);
         bool isKnown = member != m_view.members.end();
@@ -563,29 +563,29 @@
 
 // What this host carries changes when a host or a member comes, goes or changes its role. Walking all members each 20 ms for it took a fifth of an
 // idle host's processor time at 295 hosts and 60 members.
-void Gateway::placePools(TimePoint now)
+void Gateway::updateForwarding(TimePoint now)
 {
     m_view.isPlacementDue = false;
-    m_placedVersion = m_peers.getVersion();
-    m_placedAt = now;
+    m_forwardingHostsVersion = m_peers.getVersion();
+    m_forwardingUpdatedAt = now;
     auto place = getPlace();
     for (auto& [id, member] : m_view.members) {
         // Asked again while nobody is known to lead: one answer that is missing or came too early would leave this host's callers without a primary for good.
         if (m_view.groups[member.listed.group].lead.member.empty() && now - member.leadAskedAt >= kPrimaryClaimCheckInterval)
             verifyPrimaryClaim(member);
-        bool leads = m_view.groups[member.listed.group].lead.member == id;
-        if ((leads || mustShow(member)) && isCarrier(m_view, m_peers, place, member))
+        bool isPrimary = m_view.groups[member.listed.group].lead.member == id;
+        if ((isPrimary || mustShow(member)) && isCarrier(m_view, m_peers, place, member))
             getPool(member.getTarget());
     }
     for (auto& [id, pool] : m_pools) {
         auto member = m_view.members.find(id);
         bool isKnown = member != m_view.members.end();
-        bool leads = isKnown && m_view.groups[member->second.listed.group].lead.member == id;
+        bool isPrimary = isKnown && m_view.groups[member->second.listed.group].lead.member == id;
         pool->setLimits(getLimits(pool->getTarget())); // configuration and list may have come after the pool
         pool->setComparison(ensureComparison(pool->getTarget()));
-        bool carries = isKnown && isCarrier(m_view, m_peers, place, member->second);
-        pool->setCarrier(carries);
-        pool->setProofInterval(leads && carries ? kProofInterval : milliseconds(0));
+        bool isForwarder = isKnown && isCarrier(m_view, m_peers, place, member->second);
+        pool->setCarrier(isForwarder);
+        pool->setProofInterval(isPrimary && isForwarder ? kProofInterval : milliseconds(0));
     }
 }
 
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -30,7 +30,7 @@
     void sweepPools(TimePoint now);
     void sweepSessions(TimePoint now);
     void removeUnlistedMembers(TimePoint now);
-    void placePools(TimePoint now);
+    void updateForwarding(TimePoint now);
     void advanceShutdown(TimePoint now);
     std::shared_ptr<TargetPool> getPool(const TargetAddress& target);
     void compareWithReplicas(const std::string& group);
@@ -94,8 +94,8 @@
     milliseconds m_quietInterval { decisions::kMinPingInterval }; // between exchanges that nothing else calls for
     TimePoint m_unlistedSweptAt {}; // when unlisted members were last looked for
     TimePoint m_sessionsAt {}; // when sessions were last looked at
-    TimePoint m_placedAt {}; // when this host last looked which members it carries to
-    uint64_t m_placedVersion { 0 }; // of the other hosts, then
+    TimePoint m_forwardingUpdatedAt {}; // when this host last looked which members it carries to
+    uint64_t m_forwardingHostsVersion { 0 }; // of the other hosts, then
     std::map<std::string, TimePoint> m_alarmedAt; // by group: when other hosts were last told
     boost::asio::ip::tcp::acceptor m_acceptor;
     std::unordered_set<std::shared_ptr<CallerSession>> m_sessions;
