--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -28,12 +28,12 @@
 static constexpr milliseconds kLoadBalancerNoticeTime { 2200 }; // the balancer asks once a second and needs two refusals
 static constexpr milliseconds kShutdownReserve { 700 }; // of the grace time, for the last answers
 static constexpr milliseconds kSocketFlushTime { 50 }; // for bytes that wait in sockets before the process ends
-static constexpr milliseconds kListedAgain { 2500 }; // entries that lapsed with the store are back within this
+static constexpr milliseconds kRelistTime { 2500 }; // entries that lapsed with the store are back within this
 static constexpr milliseconds kPartnersInterval { 500 }; // between two choices of partners while no host came or went
 static constexpr milliseconds kForwardingUpdateInterval { 500 }; // at most, between two looks at what this host carries while nothing that decides it changed
 static constexpr milliseconds kUnlistedSweepInterval { 500 }; // between two looks for members that have been unlisted for kUnlistedFor
 static constexpr milliseconds kSessionsInterval { 100 }; // how late a transaction that rested too long is ended; operators allow it seconds
-static constexpr milliseconds kRelayAskedFor { 2000 }; // a host that others ask what it hears goes on relaying this long
+static constexpr milliseconds kRelayRequestLifetime { 2000 }; // a host that others ask what it hears goes on relaying this long
 static constexpr milliseconds kPrimaryClaimCheckInterval { 500 }; // between two questions to a listed primary while nobody is known to lead; a change of primary takes longer
 static constexpr unsigned kSpareConnections = 2; // of a member's limit, for inquiries and newcomers
 
@@ -133,7 +133,7 @@
 
 HostPlace Gateway::getPlace() const
 {
-    return { m_self.name, m_settings.dataCentre, m_isDraining, m_directory.isReachable(), Clock::now() - m_askedToRelayAt < kRelayAskedFor };
+    return { m_self.name, m_settings.dataCentre, m_isDraining, m_directory.isReachable(), Clock::now() - m_relayRequestedAt < kRelayRequestLifetime };
 }
 
 void Gateway::noteReadiness()
@@ -334,8 +334,8 @@
         fillStatus(pong);
         writeGroups(pong, m_view, ping.wants_heard(), now);
         if (ping.wants_heard()) {
-            m_partnersDue = m_partnersDue || now - m_askedToRelayAt > kRelayAskedFor;
-            m_askedToRelayAt = now;
+            m_isPartnerChoiceDue = m_isPartnerChoiceDue || now - m_relayRequestedAt > kRelayRequestLifetime;
+            m_relayRequestedAt = now;
             m_peers.writeHeard(pong, ping.wants_loads());
             if (ping.known_revision() != 0)
                 writeChanges(pong, m_directory.getChanges(ping.known_revision()), now);
@@ -369,15 +369,15 @@
 }
 
 // The least that any route lets its reads miss; 0: none lets them miss anything.
-static milliseconds getLeastAge(const links::GatewayConfiguration& configuration)
+static milliseconds getMinStalenessLimit(const links::GatewayConfiguration& configuration)
 {
-    milliseconds least { 0 };
+    milliseconds minLimit { 0 };
     for (auto& [database, route] : configuration.routes) {
-        bool mayMiss = route.consistency != decisions::Consistency::Primary && route.maximumAge.count() > 0;
-        if (mayMiss && (least.count() == 0 || route.maximumAge < least))
-            least = route.maximumAge;
+        bool allowsStaleReads = route.consistency != decisions::Consistency::Primary && route.maximumAge.count() > 0;
+        if (allowsStaleReads && (minLimit.count() == 0 || route.maximumAge < minLimit))
+            minLimit = route.maximumAge;
     }
-    return least;
+    return minLimit;
 }
 
 DirectoryEvents Gateway::makeDirectoryEvents()
@@ -387,8 +387,8 @@
         base::logEvent(LogClass::State, "configuration", { { "version", static_cast<int64_t>(configuration.version) }, { "before", static_cast<int64_t>(m_view.configuration.version) }, { "routes", static_cast<int64_t>(configuration.routes.size()) } });
         m_view.configuration = configuration;
         m_view.isPlacementDue = true;
-        m_quietInterval = decisions::getPingInterval(getLeastAge(configuration));
-        m_partnersDue = true;
+        m_basePingInterval = decisions::getPingInterval(getMinStalenessLimit(configuration));
+        m_isPartnerChoiceDue = true;
     };
     events.onMember = [this](const links::RegisteredMember& member, uint64_t revision, std::optional<TimePoint> changedAt) {
         handleMemberListed(member, revision, changedAt ? *changedAt : decisions::estimateLeavingSince(getDrainTime(), Clock::now()), "listed");
@@ -398,13 +398,13 @@
     events.onHost = [this](const links::RegisteredHost& host) {
         if (host.name == m_self.name)
             return;
-        m_hostsGoneAt.erase(host.name);
+        m_hostsRemovedAt.erase(host.name);
         takeHost(m_view, host);
-        m_hostsDue = true;
+        m_isPeerUpdateDue = true;
     };
     events.onHostGone = [this](const std::string& name) {
         if (name != m_self.name && m_view.hosts.contains(name))
-            m_hostsGoneAt[name] = Clock::now();
+            m_hostsRemovedAt[name] = Clock::now();
     };
     events.onSuccession = [this](const std::string& group, const links::StoreItem& item) { m_promoter.takeSuccession(group, item); };
     events.onNearAccounts = [this](size_t shard, const std::set<std::string>& accounts) { m_quotas.takeWritten(shard, accounts); };
@@ -416,35 +416,35 @@
     asio::co_spawn(m_context, m_directory.writeNearAccounts(shard, accounts), [done = std::move(done)](const std::exception_ptr& error, bool isDone) { done(!error && isDone); });
 }
 
-void Gateway::tellPeers()
+void Gateway::updatePeerHosts()
 {
     std::vector<links::RegisteredHost> hosts;
     for (auto& [name, it] : m_view.hosts)
         hosts.push_back(it);
     m_peers.setHosts(hosts);
-    m_hostsDue = false;
-    m_partnersDue = true;
+    m_isPeerUpdateDue = false;
+    m_isPartnerChoiceDue = true;
 }
 
 // An entry may have lapsed with the store: a host stays while it answers, or until it had time to be listed again.
 void Gateway::sweepHosts(TimePoint now)
 {
-    auto gone = m_hostsGoneAt;
-    for (auto& [name, since] : gone) {
-        if (m_peers.isAnswering(name) || (now - since < kListedAgain && m_peers.isUp(name)))
+    auto removedHosts = m_hostsRemovedAt;
+    for (auto& [name, since] : removedHosts) {
+        if (m_peers.isAnswering(name) || (now - since < kRelistTime && m_peers.isUp(name)))
             continue;
-        m_hostsGoneAt.erase(name);
+        m_hostsRemovedAt.erase(name);
         dropHost(m_view, name);
-        m_hostsDue = true;
+        m_isPeerUpdateDue = true;
     }
-    if (m_hostsDue)
-        tellPeers();
-    if (!m_partnersDue && now - m_partnersAt < kPartnersInterval)
+    if (m_isPeerUpdateDue)
+        updatePeerHosts();
+    if (!m_isPartnerChoiceDue && now - m_partnersChosenAt < kPartnersInterval)
         return;
-    m_partnersDue = false;
-    m_partnersAt = now;
+    m_isPartnerChoiceDue = false;
+    m_partnersChosenAt = now;
     // Decided anew with the partners: a watcher that stops or falls silent is replaced by the next.
-    auto partners = choosePartners(m_view, m_peers, getPlace(), m_promoter.getOrdererPlace(), m_quietInterval);
+    auto partners = choosePartners(m_view, m_peers, getPlace(), m_promoter.getOrdererPlace(), m_basePingInterval);
     m_peers.setPartners(partners);
     auto relays = getRelays(m_view, m_peers, getPlace());
     bool isWatcher = std::ranges::find(relays, m_self.name) != relays.end() || getPlace().isAskedToRelay;
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -64,7 +64,7 @@
     void requestMembers(TimePoint now);
     void handleMembersAnswer(const peer::MembersAnswer& answer, TimePoint sentAt);
     void handleRoleChange(const links::RegisteredMember& before, const links::RegisteredMember& now);
-    void tellPeers();
+    void updatePeerHosts();
     void sweepHosts(TimePoint now);
     milliseconds getDrainTime() const { return milliseconds(m_settings.memberDrainMs); }
     HostPlace getPlace() const;
@@ -84,14 +84,14 @@
     Directory m_directory;
     Promoter m_promoter;
     std::map<std::string, std::shared_ptr<TargetPool>> m_pools; // by member
-    std::map<std::string, TimePoint> m_hostsGoneAt; // hosts whose entries went: since when
+    std::map<std::string, TimePoint> m_hostsRemovedAt; // hosts whose entries went: since when
     TimePoint m_membersRequestedAt {}; // when another host was last asked, the store being lost
-    TimePoint m_partnersAt {}; // when partners were last chosen
-    bool m_partnersDue { true };
-    bool m_hostsDue { false }; // hosts came or went since the parts that talk to them were told
+    TimePoint m_partnersChosenAt {}; // when partners were last chosen
+    bool m_isPartnerChoiceDue { true };
+    bool m_isPeerUpdateDue { false }; // hosts came or went since the parts that talk to them were told
     std::vector<std::string> m_relays {}; // of this host's data centre, as last chosen
-    TimePoint m_askedToRelayAt {}; // when another host last asked what this one hears
-    milliseconds m_quietInterval { decisions::kMinPingInterval }; // between exchanges that nothing else calls for
+    TimePoint m_relayRequestedAt {}; // when another host last asked what this one hears
+    milliseconds m_basePingInterval { decisions::kMinPingInterval }; // between exchanges that nothing else calls for
     TimePoint m_unlistedSweptAt {}; // when unlisted members were last looked for
     TimePoint m_sessionsAt {}; // when sessions were last looked at
     TimePoint m_forwardingUpdatedAt {}; // when this host last looked which members it carries to
--- a/src/gateway/gateway_members.cpp
+++ b/src/gateway/gateway_members.cpp
@@ -26,7 +26,7 @@
     if (change == MemberChange::StartedAgain)
         handleMemberRestart(member);
     handleRoleChange(before, member);
-    m_partnersDue = m_partnersDue || !wasKnown;
+    m_isPartnerChoiceDue = m_isPartnerChoiceDue || !wasKnown;
     m_view.isPlacementDue = true;
     before.incarnation = member.incarnation; // its count moves with every word of it
     if (before == member && !wasUnlisted)
