--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -63,13 +63,13 @@
     if (auto listening = links::listenOn(m_acceptor, m_settings.callerAddress); !listening)
         return listening;
     accept();
-    auto ready = links::startHttpServer(m_context, m_settings.readyAddress, [this](links::HttpRequest request) { return answerReady(std::move(request)); });
+    auto ready = links::startHttpServer(m_context, m_settings.readyAddress, [this](links::HttpRequest request) { return handleReadinessRequest(std::move(request)); });
     if (!ready)
         return tl::make_unexpected(ready.error());
-    m_ready = std::move(*ready);
+    m_readinessServer = std::move(*ready);
     if (!m_settings.metricsAddress.empty()) {
         auto metrics = links::startHttpServer(m_context, m_settings.metricsAddress, [this](links::HttpRequest) -> asio::awaitable<links::HttpResponse> {
-            measure();
+            updateGauges();
             links::HttpResponse answer;
             answer.contentType = "text/plain; version=0.0.4";
             answer.body = base::formatMetricFamilies();
@@ -77,16 +77,16 @@
         });
         if (!metrics)
             return tl::make_unexpected(metrics.error());
-        m_metrics = std::move(*metrics);
+        m_metricsServer = std::move(*metrics);
     }
     m_directory.begin();
-    m_sweep = m_timers.subscribe(m_context.get_executor(), kSweepInterval, [this] { sweep(); });
+    m_sweepTimer = m_timers.subscribe(m_context.get_executor(), kSweepInterval, [this] { sweep(); });
     base::logEvent(LogClass::State, "start", { { "version", std::string_view(ALDERWARD_VERSION) }, { "data_centre", std::string_view(m_settings.dataCentre) }, { "incarnation", static_cast<int64_t>(m_self.incarnation) } });
     return {};
 }
 
 // Gauges are set when somebody asks for them.
-void Gateway::measure() const
+void Gateway::updateGauges() const
 {
     using base::MetricFamily;
     auto now = Clock::now();
@@ -116,7 +116,7 @@
     base::updateProcessMetrics();
 }
 
-asio::awaitable<links::HttpResponse> Gateway::answerReady(links::HttpRequest request)
+asio::awaitable<links::HttpResponse> Gateway::handleReadinessRequest(links::HttpRequest request)
 {
     links::HttpResponse answer;
     if (request.path != m_platform->getReadyPath())
@@ -136,7 +136,7 @@
     return { m_self.name, m_settings.dataCentre, m_isDraining, m_directory.isReachable(), Clock::now() - m_relayRequestedAt < kRelayRequestLifetime };
 }
 
-void Gateway::noteReadiness()
+void Gateway::logReadinessChange()
 {
     if (isReady() == m_wasReady)
         return;
@@ -505,7 +505,7 @@
 void Gateway::sweep()
 {
     auto now = Clock::now();
-    noteReadiness();
+    logReadinessChange();
     sweepHosts(now);
     requestMembers(now);
     sweepPools(now);
@@ -627,7 +627,7 @@
     }
     if (!m_sessions.empty() && passed < grace - kShutdownReserve)
         return;
-    m_sweep.stop();
+    m_sweepTimer.stop();
     asio::co_spawn(m_context, finishShutdown(), asio::detached);
 }
 
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -68,9 +68,9 @@
     void sweepHosts(TimePoint now);
     milliseconds getDrainTime() const { return milliseconds(m_settings.memberDrainMs); }
     HostPlace getPlace() const;
-    boost::asio::awaitable<links::HttpResponse> answerReady(links::HttpRequest request);
-    void noteReadiness();
-    void measure() const;
+    boost::asio::awaitable<links::HttpResponse> handleReadinessRequest(links::HttpRequest request);
+    void logReadinessChange();
+    void updateGauges() const;
     boost::asio::awaitable<void> finishShutdown();
 
     boost::asio::io_context& m_context;
@@ -100,10 +100,10 @@
     boost::asio::ip::tcp::acceptor m_acceptor;
     std::unordered_set<std::shared_ptr<CallerSession>> m_sessions;
     uint64_t m_lastSession { 0 };
-    std::unique_ptr<links::HttpServer> m_ready;
-    std::unique_ptr<links::HttpServer> m_metrics;
+    std::unique_ptr<links::HttpServer> m_readinessServer;
+    std::unique_ptr<links::HttpServer> m_metricsServer;
     base::TimerService& m_timers;
-    base::TimerSubscription m_sweep;
+    base::TimerSubscription m_sweepTimer;
     TimePoint m_startedAt {};
     TimePoint m_shutdownStartedAt {};
     bool m_isDraining { false };
