--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -32,10 +32,10 @@
 static constexpr milliseconds kPartnersInterval { 500 }; // between two choices of partners while no host came or went
 static constexpr milliseconds kForwardingUpdateInterval { 500 }; // at most, between two looks at what this host carries while nothing that decides it changed
 static constexpr milliseconds kUnlistedSweepInterval { 500 }; // between two looks for members that have been unlisted for kUnlistedFor
-static constexpr milliseconds kSessionsInterval { 100 }; // how late a transaction that rested too long is ended; operators allow it seconds
+static constexpr milliseconds kSessionSweepInterval { 100 }; // how late a transaction that rested too long is ended; operators allow it seconds
 static constexpr milliseconds kRelayRequestLifetime { 2000 }; // a host that others ask what it hears goes on relaying this long
 static constexpr milliseconds kPrimaryClaimCheckInterval { 500 }; // between two questions to a listed primary while nobody is known to lead; a change of primary takes longer
-static constexpr unsigned kSpareConnections = 2; // of a member's limit, for inquiries and newcomers
+static constexpr unsigned kReservedConnections = 2; // of a member's limit, for inquiries and newcomers
 
 Gateway::Gateway(asio::io_context& context, base::TimerService& timers, base::GatewaySettings settings, std::unique_ptr<links::PlatformAdapter> platform)
     : m_context(context)
@@ -43,7 +43,7 @@
     , m_platform(std::move(platform))
     , m_self { m_settings.name, m_settings.peerAddress, m_settings.dataCentre, static_cast<uint64_t>(base::getRandom() * 1e15) + 1 }
     , m_peers(context, m_settings.name, makePeerService())
-    , m_quotas({ m_view, m_peers, m_settings.name, m_self.incarnation, getQuotaRule(), m_isDraining, [this](size_t shard, const std::set<std::string>& accounts, std::function<void(bool)> done) { writeNearAccounts(shard, accounts, std::move(done)); } })
+    , m_quotas({ m_view, m_peers, m_settings.name, m_self.incarnation, getQuotaRule(), m_isDraining, [this](size_t shard, const std::set<std::string>& accounts, std::function<void(bool)> done) { writeNearQuotaAccounts(shard, accounts, std::move(done)); } })
     , m_router({ context, m_view, m_peers, m_settings.name, m_settings.dataCentre, [this](const TargetAddress& it) { return getPool(it); }, [this](const TargetAddress& it) { return hasRecentFailure(it); }, [this](const std::string& group) { raiseAlarm(group, "no primary is known"); }, [this] { return !decisions::canJudgePrimary(m_peers.countInReach()); }, getDrainTime(), m_quotas })
     , m_directory(context, *m_platform, m_self, { milliseconds(m_settings.storeCallTimeoutMs), milliseconds(m_settings.watchWaitMs), milliseconds(m_settings.longWatchWaitMs), milliseconds(m_settings.leaseMs) }, makeDirectoryEvents())
     , m_promoter({ context, m_view, m_peers, *m_platform, { m_self.name, m_self.incarnation }, [this](const TargetAddress& it, std::function<void(const StatusReport&)> done) { queryStatus(it, std::move(done)); }, [this](const std::string&, const std::string& member, milliseconds time) { holdWrites(member, time); }, [this] { return m_directory.isReachable(); }, [this](const std::string& group, const decisions::KnownPrimary& before, std::string_view source) { notifyPrimaryChange(group, before, source); }, m_isDraining })
@@ -151,7 +151,7 @@
             return;
         if (!ec) {
             SessionContext context { m_context, m_platform->getCodec(), m_view, m_router, m_isClosingSessions, m_startedAt + kInitialConfigurationWait, [this](const std::shared_ptr<CallerSession>& it) { m_sessions.erase(it); } };
-            auto session = std::make_shared<CallerSession>(std::move(context), ++m_lastSession);
+            auto session = std::make_shared<CallerSession>(std::move(context), ++m_lastSessionId);
             m_sessions.insert(session);
             session->begin(std::move(socket));
         }
@@ -163,8 +163,8 @@
 {
     auto& pool = m_pools[target.member];
     if (!pool) {
-        pool = std::make_shared<TargetPool>(m_context.get_executor(), m_platform->getCodec(), target, m_settings.name, makeObserver());
-        pool->setLimits(getLimits(target));
+        pool = std::make_shared<TargetPool>(m_context.get_executor(), m_platform->getCodec(), target, m_settings.name, makePoolObserver());
+        pool->setLimits(getPoolLimits(target));
         auto member = m_view.members.find(target.member);
         pool->setTakesNew(member != m_view.members.end() && acceptsNewOperations(member->second, getDrainTime(), Clock::now()));
         pool->setComparison(ensureComparison(target));
@@ -179,16 +179,16 @@
 }
 
 // Half of the operators' limit, as two hosts may carry to one member while they disagree on who does.
-PoolLimits Gateway::getLimits(const TargetAddress& target) const
+PoolLimits Gateway::getPoolLimits(const TargetAddress& target) const
 {
     auto group = m_view.configuration.groups.find(target.group);
-    auto most = group == m_view.configuration.groups.end() ? 0U : group->second.connectionsPerMember;
+    auto configuredLimit = group == m_view.configuration.groups.end() ? 0U : group->second.connectionsPerMember;
     auto member = m_view.members.find(target.member);
     auto slots = member == m_view.members.end() ? 1U : std::max(1U, member->second.listed.slots);
-    return { std::max(2U, (most - std::min(most, kSpareConnections)) / 2), slots + 1, m_view.configuration.accounts.has_value() };
+    return { std::max(2U, (configuredLimit - std::min(configuredLimit, kReservedConnections)) / 2), slots + 1, m_view.configuration.accounts.has_value() };
 }
 
-PoolObserver Gateway::makeObserver()
+PoolObserver Gateway::makePoolObserver()
 {
     PoolObserver observer;
     observer.getKnown = [this](const TargetAddress& target) { return getKnownMark(m_view.groups[target.group]); };
@@ -244,14 +244,14 @@
 {
     m_promoter.raiseAlarm(group, reason);
     auto now = Clock::now();
-    auto& alarmedAt = m_alarmedAt[group];
-    if (now - alarmedAt < decisions::getAlarmInterval(m_view.hosts.size()))
+    auto& lastSentAt = m_alarmsSentAt[group];
+    if (now - lastSentAt < decisions::getAlarmInterval(m_view.hosts.size()))
         return;
-    alarmedAt = now;
-    auto& leader = m_view.groups[group].lead.member;
+    lastSentAt = now;
+    auto& primary = m_view.groups[group].lead.member;
     for (auto& name : m_promoter.getOrderers(group)) {
         if (name != m_self.name)
-            m_peers.sendAlarm(name, group, leader, reason);
+            m_peers.sendAlarm(name, group, primary, reason);
     }
 }
 
@@ -411,7 +411,7 @@
     return events;
 }
 
-void Gateway::writeNearAccounts(size_t shard, const std::set<std::string>& accounts, std::function<void(bool)> done)
+void Gateway::writeNearQuotaAccounts(size_t shard, const std::set<std::string>& accounts, std::function<void(bool)> done)
 {
     asio::co_spawn(m_context, m_directory.writeNearAccounts(shard, accounts), [done = std::move(done)](const std::exception_ptr& error, bool isDone) { done(!error && isDone); });
 }
@@ -523,9 +523,9 @@
 void Gateway::sweepSessions(TimePoint now)
 {
     bool isStarting = now < m_startedAt + kInitialConfigurationWait;
-    if (!isStarting && now - m_sessionsAt < kSessionsInterval)
+    if (!isStarting && now - m_sessionsSweptAt < kSessionSweepInterval)
         return;
-    m_sessionsAt = now;
+    m_sessionsSweptAt = now;
     auto sessions = std::vector(m_sessions.begin(), m_sessions.end());
     for (auto& it : sessions)
         it->sweep(now);
@@ -581,7 +581,7 @@
         auto member = m_view.members.find(id);
         bool isKnown = member != m_view.members.end();
         bool isPrimary = isKnown && m_view.groups[member->second.listed.group].lead.member == id;
-        pool->setLimits(getLimits(pool->getTarget())); // configuration and list may have come after the pool
+        pool->setLimits(getPoolLimits(pool->getTarget())); // configuration and list may have come after the pool
         pool->setComparison(ensureComparison(pool->getTarget()));
         bool isForwarder = isKnown && isCarrier(m_view, m_peers, place, member->second);
         pool->setCarrier(isForwarder);
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -38,9 +38,9 @@
     void finishComparison(const ComparisonRound& round);
     Comparison ensureComparison(const TargetAddress& target);
     decisions::QuotaRule getQuotaRule() const;
-    void writeNearAccounts(size_t shard, const std::set<std::string>& accounts, std::function<void(bool)> done);
-    PoolLimits getLimits(const TargetAddress& target) const;
-    PoolObserver makeObserver();
+    void writeNearQuotaAccounts(size_t shard, const std::set<std::string>& accounts, std::function<void(bool)> done);
+    PoolLimits getPoolLimits(const TargetAddress& target) const;
+    PoolObserver makePoolObserver();
     PeerService makePeerService();
     DirectoryEvents makeDirectoryEvents();
     void queryStatus(const TargetAddress& target, std::function<void(const StatusReport&)> done);
@@ -93,13 +93,13 @@
     TimePoint m_relayRequestedAt {}; // when another host last asked what this one hears
     milliseconds m_basePingInterval { decisions::kMinPingInterval }; // between exchanges that nothing else calls for
     TimePoint m_unlistedSweptAt {}; // when unlisted members were last looked for
-    TimePoint m_sessionsAt {}; // when sessions were last looked at
+    TimePoint m_sessionsSweptAt {}; // when sessions were last looked at
     TimePoint m_forwardingUpdatedAt {}; // when this host last looked which members it carries to
     uint64_t m_forwardingHostsVersion { 0 }; // of the other hosts, then
-    std::map<std::string, TimePoint> m_alarmedAt; // by group: when other hosts were last told
+    std::map<std::string, TimePoint> m_alarmsSentAt; // by group: when other hosts were last told
     boost::asio::ip::tcp::acceptor m_acceptor;
     std::unordered_set<std::shared_ptr<CallerSession>> m_sessions;
-    uint64_t m_lastSession { 0 };
+    uint64_t m_lastSessionId { 0 };
     std::unique_ptr<links::HttpServer> m_readinessServer;
     std::unique_ptr<links::HttpServer> m_metricsServer;
     base::TimerService& m_timers;
