--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -461,21 +461,21 @@
 void Gateway::queryStatus(const TargetAddress& target, std::function<void(const StatusReport&)> done)
 {
     auto session = std::make_shared<TargetSession>(m_context.get_executor(), m_platform->getCodec());
-    auto began = Clock::now();
-    auto shared = std::make_shared<std::function<void(const StatusReport&)>>(std::move(done));
+    auto startedAt = Clock::now();
+    auto callback = std::make_shared<std::function<void(const StatusReport&)>>(std::move(done));
     auto timer = std::make_shared<asio::steady_timer>(m_context, kStatusQueryTimeout);
-    auto finish = [this, shared, session, timer, target, began](const StatusReport& finding) {
-        if (!*shared)
+    auto finish = [this, callback, session, timer, target, startedAt](const StatusReport& report) {
+        if (!*callback)
             return;
-        auto found = finding;
+        auto result = report;
         auto member = m_view.members.find(target.member);
-        if (member != m_view.members.end() && member->second.answeredAt > began)
-            found.wasReached = true;
-        auto call = std::move(*shared);
-        *shared = nullptr;
+        if (member != m_view.members.end() && member->second.answeredAt > startedAt)
+            result.wasReached = true;
+        auto call = std::move(*callback);
+        *callback = nullptr;
         timer->cancel();
         session->close();
-        call(found);
+        call(result);
     };
     timer->async_wait([finish](boost::system::error_code ec) {
         if (!ec)
@@ -485,19 +485,19 @@
         target, m_settings.name, kStatusQueryTimeout, [this, session, finish](const Outcome& outcome) {
             if (outcome.error) {
                 // A member that refuses lives; one that is another than expected does not count.
-                StatusReport finding;
-                finding.wasReached = outcome.error->kind == ErrorKind::TooManyConnections || outcome.error->kind == ErrorKind::Overloaded;
-                finish(finding);
+                StatusReport report;
+                report.wasReached = outcome.error->kind == ErrorKind::TooManyConnections || outcome.error->kind == ErrorKind::Overloaded;
+                finish(report);
                 return;
             }
             session->ask(m_platform->getCodec().formatStatusQuery(), [this, finish](const Outcome& answer) {
-                StatusReport finding;
-                finding.wasReached = !answer.error || answer.error->kind == ErrorKind::Overloaded;
+                StatusReport report;
+                report.wasReached = !answer.error || answer.error->kind == ErrorKind::Overloaded;
                 if (!answer.error && !answer.rows.empty()) {
                     if (auto status = m_platform->getCodec().parseStatus(answer.rows.front()))
-                        finding.status = *status;
+                        report.status = *status;
                 }
-                finish(finding);
+                finish(report);
             }); },
         [finish](const std::string&) { finish({}); });
 }
@@ -612,9 +612,9 @@
 // transactions are ended.
 void Gateway::advanceShutdown(TimePoint now)
 {
-    auto passed = now - m_shutdownStartedAt;
-    auto grace = milliseconds(m_settings.stopGraceMs);
-    if (passed < std::min(kLoadBalancerNoticeTime, grace / 2))
+    auto elapsed = now - m_shutdownStartedAt;
+    auto gracePeriod = milliseconds(m_settings.stopGraceMs);
+    if (elapsed < std::min(kLoadBalancerNoticeTime, gracePeriod / 2))
         return;
     if (!m_isClosingSessions)
         base::logEvent(LogClass::State, "stop-closing", { { "sessions", static_cast<int64_t>(m_sessions.size()) } });
@@ -622,10 +622,10 @@
     auto sessions = std::vector(m_sessions.begin(), m_sessions.end());
     for (auto& it : sessions) {
         it->drain();
-        if (passed > grace / 2 && it->isBusy() && !it->isRunning())
+        if (elapsed > gracePeriod / 2 && it->isBusy() && !it->isRunning())
             it->abort();
     }
-    if (!m_sessions.empty() && passed < grace - kShutdownReserve)
+    if (!m_sessions.empty() && elapsed < gracePeriod - kShutdownReserve)
         return;
     m_sweepTimer.stop();
     asio::co_spawn(m_context, finishShutdown(), asio::detached);
@@ -633,11 +633,11 @@
 
 asio::awaitable<void> Gateway::finishShutdown()
 {
-    auto cut = static_cast<int64_t>(m_sessions.size());
+    auto closedSessions = static_cast<int64_t>(m_sessions.size());
     m_peers.stop();
     co_await m_directory.end();
     co_await base::sleepFor(kSocketFlushTime);
-    base::logEvent(LogClass::State, "stop", { { "sessions_cut", cut } });
+    base::logEvent(LogClass::State, "stop", { { "sessions_cut", closedSessions } });
     base::flushEventLog();
     m_context.stop();
 }
--- a/src/gateway/gateway_leads.cpp
+++ b/src/gateway/gateway_leads.cpp
@@ -75,8 +75,8 @@
     group.isComparing = false;
     m_view.isPlacementDue = true;
     auto primary = m_view.members.find(round.primary);
-    bool isSame = primary != m_view.members.end() && group.lead.member == round.primary && !isOtherLife(round.incarnation, primary->second.listed.incarnation);
-    if (!isSame) { // it is compared anew, if need be
+    bool isUnchanged = primary != m_view.members.end() && group.lead.member == round.primary && !isOtherLife(round.incarnation, primary->second.listed.incarnation);
+    if (!isUnchanged) { // it is compared anew, if need be
         group.comparedAt = {};
         return;
     }
--- a/src/gateway/gateway_members.cpp
+++ b/src/gateway/gateway_members.cpp
@@ -89,8 +89,8 @@
 void Gateway::handleRoleChange(const links::RegisteredMember& before, const links::RegisteredMember& now)
 {
     auto& group = m_view.groups[now.group];
-    bool isFresh = !group.floors.isEmpty() && Clock::now() - group.floors.floors.back().coveredUntil < kProofTimeout;
-    if (before.saysPrimary == now.saysPrimary || isFresh)
+    bool hasRecentProof = !group.floors.isEmpty() && Clock::now() - group.floors.floors.back().coveredUntil < kProofTimeout;
+    if (before.saysPrimary == now.saysPrimary || hasRecentProof)
         return;
     if (now.saysPrimary && group.lead.member != now.id)
         setKnownPrimary(now.group, { now.id, group.lead.term, false }, "listed");
