--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -280,7 +280,7 @@
 void Gateway::takeStatus(const peer::Pong& message, TimePoint sentAt)
 {
     if (message.entries_until() != 0)
-        m_directory.takeChanges(readChanges(message, sentAt));
+        m_directory.takeChanges(decodeChanges(message, sentAt));
     m_directory.refreshConfiguration(message.configuration());
     m_directory.hearChange(message.change());
     auto leadTimes = findLeadTimes(message, sentAt);
@@ -338,7 +338,7 @@
             m_relayRequestedAt = now;
             m_peers.writeHeard(pong, ping.wants_loads());
             if (ping.known_revision() != 0)
-                writeChanges(pong, m_directory.getChanges(ping.known_revision()), now);
+                encodeChanges(pong, m_directory.getChanges(ping.known_revision()), now);
         }
         for (auto& [member, pool] : m_pools) {
             bool isOfUse = pool->isCarrier() || hasRecentFailure(pool->getTarget());
@@ -357,7 +357,7 @@
     service.answerMembers = [this](const peer::MembersQuestion& question, peer::MembersAnswer& answer) {
         answer.set_lacks_store(m_directory.mayMissChanges());
         if (!answer.lacks_store())
-            writeMembers(answer, m_view, question.since(), Clock::now());
+            encodeMembers(answer, m_view, question.since(), Clock::now());
     };
     service.onMembers = [this](const std::string&, const peer::MembersAnswer& answer, TimePoint sentAt) { handleMembersAnswer(answer, sentAt); };
     service.takeQuotaReport = [this](const peer::QuotaReport& report) { return m_quotas.takeReport(report); };
--- a/src/gateway/gateway_members.cpp
+++ b/src/gateway/gateway_members.cpp
@@ -78,9 +78,9 @@
         if (it.is_unlisted())
             handleMemberUnlisted(it.id(), it.revision(), "told");
         else
-            handleMemberListed(readMember(it), it.revision(), sentAt - milliseconds(it.leaving_ms()), "told");
+            handleMemberListed(decodeMember(it), it.revision(), sentAt - milliseconds(it.leaving_ms()), "told");
     }
-    for (auto& id : findMissing(answer, m_view))
+    for (auto& id : findAbsentMembers(answer, m_view))
         handleMemberUnlisted(id, answer.revision(), "told");
 }
 
--- a/src/gateway/member_exchange.cpp
+++ b/src/gateway/member_exchange.cpp
@@ -4,7 +4,7 @@
 
 namespace alderward::gateway {
 
-static void writeMember(peer::MemberEntry& wire, const MemberBelief& member, TimePoint now)
+static void encodeMember(peer::MemberEntry& wire, const MemberBelief& member, TimePoint now)
 {
     auto& listed = member.listed;
     wire.set_id(listed.id);
@@ -22,18 +22,18 @@
         wire.set_leaving_ms(static_cast<uint64_t>(std::chrono::duration_cast<milliseconds>(now - *member.leavingSince).count()));
 }
 
-void writeMembers(peer::MembersAnswer& wire, const ClusterView& view, uint64_t since, TimePoint now)
+void encodeMembers(peer::MembersAnswer& wire, const ClusterView& view, uint64_t since, TimePoint now)
 {
-    bool isWhole = view.forgottenRevision > since;
-    wire.set_is_whole(isWhole);
+    bool isComplete = view.forgottenRevision > since;
+    wire.set_is_whole(isComplete);
     wire.set_revision(view.membersRevision);
     for (auto& [id, member] : view.members) {
-        if (isWhole || member.revision > since)
-            writeMember(*wire.add_members(), member, now);
+        if (isComplete || member.revision > since)
+            encodeMember(*wire.add_members(), member, now);
     }
 }
 
-links::RegisteredMember readMember(const peer::MemberEntry& wire)
+links::RegisteredMember decodeMember(const peer::MemberEntry& wire)
 {
     links::RegisteredMember member;
     member.id = wire.id();
@@ -47,10 +47,10 @@
     return member;
 }
 
-void writeChanges(peer::Pong& wire, const ToldChanges& told, TimePoint now)
+void encodeChanges(peer::Pong& wire, const ToldChanges& batch, TimePoint now)
 {
-    wire.set_entries_until(told.until);
-    for (auto& it : told.changes) {
+    wire.set_entries_until(batch.until);
+    for (auto& it : batch.changes) {
         auto& entry = *wire.add_entries();
         entry.set_key(it.item.key);
         entry.set_revision(it.item.revision);
@@ -63,31 +63,31 @@
     }
 }
 
-ToldChanges readChanges(const peer::Pong& wire, TimePoint sentAt)
+ToldChanges decodeChanges(const peer::Pong& wire, TimePoint sentAt)
 {
-    ToldChanges told;
-    told.until = wire.entries_until();
+    ToldChanges batch;
+    batch.until = wire.entries_until();
     for (auto& it : wire.entries()) {
         auto heardAt = sentAt - std::chrono::microseconds(it.age_us());
         links::StoreItem item { .key = it.key(), .value = it.value(), .revision = it.revision(), .isDeleted = it.is_deleted() };
-        told.changes.push_back({ std::move(item), it.is_old() ? std::nullopt : std::optional(heardAt), heardAt, it.is_large() });
+        batch.changes.push_back({ std::move(item), it.is_old() ? std::nullopt : std::optional(heardAt), heardAt, it.is_large() });
     }
-    return told;
+    return batch;
 }
 
-std::vector<std::string> findMissing(const peer::MembersAnswer& wire, const ClusterView& view)
+std::vector<std::string> findAbsentMembers(const peer::MembersAnswer& wire, const ClusterView& view)
 {
-    std::vector<std::string> missing;
+    std::vector<std::string> absent;
     if (!wire.is_whole())
-        return missing;
-    std::set<std::string> told;
+        return absent;
+    std::set<std::string> listedIds;
     for (auto& it : wire.members())
-        told.insert(it.id());
+        listedIds.insert(it.id());
     for (auto& [id, member] : view.members) {
-        if (!told.contains(id) && member.revision <= wire.revision())
-            missing.push_back(id);
+        if (!listedIds.contains(id) && member.revision <= wire.revision())
+            absent.push_back(id);
     }
-    return missing;
+    return absent;
 }
 
 }
--- a/src/gateway/member_exchange.h
+++ b/src/gateway/member_exchange.h
@@ -10,17 +10,17 @@
 namespace alderward::gateway {
 
 // All that changed since the revision, or everything if some member was forgotten since then.
-void writeMembers(peer::MembersAnswer& wire, const ClusterView& view, uint64_t since, TimePoint now);
+void encodeMembers(peer::MembersAnswer& wire, const ClusterView& view, uint64_t since, TimePoint now);
 
 // One entry that another host told.
-links::RegisteredMember readMember(const peer::MemberEntry& wire);
+links::RegisteredMember decodeMember(const peer::MemberEntry& wire);
 
 // Changes in the store that a relay tells.
-void writeChanges(peer::Pong& wire, const ToldChanges& told, TimePoint now);
+void encodeChanges(peer::Pong& wire, const ToldChanges& batch, TimePoint now);
 // `sentAt`: before the time at which they were told.
-ToldChanges readChanges(const peer::Pong& wire, TimePoint sentAt);
+ToldChanges decodeChanges(const peer::Pong& wire, TimePoint sentAt);
 
 // Members that the answer says by their absence are gone.
-std::vector<std::string> findMissing(const peer::MembersAnswer& wire, const ClusterView& view);
+std::vector<std::string> findAbsentMembers(const peer::MembersAnswer& wire, const ClusterView& view);
 
 }
--- a/tests/unit/member_exchange_test.cpp
+++ b/tests/unit/member_exchange_test.cpp
@@ -21,9 +21,9 @@
         if (it.is_unlisted())
             takeMemberGone(view, it.id(), it.revision(), sentAt);
         else
-            takeMember(view, readMember(it), it.revision(), sentAt - milliseconds(it.leaving_ms()), kStart);
+            takeMember(view, decodeMember(it), it.revision(), sentAt - milliseconds(it.leaving_ms()), kStart);
     }
-    for (auto& id : findMissing(answer, view))
+    for (auto& id : findAbsentMembers(answer, view))
         takeMemberGone(view, id, answer.revision(), sentAt);
 }
 
@@ -34,23 +34,23 @@
 // A change that a relay forwards late must not look as if it had just happened.
 BOOST_AUTO_TEST_CASE(forwarded_changes_carry_their_age)
 {
-    ToldChanges told;
-    told.until = 12;
-    told.changes.push_back({ { .key = "a", .value = "1", .revision = 10 }, kStart, kStart });
-    told.changes.push_back({ { .key = "b", .revision = 11, .isDeleted = true }, std::nullopt, kStart });
-    told.changes.push_back({ { .key = "c", .value = "large", .revision = 12 }, kStart, kStart, true });
+    ToldChanges batch;
+    batch.until = 12;
+    batch.changes.push_back({ { .key = "a", .value = "1", .revision = 10 }, kStart, kStart });
+    batch.changes.push_back({ { .key = "b", .revision = 11, .isDeleted = true }, std::nullopt, kStart });
+    batch.changes.push_back({ { .key = "c", .value = "large", .revision = 12 }, kStart, kStart, true });
     peer::Pong wire;
-    writeChanges(wire, told, kStart + milliseconds(400));
+    encodeChanges(wire, batch, kStart + milliseconds(400));
     auto sentAt = kStart + milliseconds(50'000); // on the receiver's clock
-    auto heard = readChanges(wire, sentAt);
-    BOOST_TEST(heard.until == 12u);
-    BOOST_REQUIRE(heard.changes.size() == 3u);
-    BOOST_TEST((heard.changes[0].changedAt == sentAt - milliseconds(400)));
-    BOOST_TEST(heard.changes[0].item.value == "1");
-    BOOST_TEST(!heard.changes[1].changedAt.has_value());
-    BOOST_TEST(heard.changes[1].item.isDeleted);
-    BOOST_TEST(heard.changes[2].isLarge);
-    BOOST_TEST(heard.changes[2].item.value.empty());
+    auto decoded = decodeChanges(wire, sentAt);
+    BOOST_TEST(decoded.until == 12u);
+    BOOST_REQUIRE(decoded.changes.size() == 3u);
+    BOOST_TEST((decoded.changes[0].changedAt == sentAt - milliseconds(400)));
+    BOOST_TEST(decoded.changes[0].item.value == "1");
+    BOOST_TEST(!decoded.changes[1].changedAt.has_value());
+    BOOST_TEST(decoded.changes[1].item.isDeleted);
+    BOOST_TEST(decoded.changes[2].isLarge);
+    BOOST_TEST(decoded.changes[2].item.value.empty());
 }
 
 BOOST_AUTO_TEST_CASE(only_changes_since_the_known_revision_are_sent_with_their_age)
@@ -59,7 +59,7 @@
     takeMember(upToDate, makeMember("old"), 5, {}, kStart);
     takeMember(upToDate, makeMember("leaves", true), 12, kStart, kStart);
     peer::MembersAnswer answer;
-    writeMembers(answer, upToDate, 5, kStart + milliseconds(3000));
+    encodeMembers(answer, upToDate, 5, kStart + milliseconds(3000));
     BOOST_REQUIRE(answer.members_size() == 1);
     BOOST_TEST(answer.members(0).id() == "leaves");
     ClusterView outdated;
@@ -98,14 +98,14 @@
     takeMemberGone(upToDate, "a", 7, kStart);
     BOOST_REQUIRE(forgetMembers(upToDate, milliseconds(4000), kStart + milliseconds(5000)).size() == 1);
     peer::MembersAnswer answer;
-    writeMembers(answer, upToDate, outdated.membersRevision, kStart + milliseconds(5000));
+    encodeMembers(answer, upToDate, outdated.membersRevision, kStart + milliseconds(5000));
     BOOST_TEST(answer.is_whole());
     applyAnswer(outdated, answer, kStart + milliseconds(5000));
     BOOST_TEST(outdated.members.at("a").unlistedAt.has_value());
     BOOST_TEST(!outdated.members.at("b").unlistedAt.has_value());
     // An up-to-date host gets nothing more.
     peer::MembersAnswer second;
-    writeMembers(second, upToDate, outdated.membersRevision, kStart + milliseconds(5000));
+    encodeMembers(second, upToDate, outdated.membersRevision, kStart + milliseconds(5000));
     BOOST_TEST(!second.is_whole());
     BOOST_TEST(second.members_size() == 0);
 }
