--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -21,7 +21,7 @@
 static constexpr milliseconds kSweepInterval { 20 }; // how late a limit may be noticed
 static constexpr milliseconds kProofInterval { 250 }; // how old the newest floor may get while nothing else renews it
 static constexpr milliseconds kPositionInterval { 100 }; // how late a carrier notices that a replica which was far behind has caught up
-static constexpr milliseconds kFailureCooldown { 500 }; // a member that this host could not reach is left to others this long
+static constexpr milliseconds kUnreachableCooldown { 500 }; // a member that this host could not reach is left to others this long
 static constexpr milliseconds kStatusQueryTimeout { 350 }; // a busy target answers a status within some tens of ms; ordinary answers count as well
 static constexpr milliseconds kUnlistedRetention { 4000 }; // an unlisted member is forgotten then; entries that lapsed are back before
 static constexpr milliseconds kInitialConfigurationWait { 1000 }; // callers of a host that starts wait this long for its configuration; 20 to 220 ms where the store answers
@@ -44,7 +44,7 @@
     , m_self { m_settings.name, m_settings.peerAddress, m_settings.dataCentre, static_cast<uint64_t>(base::getRandom() * 1e15) + 1 }
     , m_peers(context, m_settings.name, makePeerService())
     , m_quotas({ m_view, m_peers, m_settings.name, m_self.incarnation, getQuotaRule(), m_isDraining, [this](size_t shard, const std::set<std::string>& accounts, std::function<void(bool)> done) { writeNearQuotaAccounts(shard, accounts, std::move(done)); } })
-    , m_router({ context, m_view, m_peers, m_settings.name, m_settings.dataCentre, [this](const TargetAddress& it) { return getPool(it); }, [this](const TargetAddress& it) { return hasRecentFailure(it); }, [this](const std::string& group) { raiseAlarm(group, "no primary is known"); }, [this] { return !decisions::canJudgePrimary(m_peers.countInReach()); }, getDrainTime(), m_quotas })
+    , m_router({ context, m_view, m_peers, m_settings.name, m_settings.dataCentre, [this](const TargetAddress& it) { return getPool(it); }, [this](const TargetAddress& it) { return isUnreachable(it); }, [this](const std::string& group) { raiseAlarm(group, "no primary is known"); }, [this] { return !decisions::canJudgePrimary(m_peers.countInReach()); }, getDrainTime(), m_quotas })
     , m_directory(context, *m_platform, m_self, { milliseconds(m_settings.storeCallTimeoutMs), milliseconds(m_settings.watchWaitMs), milliseconds(m_settings.longWatchWaitMs), milliseconds(m_settings.leaseMs) }, makeDirectoryEvents())
     , m_promoter({ context, m_view, m_peers, *m_platform, { m_self.name, m_self.incarnation }, [this](const TargetAddress& it, std::function<void(const StatusReport&)> done) { queryStatus(it, std::move(done)); }, [this](const std::string&, const std::string& member, milliseconds time) { holdWrites(member, time); }, [this] { return m_directory.isReachable(); }, [this](const std::string& group, const decisions::KnownPrimary& before, std::string_view source) { notifyPrimaryChange(group, before, source); }, m_isDraining })
     , m_acceptor(context)
@@ -261,10 +261,10 @@
         it->second->holdWrites(Clock::now() + time);
 }
 
-bool Gateway::hasRecentFailure(const TargetAddress& target) const
+bool Gateway::isUnreachable(const TargetAddress& target) const
 {
     auto it = m_view.members.find(target.member);
-    return it != m_view.members.end() && it->second.troubleAt != TimePoint {} && Clock::now() - it->second.troubleAt < kFailureCooldown;
+    return it != m_view.members.end() && it->second.troubleAt != TimePoint {} && Clock::now() - it->second.troubleAt < kUnreachableCooldown;
 }
 
 void Gateway::fillStatus(peer::Pong& message) const
@@ -309,7 +309,7 @@
         auto member = m_view.members.find(id);
         return member == m_view.members.end() ? nullptr : getPool(member->second.getTarget());
     };
-    service.isTroubled = [this](const TargetAddress& target) { return hasRecentFailure(target); };
+    service.isTroubled = [this](const TargetAddress& target) { return isUnreachable(target); };
     service.inquire = [this](const TargetAddress& target, std::function<void(const StatusReport&)> done) { queryStatus(target, std::move(done)); };
     service.onAlarm = [this](const std::string& group, const std::string& member, const std::string& reason) {
         if (m_view.groups[group].lead.member == member || member.empty())
@@ -341,10 +341,10 @@
                 encodeChanges(pong, m_directory.getChanges(ping.known_revision()), now);
         }
         for (auto& [member, pool] : m_pools) {
-            bool isOfUse = pool->isCarrier() || hasRecentFailure(pool->getTarget());
+            bool isOfUse = pool->isCarrier() || isUnreachable(pool->getTarget());
             if (!isOfUse)
                 continue;
-            writeLoad(*pong.add_loads(), member, pool->getLoad(), hasRecentFailure(pool->getTarget()));
+            writeLoad(*pong.add_loads(), member, pool->getLoad(), isUnreachable(pool->getTarget()));
         }
         for (auto& wire : *pong.mutable_loads())
             writePosition(wire, m_view, now);
@@ -507,7 +507,7 @@
     auto now = Clock::now();
     logReadinessChange();
     sweepHosts(now);
-    requestMembers(now);
+    refreshMembersFromPeers(now);
     sweepPools(now);
     m_peers.sweep(now);
     m_quotas.sweep(now);
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -54,14 +54,14 @@
     void logRefusedProof(const std::string& group, const std::string& member, uint64_t term);
     void recordFloor(const std::string& group, const decisions::Floor& floor);
     void raiseAlarm(const std::string& group, const std::string& reason);
-    bool hasRecentFailure(const TargetAddress& target) const;
+    bool isUnreachable(const TargetAddress& target) const;
     void fillStatus(peer::Pong& message) const;
     void takeStatus(const peer::Pong& message, TimePoint sentAt);
     void handleMemberListed(const links::RegisteredMember& member, uint64_t revision, TimePoint leavingSince, std::string_view source);
     void handleMemberRestart(const links::RegisteredMember& member);
     void verifyPrimaryClaim(MemberBelief& member);
     void handleMemberUnlisted(const std::string& id, uint64_t revision, std::string_view source);
-    void requestMembers(TimePoint now);
+    void refreshMembersFromPeers(TimePoint now);
     void handleMembersAnswer(const peer::MembersAnswer& answer, TimePoint sentAt);
     void handleRoleChange(const links::RegisteredMember& before, const links::RegisteredMember& now);
     void updatePeerHosts();
--- a/src/gateway/gateway_members.cpp
+++ b/src/gateway/gateway_members.cpp
@@ -54,7 +54,7 @@
 }
 
 // A host that has lost the store asks one that has it, another each time.
-void Gateway::requestMembers(TimePoint now)
+void Gateway::refreshMembersFromPeers(TimePoint now)
 {
     if (!m_view.hasMembers || !m_directory.mayMissChanges() || now - m_membersRequestedAt < kMembersRequestInterval)
         return;
