--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -18,24 +18,24 @@
 using decisions::ErrorKind;
 using std::chrono::microseconds;
 
-static constexpr milliseconds kSweepInterval { 20 }; // how late a limit may be noticed
-static constexpr milliseconds kProofInterval { 250 }; // how old the newest floor may get while nothing else renews it
-static constexpr milliseconds kPositionInterval { 100 }; // how late a carrier notices that a replica which was far behind has caught up
-static constexpr milliseconds kUnreachableCooldown { 500 }; // a member that this host could not reach is left to others this long
-static constexpr milliseconds kStatusQueryTimeout { 350 }; // a busy target answers a status within some tens of ms; ordinary answers count as well
-static constexpr milliseconds kUnlistedRetention { 4000 }; // an unlisted member is forgotten then; entries that lapsed are back before
-static constexpr milliseconds kInitialConfigurationWait { 1000 }; // callers of a host that starts wait this long for its configuration; 20 to 220 ms where the store answers
-static constexpr milliseconds kLoadBalancerNoticeTime { 2200 }; // the balancer asks once a second and needs two refusals
-static constexpr milliseconds kShutdownReserve { 700 }; // of the grace time, for the last answers
-static constexpr milliseconds kSocketFlushTime { 50 }; // for bytes that wait in sockets before the process ends
-static constexpr milliseconds kRelistTime { 2500 }; // entries that lapsed with the store are back within this
-static constexpr milliseconds kPartnersInterval { 500 }; // between two choices of partners while no host came or went
-static constexpr milliseconds kForwardingUpdateInterval { 500 }; // at most, between two looks at what this host carries while nothing that decides it changed
-static constexpr milliseconds kUnlistedSweepInterval { 500 }; // between two looks for members that have been unlisted for kUnlistedFor
-static constexpr milliseconds kSessionSweepInterval { 100 }; // how late a transaction that rested too long is ended; operators allow it seconds
-static constexpr milliseconds kRelayRequestLifetime { 2000 }; // a host that others ask what it hears goes on relaying this long
-static constexpr milliseconds kPrimaryClaimCheckInterval { 500 }; // between two questions to a listed primary while nobody is known to lead; a change of primary takes longer
-static constexpr unsigned kReservedConnections = 2; // of a member's limit, for inquiries and newcomers
+static constexpr milliseconds kSweepInterval { 20 }; // the longest delay in noticing a timeout
+static constexpr milliseconds kProofInterval { 250 }; // the maximum age of a group's newest floor while no statement renews it
+static constexpr milliseconds kPositionInterval { 100 }; // between position queries to a replica that is far behind
+static constexpr milliseconds kUnreachableCooldown { 500 }; // statements avoid this host's connections to a member for this long after a failure
+static constexpr milliseconds kStatusQueryTimeout { 350 };
+static constexpr milliseconds kUnlistedRetention { 4000 }; // must exceed the time in which expired entries are written again
+static constexpr milliseconds kInitialConfigurationWait { 1000 }; // callers of a host that starts wait this long for its configuration
+static constexpr milliseconds kLoadBalancerNoticeTime { 2200 }; // until the load balancer has seen enough failed readiness checks
+static constexpr milliseconds kShutdownReserve { 700 }; // part of the grace period that is kept for the last answers
+static constexpr milliseconds kSocketFlushTime { 50 }; // for unsent bytes in sockets before the process ends
+static constexpr milliseconds kRelistTime { 2500 }; // expired entries of hosts are written again within this
+static constexpr milliseconds kPartnersInterval { 500 }; // between choices of partners while the set of hosts does not change
+static constexpr milliseconds kForwardingUpdateInterval { 500 };
+static constexpr milliseconds kUnlistedSweepInterval { 500 };
+static constexpr milliseconds kSessionSweepInterval { 100 }; // the longest delay in ending an idle transaction
+static constexpr milliseconds kRelayRequestLifetime { 2000 }; // a host remains a relay for this long after the last request
+static constexpr milliseconds kPrimaryClaimCheckInterval { 500 }; // between status queries to a member that claims to be primary while none is known
+static constexpr unsigned kReservedConnections = 2; // of a member's limit, for status queries and hosts that have just started
 
 Gateway::Gateway(asio::io_context& context, base::TimerService& timers, base::GatewaySettings settings, std::unique_ptr<links::PlatformAdapter> platform)
     : m_context(context)
@@ -70,10 +70,10 @@
     if (!m_settings.metricsAddress.empty()) {
         auto metrics = links::startHttpServer(m_context, m_settings.metricsAddress, [this](links::HttpRequest) -> asio::awaitable<links::HttpResponse> {
             updateGauges();
-            links::HttpResponse answer;
-            answer.contentType = "text/plain; version=0.0.4";
-            answer.body = base::formatMetricFamilies();
-            co_return answer;
+            links::HttpResponse response;
+            response.contentType = "text/plain; version=0.0.4";
+            response.body = base::formatMetricFamilies();
+            co_return response;
         });
         if (!metrics)
             return tl::make_unexpected(metrics.error());
@@ -85,7 +85,7 @@
     return {};
 }
 
-// Gauges are set when somebody asks for them.
+// Called for each request of the metrics.
 void Gateway::updateGauges() const
 {
     using base::MetricFamily;
@@ -118,12 +118,12 @@
 
 asio::awaitable<links::HttpResponse> Gateway::handleReadinessRequest(links::HttpRequest request)
 {
-    links::HttpResponse answer;
+    links::HttpResponse response;
     if (request.path != m_platform->getReadyPath())
-        answer.status = 404;
+        response.status = 404;
     else if (!isReady())
-        answer.status = 503;
-    co_return answer;
+        response.status = 503;
+    co_return response;
 }
 
 bool Gateway::isReady() const
@@ -178,7 +178,7 @@
     return { std::chrono::duration_cast<milliseconds>(window), m_settings.quotaOverrunShare, m_settings.quotaSlackOperations };
 }
 
-// Half of the operators' limit, as two hosts may carry to one member while they disagree on who does.
+// Half of the configured limit, because two hosts may forward to one member while they disagree on which of them should.
 PoolLimits Gateway::getPoolLimits(const TargetAddress& target) const
 {
     auto group = m_view.configuration.groups.find(target.group);
@@ -239,7 +239,7 @@
     return observer;
 }
 
-// Whoever is in charge of the group looks into it.
+// Reports a possible failure of the group's primary to the group's coordinators.
 void Gateway::raiseAlarm(const std::string& group, const std::string& reason)
 {
     m_promoter.raiseAlarm(group, reason);
@@ -272,12 +272,12 @@
     message.set_configuration(m_view.configuration.version);
     message.set_change(m_directory.getNewestChange());
     message.set_is_leaving(m_isDraining);
-    auto ability = m_promoter.getAbility();
-    message.set_lacks_store(!ability.hasStore);
-    message.set_lacks_orders(!ability.canOrder);
+    auto capabilities = m_promoter.getAbility();
+    message.set_lacks_store(!capabilities.hasStore);
+    message.set_lacks_orders(!capabilities.canOrder);
 }
 
-void Gateway::takeStatus(const peer::Pong& message, TimePoint sentAt)
+void Gateway::handlePong(const peer::Pong& message, TimePoint sentAt)
 {
     if (message.entries_until() != 0)
         m_directory.takeChanges(decodeChanges(message, sentAt));
@@ -353,7 +353,7 @@
         m_directory.refreshConfiguration(ping.configuration());
         m_directory.hearChange(ping.change());
     };
-    service.onPong = [this](const std::string&, const peer::Pong& pong, TimePoint sentAt) { takeStatus(pong, sentAt); };
+    service.onPong = [this](const std::string&, const peer::Pong& pong, TimePoint sentAt) { handlePong(pong, sentAt); };
     service.answerMembers = [this](const peer::MembersQuestion& question, peer::MembersAnswer& answer) {
         answer.set_lacks_store(m_directory.mayMissChanges());
         if (!answer.lacks_store())
@@ -368,7 +368,7 @@
     return service;
 }
 
-// The least that any route lets its reads miss; 0: none lets them miss anything.
+// The lowest staleness limit of all routes that allow stale reads; 0: none does.
 static milliseconds getMinStalenessLimit(const links::GatewayConfiguration& configuration)
 {
     milliseconds minLimit { 0 };
@@ -426,7 +426,8 @@
     m_isPartnerChoiceDue = true;
 }
 
-// An entry may have lapsed with the store: a host stays while it answers, or until it had time to be listed again.
+// Removes hosts whose entries are gone and updates partners and relays. An entry may have expired because the store was unreachable: its host
+// is kept while it answers, or until it had time to write the entry again.
 void Gateway::sweepHosts(TimePoint now)
 {
     auto removedHosts = m_hostsRemovedAt;
@@ -443,7 +444,7 @@
         return;
     m_isPartnerChoiceDue = false;
     m_partnersChosenAt = now;
-    // Decided anew with the partners: a watcher that stops or falls silent is replaced by the next.
+    // Chosen together with the partners: a relay that stops or does not answer is replaced by the next host.
     auto partners = choosePartners(m_view, m_peers, getPlace(), m_promoter.getOrdererPlace(), m_basePingInterval);
     m_peers.setPartners(partners);
     auto relays = getRelays(m_view, m_peers, getPlace());
@@ -457,7 +458,7 @@
     base::logEvent(LogClass::State, "relays", { { "hosts", std::string_view(fmt::format("{}", fmt::join(relays, " "))) } });
 }
 
-// Asks a member for its status on a connection of its own. Any answer to ordinary statements meanwhile shows that it lives, too.
+// Queries a member's status on a separate connection. An answer to any statement in the meantime counts as a reachable member, too.
 void Gateway::queryStatus(const TargetAddress& target, std::function<void(const StatusReport&)> done)
 {
     auto session = std::make_shared<TargetSession>(m_context.get_executor(), m_platform->getCodec());
@@ -484,7 +485,7 @@
     session->open(
         target, m_settings.name, kStatusQueryTimeout, [this, session, finish](const Outcome& outcome) {
             if (outcome.error) {
-                // A member that refuses lives; one that is another than expected does not count.
+                // A refusal for lack of capacity shows that the member is alive. Other errors, such as another member at the address, do not.
                 StatusReport report;
                 report.wasReached = outcome.error->kind == ErrorKind::TooManyConnections || outcome.error->kind == ErrorKind::Overloaded;
                 finish(report);
@@ -519,7 +520,7 @@
     base::flushEventLog();
 }
 
-// What a session waits for lasts seconds, but for its host's first configuration.
+// Timeouts of sessions are seconds long, except the wait for the host's first configuration.
 void Gateway::sweepSessions(TimePoint now)
 {
     bool isStarting = now < m_startedAt + kInitialConfigurationWait;
@@ -540,7 +541,7 @@
         auto it = m_pools.find(id);
         if (it == m_pools.end())
             continue;
-        it->second->shutDown("the member is gone");
+        it->second->shutDown("the member is no longer listed");
         m_pools.erase(it);
     }
 }
@@ -561,8 +562,8 @@
     }
 }
 
-// What this host carries changes when a host or a member comes, goes or changes its role. Walking all members each 20 ms for it took a fifth of an
-// idle host's processor time at 295 hosts and 60 members.
+// Determines the members that this host forwards to. Runs on changes of hosts, members or roles and else at kForwardingUpdateInterval, because
+// the cost grows with the number of hosts and members.
 void Gateway::updateForwarding(TimePoint now)
 {
     m_view.isPlacementDue = false;
@@ -570,7 +571,7 @@
     m_forwardingUpdatedAt = now;
     auto place = getPlace();
     for (auto& [id, member] : m_view.members) {
-        // Asked again while nobody is known to lead: one answer that is missing or came too early would leave this host's callers without a primary for good.
+        // Repeated until a primary is known: after a lost or premature answer this host's callers would stay without a primary.
         if (m_view.groups[member.listed.group].lead.member.empty() && now - member.leadAskedAt >= kPrimaryClaimCheckInterval)
             verifyPrimaryClaim(member);
         bool isPrimary = m_view.groups[member.listed.group].lead.member == id;
@@ -581,7 +582,7 @@
         auto member = m_view.members.find(id);
         bool isKnown = member != m_view.members.end();
         bool isPrimary = isKnown && m_view.groups[member->second.listed.group].lead.member == id;
-        pool->setLimits(getPoolLimits(pool->getTarget())); // configuration and list may have come after the pool
+        pool->setLimits(getPoolLimits(pool->getTarget())); // configuration and members may have changed since the pool was created
         pool->setComparison(ensureComparison(pool->getTarget()));
         bool isForwarder = isKnown && isCarrier(m_view, m_peers, place, member->second);
         pool->setCarrier(isForwarder);
@@ -608,8 +609,8 @@
     base::logEvent(LogClass::State, "stop-begins", { { "sessions", static_cast<int64_t>(m_sessions.size()) }, { "grace_ms", static_cast<int64_t>(m_settings.stopGraceMs) } });
 }
 
-// The balancer needs a while to send no more callers; then sessions are closed as they come to rest, and at half of the grace time
-// transactions are ended.
+// Serves new callers until the load balancer has noticed the stop. Then closes sessions when they become idle, and aborts open transactions
+// after half of the grace period.
 void Gateway::advanceShutdown(TimePoint now)
 {
     auto elapsed = now - m_shutdownStartedAt;
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -1,5 +1,6 @@
-// A host that serves sessions on connections: accepts callers, follows the platform's store, and owns the parts that run statements.
-// One executor and one thread: everything here is touched from it only (docs/design/0009-platform.md says why).
+// The process of one host: accepts the connections of callers, owns the parts that route and run their statements, and connects these parts
+// with each other, with the platform's store and with other hosts.
+// Not thread-safe: all parts run on one executor with one thread (see docs/design/0009-platform.md).
 #pragma once
 #include "base/settings.h"
 #include "gateway/caller_session.h"
@@ -17,11 +18,13 @@
     Gateway(boost::asio::io_context& context, base::TimerService& timers, base::GatewaySettings settings, std::unique_ptr<links::PlatformAdapter> platform);
     ~Gateway();
 
+    // Starts listening and following the store. Returns an error if an address can't be listened on.
     tl::expected<void, std::string> start();
-    // A planned stop. The executor is stopped when it is done.
+    // Starts a planned stop: drains sessions within the grace period, then stops the executor. Later calls have no effect.
     void startShutdown();
-    // The settings file may have changed.
+    // Applies settings that were read again. Values that the parts received at construction do not change.
     void reload(const base::GatewaySettings& settings);
+    // Whether a configuration and the list of members are known and the host is not draining.
     bool isReady() const;
 
 private:
@@ -36,6 +39,7 @@
     void compareWithReplicas(const std::string& group);
     struct ComparisonRound;
     void finishComparison(const ComparisonRound& round);
+    // Starts a comparison with the group's replicas if one is needed to trust the target as primary.
     Comparison ensureComparison(const TargetAddress& target);
     decisions::QuotaRule getQuotaRule() const;
     void writeNearQuotaAccounts(size_t shard, const std::set<std::string>& accounts, std::function<void(bool)> done);
@@ -43,20 +47,21 @@
     PoolObserver makePoolObserver();
     PeerService makePeerService();
     DirectoryEvents makeDirectoryEvents();
+    // Calls `done` once, after kStatusQueryTimeout at the latest. A report without a status means that none was received.
     void queryStatus(const TargetAddress& target, std::function<void(const StatusReport&)> done);
     void holdWrites(const std::string& member, milliseconds time);
     void setKnownPrimary(const std::string& group, const decisions::KnownPrimary& lead, std::string_view source);
     void handlePrimaryProof(const std::string& group, const std::string& member, uint64_t term, TimePoint askedAt, ShownTo shownTo);
     void handlePromotionOrder(const std::string& group, const std::string& member, uint64_t term);
     void handleAssumedPrimary(const std::string& group, const std::string& member, uint64_t term);
-    // Logs a change and tells the parts that go by it.
+    // Compares the known primary with the one `before` an update; on a change, logs it and informs the promoter.
     void notifyPrimaryChange(const std::string& group, const decisions::KnownPrimary& before, std::string_view source);
     void logRefusedProof(const std::string& group, const std::string& member, uint64_t term);
     void recordFloor(const std::string& group, const decisions::Floor& floor);
     void raiseAlarm(const std::string& group, const std::string& reason);
     bool isUnreachable(const TargetAddress& target) const;
     void fillStatus(peer::Pong& message) const;
-    void takeStatus(const peer::Pong& message, TimePoint sentAt);
+    void handlePong(const peer::Pong& message, TimePoint sentAt);
     void handleMemberListed(const links::RegisteredMember& member, uint64_t revision, TimePoint leavingSince, std::string_view source);
     void handleMemberRestart(const links::RegisteredMember& member);
     void verifyPrimaryClaim(MemberBelief& member);
@@ -84,19 +89,19 @@
     Directory m_directory;
     Promoter m_promoter;
     std::map<std::string, std::shared_ptr<TargetPool>> m_pools; // by member
-    std::map<std::string, TimePoint> m_hostsRemovedAt; // hosts whose entries went: since when
-    TimePoint m_membersRequestedAt {}; // when another host was last asked, the store being lost
-    TimePoint m_partnersChosenAt {}; // when partners were last chosen
+    std::map<std::string, TimePoint> m_hostsRemovedAt; // by host: when its entry was removed from the store
+    TimePoint m_membersRequestedAt {}; // when members were last requested from another host
+    TimePoint m_partnersChosenAt {};
     bool m_isPartnerChoiceDue { true };
-    bool m_isPeerUpdateDue { false }; // hosts came or went since the parts that talk to them were told
-    std::vector<std::string> m_relays {}; // of this host's data centre, as last chosen
-    TimePoint m_relayRequestedAt {}; // when another host last asked what this one hears
-    milliseconds m_basePingInterval { decisions::kMinPingInterval }; // between exchanges that nothing else calls for
-    TimePoint m_unlistedSweptAt {}; // when unlisted members were last looked for
-    TimePoint m_sessionsSweptAt {}; // when sessions were last looked at
-    TimePoint m_forwardingUpdatedAt {}; // when this host last looked which members it carries to
-    uint64_t m_forwardingHostsVersion { 0 }; // of the other hosts, then
-    std::map<std::string, TimePoint> m_alarmsSentAt; // by group: when other hosts were last told
+    bool m_isPeerUpdateDue { false }; // m_view.hosts has changed since m_peers received it
+    std::vector<std::string> m_relays {}; // names of the relays of this host's data centre
+    TimePoint m_relayRequestedAt {}; // when another host last requested the reports of this host's partners
+    milliseconds m_basePingInterval { decisions::kMinPingInterval }; // of hosts that exchange with forwarders themselves
+    TimePoint m_unlistedSweptAt {};
+    TimePoint m_sessionsSweptAt {};
+    TimePoint m_forwardingUpdatedAt {};
+    uint64_t m_forwardingHostsVersion { 0 }; // version of m_peers at the last update
+    std::map<std::string, TimePoint> m_alarmsSentAt; // by group
     boost::asio::ip::tcp::acceptor m_acceptor;
     std::unordered_set<std::shared_ptr<CallerSession>> m_sessions;
     uint64_t m_lastSessionId { 0 };
--- a/src/gateway/gateway_members.cpp
+++ b/src/gateway/gateway_members.cpp
@@ -1,4 +1,4 @@
-// Members as the platform lists them, or as hosts tell that have its store: those that come, go, leave, change their role or start again.
+// Changes to members, as read from the platform's store or reported by hosts that can reach it.
 #include "base/event_log.h"
 #include "base/random.h"
 #include "gateway/gateway.h"
@@ -10,10 +10,10 @@
 using base::Clock;
 using base::LogClass;
 
-static constexpr milliseconds kProofTimeout { 1500 }; // without a floor of this age the leader has not shown itself: proofs come each 250 ms, pings each second at most
-static constexpr milliseconds kMembersRequestInterval { 500 }; // between two questions for members to hosts that have the store
+static constexpr milliseconds kProofTimeout { 1500 }; // maximum age of a floor that counts as a recent proof; must exceed the intervals of proofs and pings
+static constexpr milliseconds kMembersRequestInterval { 500 }; // between requests for members to other hosts
 
-// `source`: the store itself, or a host that has it.
+// `source`, for the log: "listed" by the store or "told" by another host.
 void Gateway::handleMemberListed(const links::RegisteredMember& member, uint64_t revision, TimePoint leavingSince, std::string_view source)
 {
     auto known = m_view.members.find(member.id);
@@ -28,13 +28,13 @@
     handleRoleChange(before, member);
     m_isPartnerChoiceDue = m_isPartnerChoiceDue || !wasKnown;
     m_view.isPlacementDue = true;
-    before.incarnation = member.incarnation; // its count moves with every word of it
+    before.incarnation = member.incarnation; // the sequence increases with each update of the entry and is no change worth logging
     if (before == member && !wasUnlisted)
         return;
     base::logEvent(LogClass::State, "member", { { "member", std::string_view(member.id) }, { "group", std::string_view(member.group) }, { "address", std::string_view(member.address) }, { "leaving", member.isLeaving }, { "says_primary", member.saysPrimary }, { "revision", static_cast<int64_t>(revision) }, { "source", source } });
 }
 
-// Connections that still stand lead to the process of before; whatever runs on them is in doubt, as after any other break.
+// Closes the connections to the previous process. The outcome of statements that run on them is unknown, as after any lost connection.
 void Gateway::handleMemberRestart(const links::RegisteredMember& member)
 {
     base::logEvent(LogClass::State, "member-restarted", { { "member", std::string_view(member.id) }, { "group", std::string_view(member.group) }, { "born", static_cast<int64_t>(member.incarnation.startedAtMs) }, { "sequence", static_cast<int64_t>(member.incarnation.sequence) } });
@@ -42,7 +42,7 @@
     if (auto it = m_pools.find(member.id); it != m_pools.end()) {
         auto pool = it->second;
         m_pools.erase(it);
-        pool->shutDown("the member started again");
+        pool->shutDown("the member has restarted");
     }
     verifyPrimaryClaim(m_view.members.at(member.id));
 }
@@ -53,7 +53,7 @@
         base::logEvent(LogClass::State, "member-unlisted", { { "member", std::string_view(id) }, { "revision", static_cast<int64_t>(revision) }, { "source", source } });
 }
 
-// A host that has lost the store asks one that has it, another each time.
+// While the store is unreachable, requests members from a random host that can reach it.
 void Gateway::refreshMembersFromPeers(TimePoint now)
 {
     if (!m_view.hasMembers || !m_directory.mayMissChanges() || now - m_membersRequestedAt < kMembersRequestInterval)
@@ -84,8 +84,8 @@
         handleMemberUnlisted(id, answer.revision(), "told");
 }
 
-// A member says of itself that its role changed. That counts against a leader that has not shown itself lately, no more: a member that
-// was cut off may not know that it was replaced.
+// Handles a change of role that a member reports about itself. It is ignored while the known primary has a recent proof: a partitioned member
+// may not know that it was replaced.
 void Gateway::handleRoleChange(const links::RegisteredMember& before, const links::RegisteredMember& now)
 {
     auto& group = m_view.groups[now.group];
--- a/src/gateway/gateway_primaries.cpp
+++ b/src/gateway/gateway_primaries.cpp
@@ -1,4 +1,4 @@
-// Who leads a group, as a host learns it: what members show, what other hosts tell or order, and what a host finds out that has just started.
+// The known primaries of groups. Sources: answers of members, reports and promotion orders of other hosts, and the comparison with replicas.
 #include "base/event_log.h"
 #include "decisions/comparison.h"
 #include "gateway/gateway.h"
@@ -9,15 +9,15 @@
 using base::Clock;
 using base::LogClass;
 
-static constexpr milliseconds kComparisonInterval { 400 }; // between two times that replicas are asked what they hold, which takes up to kInquiryLimit
+static constexpr milliseconds kComparisonInterval { 400 }; // must exceed kStatusQueryTimeout
 
-// The replicas of one group, as they are asked what they hold.
+// One comparison of a primary's log with the replicas of its group.
 struct Gateway::ComparisonRound {
     std::string group;
     std::string primary;
-    links::MemberIncarnation incarnation; // of the primary's process
+    links::MemberIncarnation incarnation;
     std::vector<decisions::QueriedReplica> replicas {};
-    size_t pendingCount { 0 }; // that have not answered yet, nor been given up
+    size_t pendingCount { 0 }; // replicas that have neither answered nor timed out
 };
 
 Comparison Gateway::ensureComparison(const TargetAddress& target)
@@ -32,9 +32,8 @@
     return group.lacksAnswers ? Comparison::LacksAnswers : Comparison::UnderWay;
 }
 
-// A host that has just started knows no floor, and would take the word of a primary that started again with nothing. Replicas of its term hold nothing
-// that it lacks, unless it lost its log. Two connections a group at a carrier's start; those that do not answer are waited for kInquiryLimit, and where they are needed
-// asked again.
+// Guards against a primary that restarted with an empty log: a host that has just started knows no floor that would reveal it. A replica of the
+// same term is ahead of the primary only if the primary has lost its log.
 void Gateway::compareWithReplicas(const std::string& name)
 {
     auto now = Clock::now();
@@ -76,7 +75,7 @@
     m_view.isPlacementDue = true;
     auto primary = m_view.members.find(round.primary);
     bool isUnchanged = primary != m_view.members.end() && group.lead.member == round.primary && !isOtherLife(round.incarnation, primary->second.listed.incarnation);
-    if (!isUnchanged) { // it is compared anew, if need be
+    if (!isUnchanged) { // the result is void: the next ensureComparison() starts another one
         group.comparedAt = {};
         return;
     }
@@ -87,7 +86,7 @@
     base::logEvent(LogClass::State, "replicas-compared", { { "group", std::string_view(round.group) }, { "member", std::string_view(round.primary) }, { "replicas", static_cast<int64_t>(round.replicas.size()) }, { "older", static_cast<int64_t>(older) }, { "answered", static_cast<int64_t>(answered) }, { "enough", group.wasCompared }, { "term", static_cast<int64_t>(group.heldByReplicas.term) }, { "position", static_cast<int64_t>(group.heldByReplicas.position) } });
 }
 
-// A host that carries to a member which says that it leads finds out whether it does. Others prove the lead through this host only, so nobody would tell it.
+// Queries a member that claims to be primary. Its forwarder has to: other hosts reach the member only through it and can't report a proof.
 void Gateway::verifyPrimaryClaim(MemberBelief& member)
 {
     if (!member.listed.saysPrimary || !isCarrier(m_view, m_peers, getPlace(), member))
@@ -140,7 +139,7 @@
     auto& lead = belief.lead;
     if (lead.member == before.member && lead.term == before.term)
         return;
-    if (lead.member != before.member) { // another one was compared with its replicas
+    if (lead.member != before.member) { // the comparison was made with the previous primary
         belief.wasCompared = false;
         belief.lacksAnswers = false;
     }
@@ -149,7 +148,7 @@
     base::logEvent(LogClass::State, "lead", { { "group", std::string_view(group) }, { "member", std::string_view(lead.member) }, { "term", static_cast<int64_t>(lead.term) }, { "source", source } });
 }
 
-// A member shows that it leads in an older term than the one that this host believes the group to be in. A line for each such member and term, not for each proof.
+// Logs a proof of a term older than the known one, once for each member and term.
 void Gateway::logRefusedProof(const std::string& group, const std::string& member, uint64_t term)
 {
     auto& belief = m_view.groups[group];
--- a/src/gateway/member_exchange.h
+++ b/src/gateway/member_exchange.h
@@ -1,7 +1,7 @@
-// What a host that has the platform's store tells one that has lost it: which members there are and which of them leave. Without it such a host sends
-// its callers to members that have ended, and knows none that came since.
+// Messages by which a host that can't reach the platform's store learns of changes to members from a host that can. Without them it would send
+// statements to members that have ended, and would not know new members.
 //
-// Asked for, not sent around: it costs nothing while the store is there. Hearsay is not passed on; only a host that reads the store itself answers.
+// Sent on request only, and only by hosts that read the store themselves: reports are not passed on.
 #pragma once
 #include "gateway/cluster_view.h"
 #include "gateway/directory.h"
@@ -9,18 +9,17 @@
 
 namespace alderward::gateway {
 
-// All that changed since the revision, or everything if some member was forgotten since then.
+// Members changed after revision `since`, or all members if one was forgotten after it.
 void encodeMembers(peer::MembersAnswer& wire, const ClusterView& view, uint64_t since, TimePoint now);
 
-// One entry that another host told.
 links::RegisteredMember decodeMember(const peer::MemberEntry& wire);
 
-// Changes in the store that a relay tells.
+// Changes in the store that a relay forwards. Times are encoded as ages, as clocks of hosts differ.
 void encodeChanges(peer::Pong& wire, const ToldChanges& batch, TimePoint now);
-// `sentAt`: before the time at which they were told.
+// `sentAt`: when the ping was sent that the message answers, so that changes never seem newer than they are.
 ToldChanges decodeChanges(const peer::Pong& wire, TimePoint sentAt);
 
-// Members that the answer says by their absence are gone.
+// Ids of known members that are absent from a complete answer, that is, removed. Members changed after the answer's revision are left out.
 std::vector<std::string> findAbsentMembers(const peer::MembersAnswer& wire, const ClusterView& view);
 
 }
