--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -42,7 +42,7 @@
     , m_settings(std::move(settings))
     , m_platform(std::move(platform))
     , m_self { m_settings.name, m_settings.peerAddress, m_settings.dataCentre, static_cast<uint64_t>(base::getRandom() * 1e15) + 1 }
-    , m_peers(context, m_settings.name, makePeerService())
+    , m_peers(context, m_settings.name, makePeerCallbacks())
     , m_quotas({ m_view, m_peers, m_settings.name, m_self.incarnation, getQuotaRule(), m_isDraining, [this](size_t shard, const std::set<std::string>& accounts, std::function<void(bool)> done) { writeNearQuotaAccounts(shard, accounts, std::move(done)); } })
     , m_router({ context, m_view, m_peers, m_settings.name, m_settings.dataCentre, [this](const TargetAddress& it) { return getPool(it); }, [this](const TargetAddress& it) { return isUnreachable(it); }, [this](const std::string& group) { raiseAlarm(group, "no primary is known"); }, [this] { return !decisions::canJudgePrimary(m_peers.countInReach()); }, getDrainTime(), m_quotas })
     , m_directory(context, *m_platform, m_self, { milliseconds(m_settings.storeCallTimeoutMs), milliseconds(m_settings.watchWaitMs), milliseconds(m_settings.longWatchWaitMs), milliseconds(m_settings.leaseMs) }, makeDirectoryEvents())
@@ -131,7 +131,7 @@
     return m_view.configuration.version > 0 && m_view.hasMembers && !m_isDraining;
 }
 
-HostPlace Gateway::getPlace() const
+HostPlace Gateway::getLocalHost() const
 {
     return { m_self.name, m_settings.dataCentre, m_isDraining, m_directory.isReachable(), Clock::now() - m_relayRequestedAt < kRelayRequestLifetime };
 }
@@ -302,34 +302,34 @@
     }
 }
 
-PeerService Gateway::makePeerService()
+PeerService Gateway::makePeerCallbacks()
 {
-    PeerService service;
-    service.findPool = [this](const std::string& id) -> std::shared_ptr<TargetPool> {
+    PeerService callbacks;
+    callbacks.findPool = [this](const std::string& id) -> std::shared_ptr<TargetPool> {
         auto member = m_view.members.find(id);
         return member == m_view.members.end() ? nullptr : getPool(member->second.getTarget());
     };
-    service.isTroubled = [this](const TargetAddress& target) { return isUnreachable(target); };
-    service.inquire = [this](const TargetAddress& target, std::function<void(const StatusReport&)> done) { queryStatus(target, std::move(done)); };
-    service.onAlarm = [this](const std::string& group, const std::string& member, const std::string& reason) {
+    callbacks.isTroubled = [this](const TargetAddress& target) { return isUnreachable(target); };
+    callbacks.inquire = [this](const TargetAddress& target, std::function<void(const StatusReport&)> done) { queryStatus(target, std::move(done)); };
+    callbacks.onAlarm = [this](const std::string& group, const std::string& member, const std::string& reason) {
         if (m_view.groups[group].lead.member == member || member.empty())
             m_promoter.raiseAlarm(group, reason);
     };
-    service.onHoldWrites = [this](const std::string&, const std::string& member, milliseconds time) { holdWrites(member, time); };
-    service.onLead = [this](const std::string& host, const std::string& group, const std::string& member, uint64_t term) {
+    callbacks.onHoldWrites = [this](const std::string&, const std::string& member, milliseconds time) { holdWrites(member, time); };
+    callbacks.onLead = [this](const std::string& host, const std::string& group, const std::string& member, uint64_t term) {
         m_promoter.noteOrder(group, host);
         if (!m_view.members.contains(member))
             return;
         handlePromotionOrder(group, member, term);
     };
-    service.fillPing = [this](peer::Ping& ping) {
+    callbacks.fillPing = [this](peer::Ping& ping) {
         ping.set_configuration(m_view.configuration.version);
         ping.set_change(m_directory.getNewestChange());
         ping.set_is_leaving(m_isDraining);
         if (ping.wants_loads())
             ping.set_known_revision(m_directory.getRevision());
     };
-    service.fillPong = [this](const peer::Ping& ping, peer::Pong& pong) {
+    callbacks.fillPong = [this](const peer::Ping& ping, peer::Pong& pong) {
         auto now = Clock::now();
         fillStatus(pong);
         writeGroups(pong, m_view, ping.wants_heard(), now);
@@ -349,23 +349,23 @@
         for (auto& wire : *pong.mutable_loads())
             writePosition(wire, m_view, now);
     };
-    service.onPing = [this](const std::string&, const peer::Ping& ping) {
+    callbacks.onPing = [this](const std::string&, const peer::Ping& ping) {
         m_directory.refreshConfiguration(ping.configuration());
         m_directory.hearChange(ping.change());
     };
-    service.onPong = [this](const std::string&, const peer::Pong& pong, TimePoint sentAt) { handlePong(pong, sentAt); };
-    service.answerMembers = [this](const peer::MembersQuestion& question, peer::MembersAnswer& answer) {
+    callbacks.onPong = [this](const std::string&, const peer::Pong& pong, TimePoint sentAt) { handlePong(pong, sentAt); };
+    callbacks.answerMembers = [this](const peer::MembersQuestion& question, peer::MembersAnswer& answer) {
         answer.set_lacks_store(m_directory.mayMissChanges());
         if (!answer.lacks_store())
             encodeMembers(answer, m_view, question.since(), Clock::now());
     };
-    service.onMembers = [this](const std::string&, const peer::MembersAnswer& answer, TimePoint sentAt) { handleMembersAnswer(answer, sentAt); };
-    service.takeQuotaReport = [this](const peer::QuotaReport& report) { return m_quotas.takeReport(report); };
-    service.answerQuotaAsk = [this](const peer::QuotaAsk& ask) { return m_quotas.answerAsk(ask); };
-    service.onQuotaState = [this](const std::string& host, const peer::QuotaState& state) { m_quotas.takeState(host, state); };
-    service.onQuotaAnswer = [this](const std::string& host, const peer::QuotaAnswer& answer) { m_quotas.takeAnswer(host, answer); };
-    service.onLink = [](const std::string& host, bool isUp, const std::string& reason) { base::incrementCounter(base::MetricFamily::HostChanges, {{"peer", host}, {"change", isUp ? "regained" : "lost"}}); base::logEvent(LogClass::State, isUp ? "host-regained" : "host-lost", { { "peer", std::string_view(host) }, { "reason", std::string_view(reason) } }); };
-    return service;
+    callbacks.onMembers = [this](const std::string&, const peer::MembersAnswer& answer, TimePoint sentAt) { handleMembersAnswer(answer, sentAt); };
+    callbacks.takeQuotaReport = [this](const peer::QuotaReport& report) { return m_quotas.takeReport(report); };
+    callbacks.answerQuotaAsk = [this](const peer::QuotaAsk& ask) { return m_quotas.answerAsk(ask); };
+    callbacks.onQuotaState = [this](const std::string& host, const peer::QuotaState& state) { m_quotas.takeState(host, state); };
+    callbacks.onQuotaAnswer = [this](const std::string& host, const peer::QuotaAnswer& answer) { m_quotas.takeAnswer(host, answer); };
+    callbacks.onLink = [](const std::string& host, bool isUp, const std::string& reason) { base::incrementCounter(base::MetricFamily::HostChanges, {{"peer", host}, {"change", isUp ? "regained" : "lost"}}); base::logEvent(LogClass::State, isUp ? "host-regained" : "host-lost", { { "peer", std::string_view(host) }, { "reason", std::string_view(reason) } }); };
+    return callbacks;
 }
 
 // The lowest staleness limit of all routes that allow stale reads; 0: none does.
@@ -445,10 +445,10 @@
     m_isPartnerChoiceDue = false;
     m_partnersChosenAt = now;
     // Chosen together with the partners: a relay that stops or does not answer is replaced by the next host.
-    auto partners = choosePartners(m_view, m_peers, getPlace(), m_promoter.getOrdererPlace(), m_basePingInterval);
+    auto partners = choosePartners(m_view, m_peers, getLocalHost(), m_promoter.getOrdererPlace(), m_basePingInterval);
     m_peers.setPartners(partners);
-    auto relays = getRelays(m_view, m_peers, getPlace());
-    bool isWatcher = std::ranges::find(relays, m_self.name) != relays.end() || getPlace().isAskedToRelay;
+    auto relays = getRelays(m_view, m_peers, getLocalHost());
+    bool isWatcher = std::ranges::find(relays, m_self.name) != relays.end() || getLocalHost().isAskedToRelay;
     bool hasRelay = std::ranges::any_of(partners, [](auto& it) { return it.second.tellsLoads; });
     m_directory.setWatcher(isWatcher, hasRelay);
     m_directory.setLostByRelays(std::ranges::none_of(partners, [this](auto& it) { return it.second.isRelay && m_peers.getAbility(it.first).hasStore; }));
@@ -569,13 +569,13 @@
     m_view.isPlacementDue = false;
     m_forwardingHostsVersion = m_peers.getVersion();
     m_forwardingUpdatedAt = now;
-    auto place = getPlace();
+    auto localHost = getLocalHost();
     for (auto& [id, member] : m_view.members) {
         // Repeated until a primary is known: after a lost or premature answer this host's callers would stay without a primary.
         if (m_view.groups[member.listed.group].lead.member.empty() && now - member.leadAskedAt >= kPrimaryClaimCheckInterval)
             verifyPrimaryClaim(member);
         bool isPrimary = m_view.groups[member.listed.group].lead.member == id;
-        if ((isPrimary || mustShow(member)) && isCarrier(m_view, m_peers, place, member))
+        if ((isPrimary || mustShow(member)) && isCarrier(m_view, m_peers, localHost, member))
             getPool(member.getTarget());
     }
     for (auto& [id, pool] : m_pools) {
@@ -584,9 +584,9 @@
         bool isPrimary = isKnown && m_view.groups[member->second.listed.group].lead.member == id;
         pool->setLimits(getPoolLimits(pool->getTarget())); // configuration and members may have changed since the pool was created
         pool->setComparison(ensureComparison(pool->getTarget()));
-        bool isForwarder = isKnown && isCarrier(m_view, m_peers, place, member->second);
-        pool->setCarrier(isForwarder);
-        pool->setProofInterval(isPrimary && isForwarder ? kProofInterval : milliseconds(0));
+        bool isForwarding = isKnown && isCarrier(m_view, m_peers, localHost, member->second);
+        pool->setCarrier(isForwarding);
+        pool->setProofInterval(isPrimary && isForwarding ? kProofInterval : milliseconds(0));
     }
 }
 
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -45,12 +45,12 @@
     void writeNearQuotaAccounts(size_t shard, const std::set<std::string>& accounts, std::function<void(bool)> done);
     PoolLimits getPoolLimits(const TargetAddress& target) const;
     PoolObserver makePoolObserver();
-    PeerService makePeerService();
+    PeerService makePeerCallbacks();
     DirectoryEvents makeDirectoryEvents();
     // Calls `done` once, after kStatusQueryTimeout at the latest. A report without a status means that none was received.
     void queryStatus(const TargetAddress& target, std::function<void(const StatusReport&)> done);
     void holdWrites(const std::string& member, milliseconds time);
-    void setKnownPrimary(const std::string& group, const decisions::KnownPrimary& lead, std::string_view source);
+    void setKnownPrimary(const std::string& group, const decisions::KnownPrimary& primary, std::string_view source);
     void handlePrimaryProof(const std::string& group, const std::string& member, uint64_t term, TimePoint askedAt, ShownTo shownTo);
     void handlePromotionOrder(const std::string& group, const std::string& member, uint64_t term);
     void handleAssumedPrimary(const std::string& group, const std::string& member, uint64_t term);
@@ -72,7 +72,7 @@
     void updatePeerHosts();
     void sweepHosts(TimePoint now);
     milliseconds getDrainTime() const { return milliseconds(m_settings.memberDrainMs); }
-    HostPlace getPlace() const;
+    HostPlace getLocalHost() const;
     boost::asio::awaitable<links::HttpResponse> handleReadinessRequest(links::HttpRequest request);
     void logReadinessChange();
     void updateGauges() const;
--- a/src/gateway/gateway_primaries.cpp
+++ b/src/gateway/gateway_primaries.cpp
@@ -89,7 +89,7 @@
 // Queries a member that claims to be primary. Its forwarder has to: other hosts reach the member only through it and can't report a proof.
 void Gateway::verifyPrimaryClaim(MemberBelief& member)
 {
-    if (!member.listed.saysPrimary || !isCarrier(m_view, m_peers, getPlace(), member))
+    if (!member.listed.saysPrimary || !isCarrier(m_view, m_peers, getLocalHost(), member))
         return;
     member.leadAskedAt = Clock::now();
     auto known = getKnownMark(m_view.groups[member.listed.group]);
@@ -99,11 +99,11 @@
     });
 }
 
-void Gateway::setKnownPrimary(const std::string& group, const decisions::KnownPrimary& lead, std::string_view source)
+void Gateway::setKnownPrimary(const std::string& group, const decisions::KnownPrimary& primary, std::string_view source)
 {
     auto& current = m_view.groups[group].lead;
     auto before = current;
-    current = lead;
+    current = primary;
     notifyPrimaryChange(group, before, source);
 }
 
@@ -136,16 +136,16 @@
 void Gateway::notifyPrimaryChange(const std::string& group, const decisions::KnownPrimary& before, std::string_view source)
 {
     auto& belief = m_view.groups[group];
-    auto& lead = belief.lead;
-    if (lead.member == before.member && lead.term == before.term)
+    auto& primary = belief.lead;
+    if (primary.member == before.member && primary.term == before.term)
         return;
-    if (lead.member != before.member) { // the comparison was made with the previous primary
+    if (primary.member != before.member) { // the comparison was made with the previous primary
         belief.wasCompared = false;
         belief.lacksAnswers = false;
     }
     m_view.isPlacementDue = true;
     m_promoter.noteNewLead(group);
-    base::logEvent(LogClass::State, "lead", { { "group", std::string_view(group) }, { "member", std::string_view(lead.member) }, { "term", static_cast<int64_t>(lead.term) }, { "source", source } });
+    base::logEvent(LogClass::State, "lead", { { "group", std::string_view(group) }, { "member", std::string_view(primary.member) }, { "term", static_cast<int64_t>(primary.term) }, { "source", source } });
 }
 
 // Logs a proof of a term older than the known one, once for each member and term.
