--- a/tests/gateway/path_test.cpp
+++ b/tests/gateway/path_test.cpp
@@ -1,4 +1,4 @@
-// The path of a statement: sessions, values, prepared statements, transactions, freshness.
+// Execution of statements: sessions, session variables, prepared statements, transactions, read freshness and connection limits.
 #include "harness/gateway_rig.h"
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
@@ -6,7 +6,7 @@
 
 using namespace harness;
 
-BOOST_AUTO_TEST_SUITE(path)
+BOOST_AUTO_TEST_SUITE(statement_execution)
 
 BOOST_AUTO_TEST_CASE(a_session_reads_writes_and_commits_through_any_host)
 {
@@ -34,37 +34,37 @@
     BOOST_TEST(LineCaller(rig.getCallerAddress(0), "no-such").getHello().hasCode("NODB"));
 }
 
-// Found at the bench with a primary that turned away two in five: its callers were told so at the first one.
-BOOST_AUTO_TEST_CASE(a_primary_that_turns_some_away_is_asked_again)
+// Guards against passing a primary's first refusal for overload on to the caller.
+BOOST_AUTO_TEST_CASE(statements_refused_by_a_busy_primary_are_retried)
 {
     GatewayRig rig;
     rig.beginHosts();
-    auto turnAway = [&](int n) { rig.call([&] { rig.getGroup().getFaults(rig.getGroup().getPrimary()).turnsAway = n; }); };
+    auto refuseNext = [&](int n) { rig.call([&] { rig.getGroup().getFaults(rig.getGroup().getPrimary()).turnsAway = n; }); };
     for (unsigned i = 0; i < 3; ++i) {
         LineCaller caller(rig.getCallerAddress(i), "db0-primary");
-        turnAway(3);
+        refuseNext(3);
         BOOST_TEST(caller.ask("WRITE busy 1").isOk());
-        turnAway(3);
+        refuseNext(3);
         BOOST_TEST(caller.ask("READ busy").isOk());
         caller.ask("BEGIN");
-        turnAway(3);
+        refuseNext(3);
         BOOST_TEST(caller.ask("WRITE busy 2").isOk());
-        turnAway(3);
+        refuseNext(3);
         BOOST_TEST(caller.ask("READ busy").rows == std::vector<std::string>({ "2" }), boost::test_tools::per_element());
-        turnAway(3);
+        refuseNext(3);
         BOOST_TEST(caller.ask("COMMIT").isOk());
-        turnAway(1000); // for good: its caller is told, well within the time
+        refuseNext(1000); // until reset: the caller gets the error before its deadline
         BOOST_TEST(caller.ask("WRITE busy 3").hasCode("BUSY"));
-        turnAway(0);
+        refuseNext(0);
     }
     BOOST_TEST(rig.countEvents("promotion-considered") == 0u);
 }
 
-// Found at the bench with a primary at which two of five statements hung: these held all connections until their time was over.
-BOOST_AUTO_TEST_CASE(statements_that_hang_do_not_keep_all_connections)
+// Guards against statements without an answer that occupy all connections until their deadlines.
+BOOST_AUTO_TEST_CASE(hanging_statements_do_not_occupy_all_connections)
 {
     RigShape shape;
-    shape.connections = 8; // three for the host that carries
+    shape.connections = 8; // three for the forwarder
     GatewayRig rig(shape);
     rig.beginHosts();
     rig.configure(2, 4000);
@@ -82,16 +82,16 @@
         BOOST_TEST(it->receive(milliseconds(2500)).isOk());
 }
 
-BOOST_AUTO_TEST_CASE(statements_run_with_the_values_and_shapes_of_their_own_session)
+BOOST_AUTO_TEST_CASE(statements_run_with_the_variables_and_prepared_statements_of_their_own_session)
 {
     GatewayRig rig;
     rig.beginHosts();
-    std::map<std::string, std::pair<std::string, std::string>> expected; // id to value and text
+    std::map<std::string, std::pair<std::string, std::string>> expected; // by id: value and text
     std::vector<std::unique_ptr<LineCaller>> callers;
     for (unsigned i = 0; i < 6; ++i) {
         callers.push_back(std::make_unique<LineCaller>(rig.getCallerAddress(i % 3), "db0-own"));
         BOOST_TEST(callers[i]->ask(fmt::format("SET zone v{}", i)).isOk());
-        // The same name for different shapes.
+        // Each session prepares a different statement under the same name.
         BOOST_TEST(callers[i]->ask(fmt::format("PREPARE s READ shape{}", i)).isOk());
     }
     for (int round = 0; round < 10; ++round) {
@@ -103,18 +103,18 @@
     BOOST_TEST(callers[0]->ask("DEALLOC s").isOk());
     BOOST_TEST(callers[0]->ask("EXECUTE s x").hasCode("NOSUCHSTMT"));
     auto ran = rig.call([&] { return rig.getGroup().getRan(); });
-    size_t seen = 0;
+    size_t matched = 0;
     for (auto& it : ran) {
         auto found = expected.find(it.id);
         if (found == expected.end())
             continue;
-        ++seen;
+        ++matched;
         BOOST_TEST(it.values["zone"] == found->second.first);
     }
-    BOOST_TEST(seen == expected.size());
+    BOOST_TEST(matched == expected.size());
 }
 
-BOOST_AUTO_TEST_CASE(reads_of_a_stated_age_go_to_replicas_and_never_miss_the_sessions_own_commit)
+BOOST_AUTO_TEST_CASE(bounded_staleness_reads_use_replicas_and_read_your_writes_holds)
 {
     GatewayRig rig;
     rig.beginHosts();
@@ -136,9 +136,8 @@
     BOOST_TEST(byReplica >= 20);
 }
 
-// Found at the bench: each read asked both replicas, which had been behind for half a minute, before it went to the primary; 16,000 to 36,000
-// of 100,000 to 138,000 statements at members a day. Before, these 160 reads were turned away 200 times; now once.
-BOOST_AUTO_TEST_CASE(replicas_that_are_far_behind_are_asked_by_no_read_until_they_have_caught_up)
+// Guards against reads that try replicas known to be far behind before they go to the primary.
+BOOST_AUTO_TEST_CASE(reads_avoid_replicas_that_are_far_behind_until_they_have_caught_up)
 {
     GatewayRig rig;
     rig.beginHosts();
@@ -147,14 +146,14 @@
         rig.call([&] {
             for (auto& id : group.getIds()) {
                 group.getFaults(id).lag = lag;
-                group.getFaults(id).work = milliseconds(12); // a primary that is much faster than replicas are guessed to be would get all reads
+                group.getFaults(id).work = milliseconds(12); // similar to the estimate for replicas: otherwise the faster primary would get all reads
             }
         });
     };
     LineCaller writer(rig.getCallerAddress(0), "db0-primary");
     LineCaller reader(rig.getCallerAddress(1), "db0-bounded");
     setLag(milliseconds(6000));
-    for (int i = 0; i < 100; ++i) { // replicas are 3 s behind from then on
+    for (int i = 0; i < 100; ++i) { // afterwards replicas are about 3 s behind
         BOOST_TEST(writer.ask("WRITE mine v").isOk());
         std::this_thread::sleep_for(milliseconds(30));
     }
@@ -165,24 +164,24 @@
         BOOST_TEST(reader.ask("READ mine").isOk());
         std::this_thread::sleep_for(milliseconds(15));
     }
-    auto turnedAway = rig.call([&] { return group.getTurnedAwayAsBehind(); }) - before;
-    BOOST_TEST(turnedAway <= 8U);
+    auto refused = rig.call([&] { return group.getTurnedAwayAsBehind(); }) - before;
+    BOOST_TEST(refused <= 8U);
     setLag(milliseconds(5));
-    BOOST_TEST(writer.ask("WRITE mine v").isOk()); // brings the rest along
-    auto countAtReplicas = [&] {
+    BOOST_TEST(writer.ask("WRITE mine v").isOk()); // replicas receive the remaining entries with it
+    auto countReplicaReads = [&] {
         return rig.call([&] { return std::ranges::count_if(group.getRan(), [&](const auto& it) { return it.member != group.getPrimary() && it.text == "READ mine"; }); });
     };
-    auto ran = countAtReplicas();
+    auto ran = countReplicaReads();
     auto caughtUpAt = std::chrono::steady_clock::now();
-    while (countAtReplicas() == ran && std::chrono::steady_clock::now() - caughtUpAt < milliseconds(3000))
+    while (countReplicaReads() == ran && std::chrono::steady_clock::now() - caughtUpAt < milliseconds(3000))
         reader.ask("READ mine");
     std::chrono::duration<double, std::milli> took = std::chrono::steady_clock::now() - caughtUpAt;
-    BOOST_TEST_MESSAGE("turned away: " << turnedAway << ", used again after " << took.count() << " ms");
-    BOOST_TEST(took.count() < 900); // a look of the carrier, a ping, and their answers
+    BOOST_TEST_MESSAGE("refused as behind: " << refused << ", replicas used again after " << took.count() << " ms");
+    BOOST_TEST(took.count() < 900); // a position query of the forwarder and a ping, with their answers
 }
 
-// Found at the bench (a transaction's own ROLLBACK that fails): the next caller's statement ran inside the transaction of another.
-BOOST_AUTO_TEST_CASE(a_connection_on_which_a_rollback_failed_serves_nobody_else)
+// Guards against reuse of a connection with an open transaction: another caller's statement would run inside it.
+BOOST_AUTO_TEST_CASE(a_connection_is_not_reused_after_a_failed_rollback)
 {
     GatewayRig rig;
     rig.beginHosts();
@@ -190,15 +189,15 @@
     LineCaller reader(rig.getCallerAddress(0), "db0-primary");
     LineCaller writer(rig.getCallerAddress(0), "db0-primary");
     for (int round = 0; round < 10; ++round) {
-        reader.ask("READ x"); // wrapped in a transaction of the gateway's own, whose rollback fails
-        writer.ask("WRITE x 1"); // on its own, and on a connection that is free
+        reader.ask("READ x"); // the gateway wraps it in a transaction, whose rollback fails
+        writer.ask("WRITE x 1"); // outside a transaction, on any idle connection
     }
     auto ran = rig.call([&] { return rig.getGroup().getRan(); });
     for (auto& it : ran)
         BOOST_TEST((it.transaction.empty() || it.transaction == it.id), it.id << " ran inside the transaction of " << it.transaction);
 }
 
-BOOST_AUTO_TEST_CASE(a_write_whose_answer_is_lost_is_in_doubt_and_never_sent_again)
+BOOST_AUTO_TEST_CASE(a_write_whose_answer_is_lost_is_reported_in_doubt_and_not_retried)
 {
     GatewayRig rig;
     rig.beginHosts();
@@ -218,7 +217,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(a_read_whose_answer_is_lost_is_asked_again_and_a_transaction_is_aborted_with_nothing_kept)
+BOOST_AUTO_TEST_CASE(after_a_lost_answer_a_read_is_retried_and_a_transaction_is_rolled_back)
 {
     GatewayRig rig;
     rig.beginHosts();
@@ -237,7 +236,7 @@
     BOOST_TEST(!rig.call([&] { return rig.getGroup().getItems().contains("kept"); }));
 }
 
-BOOST_AUTO_TEST_CASE(a_caller_that_leaves_inside_a_transaction_holds_no_connection)
+BOOST_AUTO_TEST_CASE(a_disconnected_callers_transaction_is_rolled_back_and_its_connection_released)
 {
     GatewayRig rig;
     rig.beginHosts();
@@ -249,7 +248,7 @@
     BOOST_TEST(!rig.call([&] { return rig.getGroup().getItems().contains("x"); }));
 }
 
-BOOST_AUTO_TEST_CASE(a_transaction_that_rests_for_too_long_is_ended)
+BOOST_AUTO_TEST_CASE(a_transaction_that_is_idle_for_too_long_is_aborted)
 {
     GatewayRig rig;
     rig.beginHosts();
@@ -261,7 +260,7 @@
     BOOST_TEST(!rig.call([&] { return rig.getGroup().getItems().contains("rested"); }));
 }
 
-BOOST_AUTO_TEST_CASE(the_members_connection_limit_holds_over_all_hosts)
+BOOST_AUTO_TEST_CASE(the_connection_limit_of_a_member_holds_over_all_hosts)
 {
     RigShape shape;
     shape.connections = 10;
--- a/tests/gateway/starting_test.cpp
+++ b/tests/gateway/starting_test.cpp
@@ -1,7 +1,5 @@
-// Hosts that have just started, and what they believe of a primary that nobody who could contradict it answers for.
-//
-// Found by trial: all hosts start while both replicas of a group are silent, and the primary has started again with nothing. A read was answered from the empty log
-// ("ok", no row), 3 of 3. A replica that did not answer was counted as one that had been compared: the log says `replicas-compared` with term 0 and position 0.
+// Hosts that start while replicas do not answer. Guards against reads from a primary that restarted with an empty log: a replica that does not
+// answer must not count as one that agrees with the primary.
 #include "harness/gateway_rig.h"
 #include <boost/test/unit_test.hpp>
 #include <fmt/format.h>
@@ -11,15 +9,15 @@
 
 namespace {
 
-constexpr milliseconds kRefusedWithin { 1000 }; // a caller can try elsewhere; the routes' limit is 1,500 ms
-constexpr milliseconds kServedWithin { 3000 }; // after a start, with nothing to be found out
-constexpr milliseconds kReplacedWithin { 12000 }; // a change of primary
+constexpr milliseconds kRefusedWithin { 1000 }; // early enough for a caller to try another host
+constexpr milliseconds kServedWithin { 3000 }; // after a start, without a change of primary
+constexpr milliseconds kPromotedWithin { 12000 }; // including a promotion
 
-void setDark(GatewayRig& rig, bool isDark)
+void setReplicasSilent(GatewayRig& rig, bool isSilent)
 {
     rig.call([&] {
         for (auto* id : { "g0-b", "g0-c" })
-            rig.getGroup().getFaults(id).isDark = isDark;
+            rig.getGroup().getFaults(id).isDark = isSilent;
     });
 }
 
@@ -28,7 +26,7 @@
     LineCaller writer(rig.getCallerAddress(1), "db0-primary");
     for (int i = 0; i < 10; ++i)
         BOOST_TEST(writer.ask(fmt::format("WRITE item{} 1", i)).isOk());
-    std::this_thread::sleep_for(milliseconds(300)); // replicas have it all
+    std::this_thread::sleep_for(milliseconds(300)); // until replicas have caught up
 }
 
 void killHosts(GatewayRig& rig)
@@ -42,19 +40,19 @@
     return LineCaller(rig.getCallerAddress(0), "db0-primary").ask("READ item3");
 }
 
-bool isRight(const LineAnswer& answer) { return answer.isOk() && answer.rows == std::vector<std::string> { "1" }; }
+bool isExpected(const LineAnswer& answer) { return answer.isOk() && answer.rows == std::vector<std::string> { "1" }; }
 
 }
 
-BOOST_AUTO_TEST_SUITE(starting)
+BOOST_AUTO_TEST_SUITE(startup)
 
-BOOST_AUTO_TEST_CASE(a_primary_that_started_again_is_not_believed_while_no_replica_answers)
+BOOST_AUTO_TEST_CASE(a_restarted_primary_with_an_empty_log_is_not_trusted_while_no_replica_answers)
 {
     GatewayRig rig;
     rig.beginHosts();
     writeItems(rig);
     killHosts(rig);
-    setDark(rig, true);
+    setReplicasSilent(rig, true);
     rig.call([&] {
         rig.getGroup().beginEmpty("g0-a");
         rig.getStore().listMembers();
@@ -65,39 +63,39 @@
     while (Clock::now() < until) {
         auto askedAt = Clock::now();
         auto answer = readItem(rig);
-        BOOST_REQUIRE((!answer.isOk() || isRight(answer)));
+        BOOST_REQUIRE((!answer.isOk() || isExpected(answer)));
         BOOST_TEST((Clock::now() - askedAt < kRefusedWithin));
         auto write = LineCaller(rig.getCallerAddress(0), "db0-primary").ask("WRITE other 1");
-        BOOST_REQUIRE(!write.isOk()); // it would be acknowledged by a log that is about to be given up
+        BOOST_REQUIRE(!write.isOk()); // it would be lost with the log of the restarted primary
     }
-    setDark(rig, false);
-    BOOST_TEST(waitUntil(kReplacedWithin, [&] { return isRight(readItem(rig)); }));
+    setReplicasSilent(rig, false);
+    BOOST_TEST(waitUntil(kPromotedWithin, [&] { return isExpected(readItem(rig)); }));
     BOOST_TEST(rig.call([&] { return rig.getGroup().getPrimary(); }) != "g0-a");
 }
 
-BOOST_AUTO_TEST_CASE(a_new_group_whose_replicas_are_late_is_served)
+BOOST_AUTO_TEST_CASE(a_new_group_is_served_before_its_replicas_answer)
 {
     GatewayRig rig;
-    setDark(rig, true);
+    setReplicasSilent(rig, true);
     rig.beginHost(0);
     BOOST_REQUIRE(rig.waitReady(0));
     BOOST_TEST(waitUntil(kServedWithin, [&] { return LineCaller(rig.getCallerAddress(0), "db0-primary").ask("WRITE x 1").isOk(); }));
 }
 
-BOOST_AUTO_TEST_CASE(a_primary_that_did_not_start_again_is_served_by_while_no_replica_answers)
+BOOST_AUTO_TEST_CASE(a_primary_that_did_not_restart_is_used_while_no_replica_answers)
 {
     GatewayRig rig;
     rig.beginHosts();
     writeItems(rig);
     killHosts(rig);
-    setDark(rig, true);
+    setReplicasSilent(rig, true);
     rig.beginHost(0);
     BOOST_REQUIRE(rig.waitReady(0));
-    BOOST_TEST(waitUntil(kServedWithin, [&] { return isRight(readItem(rig)); }));
+    BOOST_TEST(waitUntil(kServedWithin, [&] { return isExpected(readItem(rig)); }));
 }
 
-// One replica is out of reach for good, the other one shows that the primary holds what was acknowledged.
-BOOST_AUTO_TEST_CASE(a_primary_that_came_back_with_its_log_is_served_by_with_one_replica_of_two)
+// One replica stays unreachable; the other one shows that the primary's log is complete.
+BOOST_AUTO_TEST_CASE(a_primary_restarted_with_its_log_is_used_once_one_of_two_replicas_answers)
 {
     GatewayRig rig;
     rig.beginHosts();
@@ -111,7 +109,7 @@
     });
     rig.beginHost(0);
     BOOST_REQUIRE(rig.waitReady(0));
-    BOOST_TEST(waitUntil(kServedWithin, [&] { return isRight(readItem(rig)); }));
+    BOOST_TEST(waitUntil(kServedWithin, [&] { return isExpected(readItem(rig)); }));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
