--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -532,7 +532,7 @@
         it->sweep(now);
 }
 
-void Gateway::removeUnlistedMembers(TimePoint now)
+void Gateway::sweepUnlistedMembers(TimePoint now)
 {
     if (now - m_unlistedSweptAt < kUnlistedSweepInterval)
         return;
@@ -548,7 +548,7 @@
 
 void Gateway::sweepPools(TimePoint now)
 {
-    removeUnlistedMembers(now);
+    sweepUnlistedMembers(now);
     bool isPlacementDue = m_view.isPlacementDue || m_forwardingHostsVersion != m_peers.getVersion() || now - m_forwardingUpdatedAt >= kForwardingUpdateInterval;
     if (isPlacementDue)
         updateForwarding(now);
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -32,7 +32,7 @@
     void sweep();
     void sweepPools(TimePoint now);
     void sweepSessions(TimePoint now);
-    void removeUnlistedMembers(TimePoint now);
+    void sweepUnlistedMembers(TimePoint now);
     void updateForwarding(TimePoint now);
     void advanceShutdown(TimePoint now);
     std::shared_ptr<TargetPool> getPool(const TargetAddress& target);
@@ -56,7 +56,7 @@
     void handleAssumedPrimary(const std::string& group, const std::string& member, uint64_t term);
     // Compares the known primary with the one `before` an update; on a change, logs it and informs the promoter.
     void notifyPrimaryChange(const std::string& group, const decisions::KnownPrimary& before, std::string_view source);
-    void logRefusedProof(const std::string& group, const std::string& member, uint64_t term);
+    void logRejectedProof(const std::string& group, const std::string& member, uint64_t term);
     void recordFloor(const std::string& group, const decisions::Floor& floor);
     void raiseAlarm(const std::string& group, const std::string& reason);
     bool isUnreachable(const TargetAddress& target) const;
--- a/src/gateway/gateway_primaries.cpp
+++ b/src/gateway/gateway_primaries.cpp
@@ -114,7 +114,7 @@
     takeShownLead(belief, member, term, askedAt, shownTo);
     notifyPrimaryChange(group, before, shownTo == ShownTo::ThisHost ? "proof" : "told");
     if (shownTo == ShownTo::ThisHost)
-        logRefusedProof(group, member, term);
+        logRejectedProof(group, member, term);
 }
 
 void Gateway::handlePromotionOrder(const std::string& group, const std::string& member, uint64_t term)
@@ -149,13 +149,13 @@
 }
 
 // Logs a proof of a term older than the known one, once for each member and term.
-void Gateway::logRefusedProof(const std::string& group, const std::string& member, uint64_t term)
+void Gateway::logRejectedProof(const std::string& group, const std::string& member, uint64_t term)
 {
     auto& belief = m_view.groups[group];
-    decisions::KnownPrimary refused { member, term, true };
-    if (term >= belief.lead.term || refused == belief.refusedProof)
+    decisions::KnownPrimary rejected { member, term, true };
+    if (term >= belief.lead.term || rejected == belief.refusedProof)
         return;
-    belief.refusedProof = refused;
+    belief.refusedProof = rejected;
     base::logEvent(LogClass::State, "proof-refused", { { "group", std::string_view(group) }, { "member", std::string_view(member) }, { "term", static_cast<int64_t>(term) }, { "known", std::string_view(belief.lead.member) }, { "known_term", static_cast<int64_t>(belief.lead.term) } });
 }
 
