--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -341,8 +341,8 @@
                 encodeChanges(pong, m_directory.getChanges(ping.known_revision()), now);
         }
         for (auto& [member, pool] : m_pools) {
-            bool isOfUse = pool->isCarrier() || isUnreachable(pool->getTarget());
-            if (!isOfUse)
+            bool isReported = pool->isCarrier() || isUnreachable(pool->getTarget());
+            if (!isReported)
                 continue;
             writeLoad(*pong.add_loads(), member, pool->getLoad(), isUnreachable(pool->getTarget()));
         }
--- a/src/gateway/member_exchange.cpp
+++ b/src/gateway/member_exchange.cpp
@@ -68,9 +68,9 @@
     ToldChanges batch;
     batch.until = wire.entries_until();
     for (auto& it : wire.entries()) {
-        auto heardAt = sentAt - std::chrono::microseconds(it.age_us());
+        auto receivedAt = sentAt - std::chrono::microseconds(it.age_us());
         links::StoreItem item { .key = it.key(), .value = it.value(), .revision = it.revision(), .isDeleted = it.is_deleted() };
-        batch.changes.push_back({ std::move(item), it.is_old() ? std::nullopt : std::optional(heardAt), heardAt, it.is_large() });
+        batch.changes.push_back({ std::move(item), it.is_old() ? std::nullopt : std::optional(receivedAt), receivedAt, it.is_large() });
     }
     return batch;
 }
--- a/src/gateway/member_exchange.h
+++ b/src/gateway/member_exchange.h
@@ -1,7 +1,5 @@
-// Messages by which a host that can't reach the platform's store learns of changes to members from a host that can. Without them it would send
-// statements to members that have ended, and would not know new members.
-//
-// Sent on request only, and only by hosts that read the store themselves: reports are not passed on.
+// Messages by which hosts that read the platform's store report members to hosts that can't reach it, and changes to hosts that they relay to.
+// Without them, a host that has lost the store would send statements to members that have ended. Received reports of members are not passed on.
 #pragma once
 #include "gateway/cluster_view.h"
 #include "gateway/directory.h"
