--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -1,5 +1,6 @@
-// A host that serves sessions on connections: accepts callers, follows the platform's store, and owns the parts that run statements.
-// One executor and one thread: everything here is touched from it only (docs/design/0009-platform.md says why).
+// The process of one host: accepts the connections of callers, owns the parts that route and run their statements, and connects these parts
+// with each other, with the platform's store and with other hosts.
+// Not thread-safe: all parts run on one executor with one thread (see docs/design/0009-platform.md).
 #pragma once
 #include "base/settings.h"
 #include "gateway/caller_session.h"
@@ -17,11 +18,13 @@
     Gateway(boost::asio::io_context& context, base::TimerService& timers, base::GatewaySettings settings, std::unique_ptr<links::PlatformAdapter> platform);
     ~Gateway();
 
-    tl::expected<void, std::string> begin();
-    // A planned stop. The executor is stopped when it is done.
-    void beginStop();
-    // The settings file may have changed.
+    // Starts listening and following the store. Returns an error if an address can't be listened on.
+    tl::expected<void, std::string> start();
+    // Starts a planned stop: drains sessions within the grace period, then stops the executor. Later calls have no effect.
+    void startShutdown();
+    // Applies settings that were read again. Values that the parts received at construction do not change.
     void reload(const base::GatewaySettings& settings);
+    // Whether a configuration and the list of members are known and the host is not draining.
     bool isReady() const;
 
 private:
@@ -29,49 +32,51 @@
     void sweep();
     void sweepPools(TimePoint now);
     void sweepSessions(TimePoint now);
-    void forgetUnlisted(TimePoint now);
-    void placePools(TimePoint now);
-    void sweepStop(TimePoint now);
+    void sweepUnlistedMembers(TimePoint now);
+    void updateForwarding(TimePoint now);
+    void advanceShutdown(TimePoint now);
     std::shared_ptr<TargetPool> getPool(const TargetAddress& target);
     void compareWithReplicas(const std::string& group);
     struct ComparisonRound;
-    void endComparison(const ComparisonRound& round);
-    Comparison getComparison(const TargetAddress& target);
+    void finishComparison(const ComparisonRound& round);
+    // Starts a comparison with the group's replicas if one is needed to trust the target as primary.
+    Comparison ensureComparison(const TargetAddress& target);
     decisions::QuotaRule getQuotaRule() const;
-    void writeNearAccounts(size_t shard, const std::set<std::string>& accounts, std::function<void(bool)> done);
-    PoolLimits getLimits(const TargetAddress& target) const;
-    PoolObserver makeObserver();
-    PeerService makePeerService();
+    void writeNearQuotaAccounts(size_t shard, const std::set<std::string>& accounts, std::function<void(bool)> done);
+    PoolLimits getPoolLimits(const TargetAddress& target) const;
+    PoolObserver makePoolObserver();
+    PeerService makePeerCallbacks();
     DirectoryEvents makeDirectoryEvents();
-    void inquire(const TargetAddress& target, std::function<void(const StatusReport&)> done);
+    // Calls `done` once, after kStatusQueryTimeout at the latest. A report without a status means that none was received.
+    void queryStatus(const TargetAddress& target, std::function<void(const StatusReport&)> done);
     void holdWrites(const std::string& member, milliseconds time);
-    void takeLead(const std::string& group, const decisions::KnownPrimary& lead, std::string_view source);
-    void takeShown(const std::string& group, const std::string& member, uint64_t term, TimePoint askedAt, ShownTo shownTo);
-    void takeOrdered(const std::string& group, const std::string& member, uint64_t term);
-    void takeAssumed(const std::string& group, const std::string& member, uint64_t term);
-    // Logs a change and tells the parts that go by it.
-    void noteLead(const std::string& group, const decisions::KnownPrimary& before, std::string_view source);
-    void noteRefusedProof(const std::string& group, const std::string& member, uint64_t term);
-    void takeFloor(const std::string& group, const decisions::Floor& floor);
+    void setKnownPrimary(const std::string& group, const decisions::KnownPrimary& primary, std::string_view source);
+    void handlePrimaryProof(const std::string& group, const std::string& member, uint64_t term, TimePoint askedAt, ShownTo shownTo);
+    void handlePromotionOrder(const std::string& group, const std::string& member, uint64_t term);
+    void handleAssumedPrimary(const std::string& group, const std::string& member, uint64_t term);
+    // Compares the known primary with the one `before` an update; on a change, logs it and informs the promoter.
+    void notifyPrimaryChange(const std::string& group, const decisions::KnownPrimary& before, std::string_view source);
+    void logRejectedProof(const std::string& group, const std::string& member, uint64_t term);
+    void recordFloor(const std::string& group, const decisions::Floor& floor);
     void raiseAlarm(const std::string& group, const std::string& reason);
-    bool isTroubled(const TargetAddress& target) const;
+    bool isUnreachable(const TargetAddress& target) const;
     void fillStatus(peer::Pong& message) const;
-    void takeStatus(const peer::Pong& message, TimePoint sentAt);
-    void takeListed(const links::RegisteredMember& member, uint64_t revision, TimePoint leavingSince, std::string_view source);
-    void endLife(const links::RegisteredMember& member);
-    void askWhetherItLeads(MemberBelief& member);
-    void takeUnlisted(const std::string& id, uint64_t revision, std::string_view source);
-    void askForMembers(TimePoint now);
-    void takeMembers(const peer::MembersAnswer& answer, TimePoint sentAt);
-    void takeRoleChange(const links::RegisteredMember& before, const links::RegisteredMember& now);
-    void tellPeers();
+    void handlePong(const peer::Pong& message, TimePoint sentAt);
+    void handleMemberListed(const links::RegisteredMember& member, uint64_t revision, TimePoint leavingSince, std::string_view source);
+    void handleMemberRestart(const links::RegisteredMember& member);
+    void verifyPrimaryClaim(MemberBelief& member);
+    void handleMemberUnlisted(const std::string& id, uint64_t revision, std::string_view source);
+    void refreshMembersFromPeers(TimePoint now);
+    void handleMembersAnswer(const peer::MembersAnswer& answer, TimePoint sentAt);
+    void handleRoleChange(const links::RegisteredMember& before, const links::RegisteredMember& now);
+    void updatePeerHosts();
     void sweepHosts(TimePoint now);
     milliseconds getDrainTime() const { return milliseconds(m_settings.memberDrainMs); }
-    LocalHost getPlace() const;
-    boost::asio::awaitable<links::HttpResponse> answerReady(links::HttpRequest request);
-    void noteReadiness();
-    void measure() const;
-    boost::asio::awaitable<void> finishStop();
+    LocalHost getLocalHost() const;
+    boost::asio::awaitable<links::HttpResponse> handleReadinessRequest(links::HttpRequest request);
+    void logReadinessChange();
+    void updateGauges() const;
+    boost::asio::awaitable<void> finishShutdown();
 
     boost::asio::io_context& m_context;
     base::GatewaySettings m_settings;
@@ -84,30 +89,30 @@
     Directory m_directory;
     Promoter m_promoter;
     std::map<std::string, std::shared_ptr<TargetPool>> m_pools; // by member
-    std::map<std::string, TimePoint> m_hostsGoneAt; // hosts whose entries went: since when
-    TimePoint m_membersAskedAt {}; // when another host was last asked, the store being lost
-    TimePoint m_partnersAt {}; // when partners were last chosen
-    bool m_partnersDue { true };
-    bool m_hostsDue { false }; // hosts came or went since the parts that talk to them were told
-    std::vector<std::string> m_relays {}; // of this host's data centre, as last chosen
-    TimePoint m_askedToRelayAt {}; // when another host last asked what this one hears
-    milliseconds m_quietInterval { decisions::kMinPingInterval }; // between exchanges that nothing else calls for
-    TimePoint m_forgottenAt {}; // when unlisted members were last looked for
-    TimePoint m_sessionsAt {}; // when sessions were last looked at
-    TimePoint m_placedAt {}; // when this host last looked which members it carries to
-    uint64_t m_placedVersion { 0 }; // of the other hosts, then
-    std::map<std::string, TimePoint> m_alarmedAt; // by group: when other hosts were last told
+    std::map<std::string, TimePoint> m_hostsRemovedAt; // by host: when its entry was removed from the store
+    TimePoint m_membersRequestedAt {}; // when members were last requested from another host
+    TimePoint m_partnersChosenAt {};
+    bool m_isPartnerChoiceDue { true };
+    bool m_isPeerUpdateDue { false }; // m_view.hosts has changed since m_peers received it
+    std::vector<std::string> m_relays {}; // names of the relays of this host's data centre
+    TimePoint m_relayRequestedAt {}; // when another host last requested the reports of this host's partners
+    milliseconds m_basePingInterval { decisions::kMinPingInterval }; // of hosts that exchange with forwarders themselves
+    TimePoint m_unlistedSweptAt {};
+    TimePoint m_sessionsSweptAt {};
+    TimePoint m_forwardingUpdatedAt {};
+    uint64_t m_forwardingHostsVersion { 0 }; // version of m_peers at the last update
+    std::map<std::string, TimePoint> m_alarmsSentAt; // by group
     boost::asio::ip::tcp::acceptor m_acceptor;
     std::unordered_set<std::shared_ptr<CallerSession>> m_sessions;
-    uint64_t m_lastSession { 0 };
-    std::unique_ptr<links::HttpServer> m_ready;
-    std::unique_ptr<links::HttpServer> m_metrics;
+    uint64_t m_lastSessionId { 0 };
+    std::unique_ptr<links::HttpServer> m_readinessServer;
+    std::unique_ptr<links::HttpServer> m_metricsServer;
     base::TimerService& m_timers;
-    base::TimerSubscription m_sweep;
+    base::TimerSubscription m_sweepTimer;
     TimePoint m_startedAt {};
-    TimePoint m_stopBegan {};
+    TimePoint m_shutdownStartedAt {};
     bool m_isDraining { false };
-    bool m_isEnding { false };
+    bool m_isClosingSessions { false };
     bool m_wasReady { false };
 };
 
--- a/src/gateway/gateway_leads.cpp
+++ b/src/gateway/gateway_primaries.cpp
@@ -1,4 +1,4 @@
-// Who leads a group, as a host learns it: what members show, what other hosts tell or order, and what a host finds out that has just started.
+// The known primaries of groups. Sources: answers of members, reports and promotion orders of other hosts, and the comparison with replicas.
 #include "base/event_log.h"
 #include "decisions/comparison.h"
 #include "gateway/gateway.h"
@@ -9,18 +9,18 @@
 using base::Clock;
 using base::LogClass;
 
-static constexpr milliseconds kCompareInterval { 400 }; // between two times that replicas are asked what they hold, which takes up to kInquiryLimit
+static constexpr milliseconds kComparisonInterval { 400 }; // must exceed kStatusQueryTimeout
 
-// The replicas of one group, as they are asked what they hold.
+// One comparison of a primary's log with the replicas of its group.
 struct Gateway::ComparisonRound {
     std::string group;
     std::string primary;
-    links::MemberIncarnation life; // of the primary's process
+    links::MemberIncarnation incarnation;
     std::vector<decisions::QueriedReplica> replicas {};
-    size_t left { 0 }; // that have not answered yet, nor been given up
+    size_t pendingCount { 0 }; // replicas that have neither answered nor timed out
 };
 
-Comparison Gateway::getComparison(const TargetAddress& target)
+Comparison Gateway::ensureComparison(const TargetAddress& target)
 {
     auto& group = m_view.groups[target.group];
     bool isKnown = m_view.members.contains(target.member);
@@ -32,14 +32,13 @@
     return group.lacksAnswers ? Comparison::LacksAnswers : Comparison::UnderWay;
 }
 
-// A host that has just started knows no floor, and would take the word of a primary that started again with nothing. Replicas of its term hold nothing
-// that it lacks, unless it lost its log. Two connections a group at a carrier's start; those that do not answer are waited for kInquiryLimit, and where they are needed
-// asked again.
+// Guards against a primary that restarted with an empty log: a host that has just started knows no floor that would reveal it. A replica of the
+// same term is ahead of the primary only if the primary has lost its log.
 void Gateway::compareWithReplicas(const std::string& name)
 {
     auto now = Clock::now();
     auto& group = m_view.groups[name];
-    if (group.isComparing || now - group.comparedAt < kCompareInterval)
+    if (group.isComparing || now - group.comparedAt < kComparisonInterval)
         return;
     group.isComparing = true;
     group.comparedAt = now;
@@ -54,29 +53,29 @@
         bool isOlder = mayBeOlder(member.listed.incarnation, primary.incarnation);
         round->replicas.push_back({ false, isOlder, !isOlder && mayBeOlder(primary.incarnation, member.listed.incarnation) });
     }
-    round->left = targets.size();
+    round->pendingCount = targets.size();
     if (targets.empty())
-        endComparison(*round);
+        finishComparison(*round);
     for (size_t i = 0; i < targets.size(); ++i) {
-        inquire(targets[i], [this, round, i](const StatusReport& report) {
+        queryStatus(targets[i], [this, round, i](const StatusReport& report) {
             auto& group = m_view.groups[round->group];
             round->replicas[i].hasAnswered = report.status.term != 0;
             if (report.status.term != 0)
                 group.heldByReplicas = std::max(group.heldByReplicas, report.status.received);
-            if (--round->left == 0)
-                endComparison(*round);
+            if (--round->pendingCount == 0)
+                finishComparison(*round);
         });
     }
 }
 
-void Gateway::endComparison(const ComparisonRound& round)
+void Gateway::finishComparison(const ComparisonRound& round)
 {
     auto& group = m_view.groups[round.group];
     group.isComparing = false;
     m_view.isPlacementDue = true;
     auto primary = m_view.members.find(round.primary);
-    bool isSame = primary != m_view.members.end() && group.lead.member == round.primary && !isOtherLife(round.life, primary->second.listed.incarnation);
-    if (!isSame) { // it is compared anew, if need be
+    bool isUnchanged = primary != m_view.members.end() && group.lead.member == round.primary && !isOtherLife(round.incarnation, primary->second.listed.incarnation);
+    if (!isUnchanged) { // the result is void: the next ensureComparison() starts another one
         group.comparedAt = {};
         return;
     }
@@ -87,80 +86,80 @@
     base::logEvent(LogClass::State, "replicas-compared", { { "group", std::string_view(round.group) }, { "member", std::string_view(round.primary) }, { "replicas", static_cast<int64_t>(round.replicas.size()) }, { "older", static_cast<int64_t>(older) }, { "answered", static_cast<int64_t>(answered) }, { "enough", group.wasCompared }, { "term", static_cast<int64_t>(group.heldByReplicas.term) }, { "position", static_cast<int64_t>(group.heldByReplicas.position) } });
 }
 
-// A host that carries to a member which says that it leads finds out whether it does. Others prove the lead through this host only, so nobody would tell it.
-void Gateway::askWhetherItLeads(MemberBelief& member)
+// Queries a member that claims to be primary. Its forwarder has to: other hosts reach the member only through it and can't report a proof.
+void Gateway::verifyPrimaryClaim(MemberBelief& member)
 {
-    if (!member.listed.saysPrimary || !isForwarder(m_view, m_peers, getPlace(), member))
+    if (!member.listed.saysPrimary || !isForwarder(m_view, m_peers, getLocalHost(), member))
         return;
     member.leadAskedAt = Clock::now();
     auto known = getKnownMark(m_view.groups[member.listed.group]);
-    inquire(member.getTarget(), [this, id = member.listed.id, name = member.listed.group, known, askedAt = member.leadAskedAt](const StatusReport& report) {
+    queryStatus(member.getTarget(), [this, id = member.listed.id, name = member.listed.group, known, askedAt = member.leadAskedAt](const StatusReport& report) {
         if (report.status.isPrimary && !decisions::hasLostLog(known, report.status.received))
-            takeShown(name, id, report.status.term, askedAt, ShownTo::ThisHost);
+            handlePrimaryProof(name, id, report.status.term, askedAt, ShownTo::ThisHost);
     });
 }
 
-void Gateway::takeLead(const std::string& group, const decisions::KnownPrimary& lead, std::string_view source)
+void Gateway::setKnownPrimary(const std::string& group, const decisions::KnownPrimary& primary, std::string_view source)
 {
     auto& current = m_view.groups[group].lead;
     auto before = current;
-    current = lead;
-    noteLead(group, before, source);
+    current = primary;
+    notifyPrimaryChange(group, before, source);
 }
 
-void Gateway::takeShown(const std::string& group, const std::string& member, uint64_t term, TimePoint askedAt, ShownTo shownTo)
+void Gateway::handlePrimaryProof(const std::string& group, const std::string& member, uint64_t term, TimePoint askedAt, ShownTo shownTo)
 {
     auto& belief = m_view.groups[group];
     auto before = belief.lead;
     takeShownLead(belief, member, term, askedAt, shownTo);
-    noteLead(group, before, shownTo == ShownTo::ThisHost ? "proof" : "told");
+    notifyPrimaryChange(group, before, shownTo == ShownTo::ThisHost ? "proof" : "told");
     if (shownTo == ShownTo::ThisHost)
-        noteRefusedProof(group, member, term);
+        logRejectedProof(group, member, term);
 }
 
-void Gateway::takeOrdered(const std::string& group, const std::string& member, uint64_t term)
+void Gateway::handlePromotionOrder(const std::string& group, const std::string& member, uint64_t term)
 {
     auto& belief = m_view.groups[group];
     auto before = belief.lead;
     takeOrderedLead(belief, member, term, Clock::now());
-    noteLead(group, before, "ordered");
+    notifyPrimaryChange(group, before, "ordered");
 }
 
-void Gateway::takeAssumed(const std::string& group, const std::string& member, uint64_t term)
+void Gateway::handleAssumedPrimary(const std::string& group, const std::string& member, uint64_t term)
 {
     auto& belief = m_view.groups[group];
     auto before = belief.lead;
     takeAssumedLead(belief, member, term, Clock::now());
-    noteLead(group, before, "told");
+    notifyPrimaryChange(group, before, "told");
 }
 
-void Gateway::noteLead(const std::string& group, const decisions::KnownPrimary& before, std::string_view source)
+void Gateway::notifyPrimaryChange(const std::string& group, const decisions::KnownPrimary& before, std::string_view source)
 {
     auto& belief = m_view.groups[group];
-    auto& lead = belief.lead;
-    if (lead.member == before.member && lead.term == before.term)
+    auto& primary = belief.lead;
+    if (primary.member == before.member && primary.term == before.term)
         return;
-    if (lead.member != before.member) { // another one was compared with its replicas
+    if (primary.member != before.member) { // the comparison was made with the previous primary
         belief.wasCompared = false;
         belief.lacksAnswers = false;
     }
     m_view.isPlacementDue = true;
     m_promoter.onPrimaryChanged(group);
-    base::logEvent(LogClass::State, "lead", { { "group", std::string_view(group) }, { "member", std::string_view(lead.member) }, { "term", static_cast<int64_t>(lead.term) }, { "source", source } });
+    base::logEvent(LogClass::State, "lead", { { "group", std::string_view(group) }, { "member", std::string_view(primary.member) }, { "term", static_cast<int64_t>(primary.term) }, { "source", source } });
 }
 
-// A member shows that it leads in an older term than the one that this host believes the group to be in. A line for each such member and term, not for each proof.
-void Gateway::noteRefusedProof(const std::string& group, const std::string& member, uint64_t term)
+// Logs a proof of a term older than the known one, once for each member and term.
+void Gateway::logRejectedProof(const std::string& group, const std::string& member, uint64_t term)
 {
     auto& belief = m_view.groups[group];
-    decisions::KnownPrimary refused { member, term, true };
-    if (term >= belief.lead.term || refused == belief.refusedProof)
+    decisions::KnownPrimary rejected { member, term, true };
+    if (term >= belief.lead.term || rejected == belief.refusedProof)
         return;
-    belief.refusedProof = refused;
+    belief.refusedProof = rejected;
     base::logEvent(LogClass::State, "proof-refused", { { "group", std::string_view(group) }, { "member", std::string_view(member) }, { "term", static_cast<int64_t>(term) }, { "known", std::string_view(belief.lead.member) }, { "known_term", static_cast<int64_t>(belief.lead.term) } });
 }
 
-void Gateway::takeFloor(const std::string& group, const decisions::Floor& floor)
+void Gateway::recordFloor(const std::string& group, const decisions::Floor& floor)
 {
     auto& floors = m_view.groups[group].floors;
     floors = decisions::addFloor(std::move(floors), floor);
