--- a/src/gateway/caller_session.cpp
+++ b/src/gateway/caller_session.cpp
@@ -306,7 +306,7 @@
         return;
     }
     bool isOpening = m_state == SessionState::InTransaction;
-    routed.order.kind = isOpening ? OrderKind::Begin : OrderKind::Single;
+    routed.order.kind = isOpening ? RequestKind::Begin : RequestKind::Single;
     bool readsOnly = isOpening ? m_isReadOnly : !ran.isWrite;
     routed.needsLeader = !readsOnly || m_route.consistency == decisions::Consistency::Primary;
     if (!routed.needsLeader) {
--- a/src/gateway/inbound_peers.cpp
+++ b/src/gateway/inbound_peers.cpp
@@ -157,9 +157,9 @@
 }
 
 // Numbers of transactions are each host's own. False: the transaction is not known here.
-bool InboundPeers::placeTransaction(const PeerPtr& peer, const std::shared_ptr<TargetPool>& pool, uint64_t theirNumber, Order& order)
+bool InboundPeers::placeTransaction(const PeerPtr& peer, const std::shared_ptr<TargetPool>& pool, uint64_t theirNumber, StatementRequest& order)
 {
-    if (order.kind == OrderKind::Begin) {
+    if (order.kind == RequestKind::Begin) {
         order.transaction = pool->takeTransactionNumber();
         peer->transactions[theirNumber] = { pool, order.transaction };
         return true;
@@ -182,7 +182,7 @@
         return;
     }
     auto reply = [this, peer, call = wire.call(), pool](const Outcome& outcome) { answerOrder(peer, call, outcome, pool.get()); };
-    bool isInTransaction = order.kind == OrderKind::Begin || order.kind == OrderKind::Continue;
+    bool isInTransaction = order.kind == RequestKind::Begin || order.kind == RequestKind::Continue;
     if (isInTransaction && !placeTransaction(peer, pool, wire.transaction(), order)) {
         reply(decisions::makeFailure(ErrorKind::TransactionAborted, "the transaction is not known here"));
         return;
--- a/src/gateway/inbound_peers.h
+++ b/src/gateway/inbound_peers.h
@@ -65,7 +65,7 @@
     void answerInquiry(const PeerPtr& peer, const peer::Inquiry& inquiry);
     void endTransaction(const PeerPtr& peer, uint64_t transaction);
     void serveOrder(const PeerPtr& peer, const peer::Order& wire);
-    bool placeTransaction(const PeerPtr& peer, const std::shared_ptr<TargetPool>& pool, uint64_t theirNumber, Order& order);
+    bool placeTransaction(const PeerPtr& peer, const std::shared_ptr<TargetPool>& pool, uint64_t theirNumber, StatementRequest& order);
     void answerOrder(const PeerPtr& peer, uint64_t call, const Outcome& outcome, const TargetPool* pool);
     void answerQuotaReport(const PeerPtr& peer, const peer::QuotaReport& report);
     void answerQuotaAsk(const PeerPtr& peer, const peer::QuotaAsk& ask);
--- a/src/gateway/peer_codec.cpp
+++ b/src/gateway/peer_codec.cpp
@@ -28,7 +28,7 @@
     return { wire.term(), wire.position() };
 }
 
-void writeOrder(peer::Order& wire, const TargetAddress& target, const Order& order, TimePoint now)
+void writeOrder(peer::Order& wire, const TargetAddress& target, const StatementRequest& order, TimePoint now)
 {
     wire.set_member(target.member);
     wire.set_kind(static_cast<uint32_t>(order.kind));
@@ -57,10 +57,10 @@
     wire.set_account(order.account);
 }
 
-Order readOrder(const peer::Order& wire, TimePoint now)
+StatementRequest readOrder(const peer::Order& wire, TimePoint now)
 {
-    Order order;
-    order.kind = static_cast<OrderKind>(std::min<uint32_t>(wire.kind(), static_cast<uint32_t>(OrderKind::Continue)));
+    StatementRequest order;
+    order.kind = static_cast<RequestKind>(std::min<uint32_t>(wire.kind(), static_cast<uint32_t>(RequestKind::Continue)));
     order.statement.id = wire.id();
     order.statement.kind = static_cast<decisions::StatementKind>(std::min<uint32_t>(wire.statement_kind(), static_cast<uint32_t>(decisions::StatementKind::Unknown)));
     order.statement.text = wire.text();
--- a/src/gateway/peer_codec.h
+++ b/src/gateway/peer_codec.h
@@ -17,8 +17,8 @@
 Mark readMark(const peer::Mark& wire);
 
 // Times travel as what is left of them, as hosts' clocks differ. The caller adds the number of the call.
-void writeOrder(peer::Order& wire, const TargetAddress& target, const Order& order, TimePoint now);
-Order readOrder(const peer::Order& wire, TimePoint now);
+void writeOrder(peer::Order& wire, const TargetAddress& target, const StatementRequest& order, TimePoint now);
+StatementRequest readOrder(const peer::Order& wire, TimePoint now);
 
 void writeOutcome(peer::Answer& wire, const Outcome& outcome);
 Outcome readOutcome(const peer::Answer& wire);
--- a/src/gateway/peers.cpp
+++ b/src/gateway/peers.cpp
@@ -20,7 +20,7 @@
 static constexpr double kDistanceSmoothing = 0.2; // weight of the newest ping
 
 struct Call {
-    OrderDone done;
+    RequestCallback done;
     std::string member;
     TimePoint limit;
     TimePoint sentAt;
@@ -267,7 +267,7 @@
     return it->second;
 }
 
-void Peers::sendOrder(const std::string& host, const TargetAddress& target, const Order& order, OrderDone done)
+void Peers::sendOrder(const std::string& host, const TargetAddress& target, const StatementRequest& order, RequestCallback done)
 {
     auto link = findUp(host);
     if (!link) {
@@ -502,7 +502,7 @@
 
 void Peers::endLateCalls(const LinkPtr& link, TimePoint now)
 {
-    std::vector<OrderDone> late;
+    std::vector<RequestCallback> late;
     std::erase_if(link->calls, [&](auto& it) {
         bool isLate = now > it.second.limit;
         if (isLate)
--- a/src/gateway/peers.h
+++ b/src/gateway/peers.h
@@ -54,7 +54,7 @@
     void writeHeard(peer::Pong& wire, bool withLoads) const;
 
     // Each order ends with one call of `done`. Returns the number of its transaction on the link for later orders.
-    void sendOrder(const std::string& host, const TargetAddress& target, const Order& order, OrderDone done);
+    void sendOrder(const std::string& host, const TargetAddress& target, const StatementRequest& order, RequestCallback done);
     void endTransaction(const std::string& host, uint64_t transaction);
     uint64_t takeTransactionNumber() { return ++m_lastTransaction; }
     void inquire(const std::string& host, const TargetAddress& target, std::function<void(const StatusReport&)> done);
--- a/src/gateway/statement_router.cpp
+++ b/src/gateway/statement_router.cpp
@@ -161,12 +161,12 @@
     auto order = routed->order;
     order.atLeast = routed->need;
     order.objective -= getWayBack(carrier);
-    if (order.kind == OrderKind::Single && routed->needsLeader && !order.statement.isWrite)
-        order.kind = OrderKind::ProvenSingle;
+    if (order.kind == RequestKind::Single && routed->needsLeader && !order.statement.isWrite)
+        order.kind = RequestKind::PrimaryRead;
     std::optional<TransactionHandle> transaction;
     bool isOwn = carrier == m_context.name;
     auto pool = isOwn ? m_context.getPool(*target) : nullptr;
-    if (order.kind == OrderKind::Begin) {
+    if (order.kind == RequestKind::Begin) {
         transaction = TransactionHandle { *target, isOwn ? "" : carrier, isOwn ? pool->takeTransactionNumber() : m_context.peers.takeTransactionNumber() };
         order.transaction = transaction->number;
     }
@@ -213,7 +213,7 @@
         end(*transaction);
     auto& statement = routed->order.statement;
     // A single write that may have arrived is never sent again. All else leaves nothing behind until its commit.
-    bool mayRepeat = decisions::canTryOtherTarget(kind) || (kind == ErrorKind::OutcomeUnknown && (!statement.isWrite || routed->order.kind == OrderKind::Begin));
+    bool mayRepeat = decisions::canTryOtherTarget(kind) || (kind == ErrorKind::OutcomeUnknown && (!statement.isWrite || routed->order.kind == RequestKind::Begin));
     bool hasTime = now + kRetryPause < routed->order.deadline;
     if (!mayRepeat || !hasTime) {
         finish(*routed, outcome, std::nullopt, done, target);
@@ -224,7 +224,7 @@
 
 void StatementRouter::runNext(const TransactionHandle& transaction, RoutedStatement routed, RoutedDone done)
 {
-    routed.order.kind = OrderKind::Continue;
+    routed.order.kind = RequestKind::Continue;
     routed.order.transaction = transaction.number;
     routed.attempts = 1;
     auto shared = std::make_shared<RoutedStatement>(std::move(routed));
@@ -243,7 +243,7 @@
         m_context.peers.endTransaction(transaction.host, transaction.number);
 }
 
-static std::string_view getName(OrderKind kind)
+static std::string_view getName(RequestKind kind)
 {
     static constexpr std::array<std::string_view, 4> names { "single", "proven", "begin", "continue" };
     return names[static_cast<size_t>(kind)];
--- a/src/gateway/statement_router.h
+++ b/src/gateway/statement_router.h
@@ -16,7 +16,7 @@
 // A statement on its way.
 struct RoutedStatement {
     decisions::DatabaseRoute route {};
-    Order order {};
+    StatementRequest order {};
     bool needsLeader { false };
     Mark need {}; // reads elsewhere: what the log must hold
     TimePoint arrivedAt {};
--- a/src/gateway/target_pool.cpp
+++ b/src/gateway/target_pool.cpp
@@ -42,29 +42,29 @@
     m_queue.concurrency = limits.running;
 }
 
-static bool isInTransaction(OrderKind kind)
+static bool isInTransaction(RequestKind kind)
 {
-    return kind == OrderKind::Begin || kind == OrderKind::Continue;
+    return kind == RequestKind::Begin || kind == RequestKind::Continue;
 }
 
-static decisions::SchedulingParameters getTurn(const Order& order)
+static decisions::SchedulingParameters getTurn(const StatementRequest& request)
 {
-    return { order.kind == OrderKind::Continue, order.priority, order.objective, order.deadline };
+    return { request.kind == RequestKind::Continue, request.priority, request.objective, request.deadline };
 }
 
 decisions::QueueEntry TargetPool::makeEntry(const Job& job)
 {
-    return { job.number, getTurn(job.order), { job.order.database, isInTransaction(job.order.kind) }, job.submittedAt };
+    return { job.number, getTurn(job.request), { job.request.database, isInTransaction(job.request.kind) }, job.submittedAt };
 }
 
-void TargetPool::submit(Order order, OrderDone done)
+void TargetPool::submit(StatementRequest request, RequestCallback done)
 {
     auto now = Clock::now();
-    m_lastAccount = order.account;
-    auto job = std::make_shared<Job>(Job { std::move(order), std::make_shared<OrderDone>(std::move(done)), now });
+    m_lastAccount = request.account;
+    auto job = std::make_shared<Job>(Job { std::move(request), std::make_shared<RequestCallback>(std::move(done)), now });
     if (m_isSuspect && m_sessions.empty()) { // the next attempt takes as long as the last: nobody waits for it
         if (m_opening == 0 && now >= m_noNewBefore)
-            openSession(job->order.account);
+            openSession(job->request.account);
         finish(job, decisions::makeFailure(ErrorKind::TargetUnreachable, "no connection to the target could be opened"));
         return;
     }
@@ -103,34 +103,34 @@
 // A planned change of primary is under way.
 bool TargetPool::isHeld(const Job& job, TimePoint now) const
 {
-    auto& order = job.order;
-    bool mayWrite = order.statement.isWrite || (order.kind == OrderKind::Begin && !order.isReadOnly) || order.statement.kind == StatementKind::Commit;
+    auto& request = job.request;
+    bool mayWrite = request.statement.isWrite || (request.kind == RequestKind::Begin && !request.isReadOnly) || request.statement.kind == StatementKind::Commit;
     return mayWrite && now < m_holdUntil;
 }
 
-static bool needsLeader(const Order& order)
+static bool needsLeader(const StatementRequest& request)
 {
-    bool isWrite = order.kind == OrderKind::Single && order.statement.isWrite;
-    return isWrite || order.kind == OrderKind::ProvenSingle || (order.kind == OrderKind::Begin && !order.isReadOnly);
+    bool isWrite = request.kind == RequestKind::Single && request.statement.isWrite;
+    return isWrite || request.kind == RequestKind::PrimaryRead || (request.kind == RequestKind::Begin && !request.isReadOnly);
 }
 
 // Whether it could run if it had a connection.
 bool TargetPool::mayRun(const Job& job, TimePoint now) const
 {
-    auto& order = job.order;
-    if (now < job.notBefore || isHeld(job, now) || (m_comparison != Comparison::NotNeeded && needsLeader(order)))
+    auto& request = job.request;
+    if (now < job.notBefore || isHeld(job, now) || (m_comparison != Comparison::NotNeeded && needsLeader(request)))
         return false;
     auto held = m_transactions.size();
-    return order.kind != OrderKind::Begin || held + std::min(kReservedConnections, m_limits.connections - 1) < m_limits.connections;
+    return request.kind != RequestKind::Begin || held + std::min(kReservedConnections, m_limits.connections - 1) < m_limits.connections;
 }
 
 bool TargetPool::isRunnable(const Job& job, TimePoint now) const
 {
     if (!mayRun(job, now))
         return false;
-    if (job.order.kind != OrderKind::Continue)
-        return hasFree(job.order.account);
-    auto it = m_transactions.find(job.order.transaction);
+    if (job.request.kind != RequestKind::Continue)
+        return hasFree(job.request.account);
+    auto it = m_transactions.find(job.request.transaction);
     return it == m_transactions.end() || !it->second.session->isBusy;
 }
 
@@ -177,10 +177,10 @@
     auto now = Clock::now();
     // The time of a target that leaves can end while operations wait for their turn: looked at where they are sent, not only where they are routed.
     if (!m_takesNew)
-        giveBack([](const Job& it) { return it.order.kind != OrderKind::Continue; }, { ErrorKind::TargetUnreachable, "the member leaves and takes no new operations" });
+        giveBack([](const Job& it) { return it.request.kind != RequestKind::Continue; }, { ErrorKind::TargetUnreachable, "the member leaves and takes no new operations" });
     // Nobody knows when the replicas will answer: callers are told at once, they may reach a host that knows more.
     if (m_comparison == Comparison::LacksAnswers)
-        giveBack([](const Job& it) { return needsLeader(it.order); }, { ErrorKind::NoPrimary, "the member may have lost its log, and its replicas do not answer" });
+        giveBack([](const Job& it) { return needsLeader(it.request); }, { ErrorKind::NoPrimary, "the member may have lost its log, and its replicas do not answer" });
     std::erase_if(m_queue.entries, [&](const decisions::QueueEntry& it) {
         bool isDone = m_waiting.at(it.number)->isDone(); // repeated, and the first one was answered after all
         if (isDone)
@@ -193,7 +193,7 @@
         auto job = popNext(now);
         if (!job)
             break;
-        if (!decisions::isWorthSending(getTurn(job->order), now, m_queue.workMs) && job->order.statement.kind != StatementKind::Commit) {
+        if (!decisions::isWorthSending(getTurn(job->request), now, m_queue.workMs) && job->request.statement.kind != StatementKind::Commit) {
             finish(job, decisions::makeFailure(ErrorKind::Overloaded, "its turn came too late to be answered in time"));
             continue;
         }
@@ -267,7 +267,7 @@
     std::ranges::sort(entries, [&](const decisions::QueueEntry& a, const decisions::QueueEntry& b) { return decisions::isScheduledBefore(m_queue, a, b, now); });
     std::vector<decisions::AccountDemand> demands;
     for (auto& it : entries) {
-        std::string_view account = m_waiting.at(it.number)->order.account;
+        std::string_view account = m_waiting.at(it.number)->request.account;
         auto known = std::ranges::find(demands, account, &decisions::AccountDemand::account);
         if (known != demands.end()) {
             ++known->waiting;
@@ -282,16 +282,16 @@
 // The free connection that needs the least before it can serve the session.
 TargetPool::SessionPtr TargetPool::findSession(const Job& job) const
 {
-    if (job.order.kind == OrderKind::Continue) {
-        auto it = m_transactions.find(job.order.transaction);
+    if (job.request.kind == RequestKind::Continue) {
+        auto it = m_transactions.find(job.request.transaction);
         return it == m_transactions.end() ? nullptr : it->second.session;
     }
     SessionPtr best;
     size_t bestCost = 0;
     for (auto& it : m_sessions) {
-        if (!it->isFree() || it->account != job.order.account)
+        if (!it->isFree() || it->account != job.request.account)
             continue;
-        auto cost = decisions::planConnection(it->state, job.order.values, job.order.shape).getCost();
+        auto cost = decisions::planConnection(it->state, job.request.values, job.request.shape).getCost();
         if (!best || cost < bestCost) {
             best = it;
             bestCost = cost;
@@ -352,12 +352,12 @@
 {
     job->startedAt = Clock::now();
     base::observeHistogram(base::MetricFamily::QueueSeconds, { { "member", m_target.member } }, std::chrono::duration<double>(job->startedAt - job->submittedAt).count());
-    bool isOwn = job->order.kind == OrderKind::Continue;
+    bool isOwn = job->request.kind == RequestKind::Continue;
     base::checkInvariant(!session->isBusy && (session->transaction != 0) == isOwn, "a connection was given away that somebody else holds", m_target.member);
     session->isBusy = true;
     m_running.emplace_back(job, session);
     prepareSession(*job, session);
-    if (job->order.kind == OrderKind::Begin || job->order.kind == OrderKind::ProvenSingle)
+    if (job->request.kind == RequestKind::Begin || job->request.kind == RequestKind::PrimaryRead)
         begin(job, session);
     else
         runStatement(job, session);
@@ -367,10 +367,10 @@
 // and if one failed all the same, the connection is not used again.
 void TargetPool::prepareSession(const Job& job, const SessionPtr& session)
 {
-    auto& order = job.order;
-    auto plan = decisions::planConnection(session->state, order.values, order.shape);
+    auto& request = job.request;
+    auto plan = decisions::planConnection(session->state, request.values, request.shape);
     if (session->state.prepared.size() > kPreparedMost)
-        plan = decisions::planConnection({ { { "", "" } }, {} }, order.values, order.shape);
+        plan = decisions::planConnection({ { { "", "" } }, {} }, request.values, request.shape);
     auto self = shared_from_this();
     auto check = [self, session](const Outcome& outcome) {
         if (outcome.error)
@@ -381,20 +381,20 @@
     for (const auto& [name, value] : plan.values)
         session->ask(m_codec.formatSetValue(name, value), check);
     if (plan.mustPrepare)
-        session->ask(m_codec.formatPrepare(decisions::getPreparedName(*order.shape), *order.shape), check);
-    session->state = decisions::applyPlan(std::move(session->state), plan, order.shape);
+        session->ask(m_codec.formatPrepare(decisions::getPreparedName(*request.shape), *request.shape), check);
+    session->state = decisions::applyPlan(std::move(session->state), plan, request.shape);
 }
 
 void TargetPool::begin(const JobPtr& job, const SessionPtr& session)
 {
     auto sentAt = Clock::now();
-    bool isReadOnly = job->order.kind == OrderKind::Begin && job->order.isReadOnly;
-    if (job->order.kind == OrderKind::Begin) {
-        session->transaction = job->order.transaction;
-        m_transactions[job->order.transaction] = { session, { job->order.database, true } };
+    bool isReadOnly = job->request.kind == RequestKind::Begin && job->request.isReadOnly;
+    if (job->request.kind == RequestKind::Begin) {
+        session->transaction = job->request.transaction;
+        m_transactions[job->request.transaction] = { session, { job->request.database, true } };
     }
     auto known = m_observer.getKnown(m_target);
-    session->ask(m_codec.formatBegin(isReadOnly, job->order.atLeast), [self = shared_from_this(), job, session, sentAt, isReadOnly, known](const Outcome& outcome) {
+    session->ask(m_codec.formatBegin(isReadOnly, job->request.atLeast), [self = shared_from_this(), job, session, sentAt, isReadOnly, known](const Outcome& outcome) {
         if (!outcome.error) {
             if (!isReadOnly && !self->takeProof(outcome.position, sentAt, known)) {
                 self->closeTransaction(session);
@@ -417,26 +417,26 @@
 
 void TargetPool::runStatement(const JobPtr& job, const SessionPtr& session)
 {
-    auto& order = job->order;
-    base::checkInvariant(session->transaction == order.transaction || order.kind == OrderKind::Single || order.kind == OrderKind::ProvenSingle, "a statement was about to run in another transaction than its own", m_target.member);
-    base::checkInvariant(session->state.values == order.values, "a statement was about to run with values that are not its session's", m_target.member);
-    auto atLeast = order.kind == OrderKind::Single ? order.atLeast : Mark {};
-    auto bytes = m_codec.formatStatement(order.statement, atLeast, order.shape ? decisions::getPreparedName(*order.shape) : "");
+    auto& request = job->request;
+    base::checkInvariant(session->transaction == request.transaction || request.kind == RequestKind::Single || request.kind == RequestKind::PrimaryRead, "a statement was about to run in another transaction than its own", m_target.member);
+    base::checkInvariant(session->state.values == request.values, "a statement was about to run with values that are not its session's", m_target.member);
+    auto atLeast = request.kind == RequestKind::Single ? request.atLeast : Mark {};
+    auto bytes = m_codec.formatStatement(request.statement, atLeast, request.shape ? decisions::getPreparedName(*request.shape) : "");
     auto sentAt = Clock::now();
     auto known = m_observer.getKnown(m_target);
     session->ask(bytes, [self = shared_from_this(), job, session, sentAt, known](const Outcome& outcome) {
-        auto& order = job->order;
-        bool isCommit = order.statement.kind == StatementKind::Commit;
+        auto& request = job->request;
+        bool isCommit = request.statement.kind == StatementKind::Commit;
         if (!outcome.error)
             self->takeWorkTime(*job);
         // A write and its commit succeed at a target that leads only.
-        if (!outcome.error && order.kind == OrderKind::Single && order.statement.isWrite)
+        if (!outcome.error && request.kind == RequestKind::Single && request.statement.isWrite)
             self->takeProof(outcome.position, sentAt, known);
         if (isCommit && !self->mayAskAgain(*job, session, outcome))
             self->closeTransaction(session);
         self->endJob(job, session, outcome);
     });
-    if (order.kind == OrderKind::ProvenSingle)
+    if (request.kind == RequestKind::PrimaryRead)
         rollBack(session);
 }
 
@@ -454,9 +454,9 @@
 {
     std::chrono::duration<double, std::milli> took = Clock::now() - job.startedAt;
     m_queue.workMs = decisions::updateWorkTime(m_queue.workMs, took.count());
-    if (!isInTransaction(job.order.kind))
-        decisions::recordOperationCost(m_queue.costs, { job.order.database, false }, took.count());
-    else if (auto it = m_transactions.find(job.order.transaction); it != m_transactions.end())
+    if (!isInTransaction(job.request.kind))
+        decisions::recordOperationCost(m_queue.costs, { job.request.database, false }, took.count());
+    else if (auto it = m_transactions.find(job.request.transaction); it != m_transactions.end())
         it->second.spentMs += took.count();
 }
 
@@ -518,8 +518,8 @@
 bool TargetPool::mayAskAgain(const Job& job, const SessionPtr& session, const Outcome& outcome) const
 {
     bool wasBusy = outcome.error && outcome.error->kind == ErrorKind::Overloaded && outcome.wasSent;
-    bool isInTransaction = job.order.kind == OrderKind::Continue && session->isOpen() && session->getTargetState() == decisions::SessionState::InTransaction;
-    return wasBusy && isInTransaction && !job.isDone() && job.timesBusy < decisions::kMaxBusyAttempts && Clock::now() + kBusyPause < job.order.deadline;
+    bool isInTransaction = job.request.kind == RequestKind::Continue && session->isOpen() && session->getTargetState() == decisions::SessionState::InTransaction;
+    return wasBusy && isInTransaction && !job.isDone() && job.timesBusy < decisions::kMaxBusyAttempts && Clock::now() + kBusyPause < job.request.deadline;
 }
 
 // Only a connection on which no transaction is open may serve another caller: a statement that a target failed to run, be it our
--- a/src/gateway/target_pool.h
+++ b/src/gateway/target_pool.h
@@ -13,15 +13,15 @@
 
 namespace alderward::gateway {
 
-enum class OrderKind {
+enum class RequestKind {
     Single, // a statement outside a transaction
-    ProvenSingle, // a read wrapped in a transaction of our own: only a target that leads runs it
+    PrimaryRead, // a read wrapped in a transaction of our own: only a target that leads runs it
     Begin, // begins a transaction and runs its first statement
     Continue, // the next statement of a transaction, or its commit
 };
 
-struct Order {
-    OrderKind kind { OrderKind::Single };
+struct StatementRequest {
+    RequestKind kind { RequestKind::Single };
     std::string account {}; // client account that it runs for; empty: none
     uint32_t database { 0 }; // hash of its name; what its operations cost is learned by it
     decisions::Statement statement {};
@@ -35,7 +35,7 @@
     uint64_t transaction { 0 }; // Begin and Continue: its number, see TargetPool::takeTransactionNumber()
 };
 
-using OrderDone = std::function<void(const Outcome& outcome)>;
+using RequestCallback = std::function<void(const Outcome& outcome)>;
 
 // What a pool learns that others rest decisions on.
 struct PoolObserver {
@@ -84,7 +84,7 @@
     void setLimits(const PoolLimits& limits);
     uint64_t takeTransactionNumber() { return ++m_lastTransaction; }
     // Every order ends with exactly one call of `done`, never from within submit().
-    void submit(Order order, OrderDone done);
+    void submit(StatementRequest request, RequestCallback done);
     // Rolls a transaction back and gives its connection free. Unknown numbers are ignored.
     void endTransaction(uint64_t transaction);
     // Whether the transaction still holds a connection.
@@ -113,8 +113,8 @@
 
 private:
     struct Job {
-        Order order;
-        std::shared_ptr<OrderDone> done; // shared with the job that repeats it; empty inside once it was called
+        StatementRequest request;
+        std::shared_ptr<RequestCallback> done; // shared with the job that repeats it; empty inside once it was called
         TimePoint submittedAt;
         TimePoint startedAt {};
         TimePoint notBefore {}; // the target was busy: it is asked again then
--- a/src/gateway/target_pool_upkeep.cpp
+++ b/src/gateway/target_pool_upkeep.cpp
@@ -42,8 +42,8 @@
     if (!isScarce || countWaitingForConnection() == 0)
         return;
     for (auto& [job, session] : m_running) { // in the order in which they were started
-        auto& order = job->order;
-        bool leavesNothing = order.statement.kind != StatementKind::Commit && (!order.statement.isWrite || order.kind == OrderKind::Begin || order.kind == OrderKind::Continue);
+        auto& request = job->request;
+        bool leavesNothing = request.statement.kind != StatementKind::Commit && (!request.statement.isWrite || request.kind == RequestKind::Begin || request.kind == RequestKind::Continue);
         bool hasHung = job->isStalled || now - job->startedAt > 2 * getStalledLimit();
         if (!leavesNothing || !hasHung)
             continue;
@@ -67,8 +67,8 @@
         if (job->isStalled || now - job->startedAt < limit || m_answeredAt < job->startedAt + limit / 2)
             continue;
         job->isStalled = true;
-        auto& order = job->order;
-        bool mayRepeat = !order.statement.isWrite && (order.kind == OrderKind::Single || order.kind == OrderKind::ProvenSingle);
+        auto& request = job->request;
+        bool mayRepeat = !request.statement.isWrite && (request.kind == RequestKind::Single || request.kind == RequestKind::PrimaryRead);
         bool isBusy = m_waiting.size() >= m_limits.running; // a repetition would take a turn from somebody who has had none
         if (!mayRepeat || isBusy)
             continue;
@@ -84,7 +84,7 @@
     refuse(decisions::removeExpired(m_queue, now), "no turn came in time");
     auto running = m_running;
     for (auto& [job, session] : running) {
-        if (now < job->order.deadline)
+        if (now < job->request.deadline)
             continue;
         finish(job, decisions::makeFailure(ErrorKind::StatementTimedOut, "the target did not answer in time", true));
         auto askedAt = session->getAskedAt();
