--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -191,13 +191,13 @@
 PoolObserver Gateway::makeObserver()
 {
     PoolObserver observer;
-    observer.getKnown = [this](const TargetAddress& target) { return getKnownMark(m_view.groups[target.group]); };
+    observer.getKnownMark = [this](const TargetAddress& target) { return getKnownMark(m_view.groups[target.group]); };
     observer.onLostLog = [this](const TargetAddress& target, const Mark& position) {
         base::logEvent(LogClass::State, "primary-lost-log", { { "group", std::string_view(target.group) }, { "member", std::string_view(target.member) }, { "term", static_cast<int64_t>(position.term) }, { "position", static_cast<int64_t>(position.position) } });
         takeLead(target.group, decisions::applyPrimaryDenial(m_view.groups[target.group].lead, target.member), "denied");
     };
-    observer.leads = [this](const TargetAddress& target) { return m_view.groups[target.group].lead.member == target.member; };
-    observer.onLeads = [this](const TargetAddress& target, const Mark& position, TimePoint sentAt) {
+    observer.isKnownPrimary = [this](const TargetAddress& target) { return m_view.groups[target.group].lead.member == target.member; };
+    observer.onPrimaryProven = [this](const TargetAddress& target, const Mark& position, TimePoint sentAt) {
         takeShown(target.group, target.member, position.term, sentAt, ShownTo::ThisHost);
         if (m_view.groups[target.group].lead.member == target.member) {
             takeFloor(target.group, { position, sentAt });
@@ -205,7 +205,7 @@
             m_promoter.noteProof(target.group, Clock::now());
         }
     };
-    observer.onFollows = [this](const TargetAddress& target) {
+    observer.onReplicaReported = [this](const TargetAddress& target) {
         auto& group = m_view.groups[target.group];
         auto before = group.lead;
         denyLead(group, target.member, Clock::now());
@@ -224,7 +224,7 @@
         it->second.answeredAt = Clock::now();
         it->second.troubleAt = {};
     };
-    observer.onTrouble = [this](const TargetAddress& target, const std::string& reason) {
+    observer.onConnectionFailure = [this](const TargetAddress& target, const std::string& reason) {
         auto it = m_view.members.find(target.member);
         if (it == m_view.members.end())
             return;
@@ -233,7 +233,7 @@
         if (m_view.groups[target.group].lead.member == target.member)
             raiseAlarm(target.group, reason);
     };
-    observer.onRefused = [](const TargetAddress& target, size_t open, const std::string& reason) {
+    observer.onConnectionRefused = [](const TargetAddress& target, size_t open, const std::string& reason) {
         base::logEvent(LogClass::State, "connection-refused", { { "member", std::string_view(target.member) }, { "group", std::string_view(target.group) }, { "open", static_cast<int64_t>(open) }, { "reason", std::string_view(reason) } });
     };
     return observer;
--- a/src/gateway/target_pool.cpp
+++ b/src/gateway/target_pool.cpp
@@ -308,7 +308,7 @@
     session->account = account;
     auto self = shared_from_this();
     std::weak_ptr<TargetSession> weak = session;
-    auto onOpen = [self, session, known = m_observer.getKnown(m_target)](const Outcome& outcome) { self->takeOpened(session, outcome, known); };
+    auto onOpen = [self, session, known = m_observer.getKnownMark(m_target)](const Outcome& outcome) { self->takeOpened(session, outcome, known); };
     auto onClosed = [self, weak](const std::string& reason) {
         if (auto session = weak.lock())
             self->dropSession(session, reason);
@@ -327,9 +327,9 @@
         bool isRefused = outcome.error->kind == ErrorKind::TooManyConnections;
         m_noNewBefore = Clock::now() + (isRefused ? kRefusedPause : kBrokenPause);
         if (isRefused)
-            m_observer.onRefused(m_target, m_sessions.size(), outcome.error->message);
+            m_observer.onConnectionRefused(m_target, m_sessions.size(), outcome.error->message);
         else
-            m_observer.onTrouble(m_target, outcome.error->message);
+            m_observer.onConnectionFailure(m_target, outcome.error->message);
         // Without any connection nobody can be served: say so at once, they may try elsewhere.
         if (m_sessions.empty())
             failWaiting(*outcome.error);
@@ -337,7 +337,7 @@
     }
     m_observer.onAnswer(m_target);
     // A single write would run on an empty log without a word: the first position that is heard is looked at before anything is sent.
-    if (m_observer.leads(m_target) && decisions::hasLostLog(known, outcome.position)) {
+    if (m_observer.isKnownPrimary(m_target) && decisions::hasLostLog(known, outcome.position)) {
         m_observer.onLostLog(m_target, outcome.position);
         session->close();
         failWaiting({ ErrorKind::NotPrimary, "the member has lost what it held" });
@@ -393,10 +393,10 @@
         session->transaction = job->request.transaction;
         m_transactions[job->request.transaction] = { session, { job->request.database, true } };
     }
-    auto known = m_observer.getKnown(m_target);
+    auto known = m_observer.getKnownMark(m_target);
     session->ask(m_codec.formatBegin(isReadOnly, job->request.atLeast), [self = shared_from_this(), job, session, sentAt, isReadOnly, known](const Outcome& outcome) {
         if (!outcome.error) {
-            if (!isReadOnly && !self->takeProof(outcome.position, sentAt, known)) {
+            if (!isReadOnly && !self->applyPrimaryProof(outcome.position, sentAt, known)) {
                 self->closeTransaction(session);
                 self->endJob(job, session, decisions::makeFailure(ErrorKind::NotPrimary, "the member has lost what it held"));
                 return;
@@ -423,7 +423,7 @@
     auto atLeast = request.kind == RequestKind::Single ? request.atLeast : Mark {};
     auto bytes = m_codec.formatStatement(request.statement, atLeast, request.shape ? decisions::getPreparedName(*request.shape) : "");
     auto sentAt = Clock::now();
-    auto known = m_observer.getKnown(m_target);
+    auto known = m_observer.getKnownMark(m_target);
     session->ask(bytes, [self = shared_from_this(), job, session, sentAt, known](const Outcome& outcome) {
         auto& request = job->request;
         bool isCommit = request.statement.kind == StatementKind::Commit;
@@ -431,7 +431,7 @@
             self->takeWorkTime(*job);
         // A write and its commit succeed at a target that leads only.
         if (!outcome.error && request.kind == RequestKind::Single && request.statement.isWrite)
-            self->takeProof(outcome.position, sentAt, known);
+            self->applyPrimaryProof(outcome.position, sentAt, known);
         if (isCommit && !self->mayAskAgain(*job, session, outcome))
             self->closeTransaction(session);
         self->endJob(job, session, outcome);
@@ -473,14 +473,14 @@
 }
 
 // False: the target leads by its own word only.
-bool TargetPool::takeProof(const Mark& position, TimePoint sentAt, const Mark& known)
+bool TargetPool::applyPrimaryProof(const Mark& position, TimePoint sentAt, const Mark& known)
 {
     if (decisions::hasLostLog(known, position)) {
         m_observer.onLostLog(m_target, position);
         return false;
     }
-    m_provedAt = std::max(m_provedAt, sentAt);
-    m_observer.onLeads(m_target, position, sentAt);
+    m_primaryProvenAt = std::max(m_primaryProvenAt, sentAt);
+    m_observer.onPrimaryProven(m_target, position, sentAt);
     return true;
 }
 
@@ -497,7 +497,7 @@
         if (outcome.position.term != 0)
             m_observer.onPosition(m_target, outcome.position);
         if (outcome.error && outcome.error->kind == ErrorKind::NotPrimary)
-            m_observer.onFollows(m_target);
+            m_observer.onReplicaReported(m_target);
         session->usedAt = Clock::now();
         ++session->served;
         bool awaitsRollback = session->getPending() > 0;
@@ -575,9 +575,9 @@
     // Others that have answered since show that the target lives. If there are any, one of them is asked at once.
     bool isAlive = std::ranges::any_of(m_sessions, [&](const SessionPtr& it) { return it->getHeardAt() > askedAt; });
     if (isTrouble && wasAsked && !isAlive)
-        m_observer.onTrouble(m_target, reason);
+        m_observer.onConnectionFailure(m_target, reason);
     if (isTrouble && wasAsked)
-        m_provedAt = {};
+        m_primaryProvenAt = {};
     dispatch();
 }
 
--- a/src/gateway/target_pool.h
+++ b/src/gateway/target_pool.h
@@ -40,20 +40,20 @@
 // What a pool learns that others rest decisions on.
 struct PoolObserver {
     // A target proved that it led after `sentAt`; its log then held `position`.
-    std::function<void(const TargetAddress&, const Mark& position, TimePoint sentAt)> onLeads;
+    std::function<void(const TargetAddress&, const Mark& position, TimePoint sentAt)> onPrimaryProven;
     // What the log of the target's group is known to hold now; asked for before anything is sent to a target that is to lead.
-    std::function<Mark(const TargetAddress&)> getKnown;
-    std::function<bool(const TargetAddress&)> leads; // as far as is known
+    std::function<Mark(const TargetAddress&)> getKnownMark;
+    std::function<bool(const TargetAddress&)> isKnownPrimary; // as far as is known
     // A target that is to lead holds less than that: it has lost its log, as one that started again with nothing.
     std::function<void(const TargetAddress&, const Mark& position)> onLostLog;
     // A target said that it is a replica.
-    std::function<void(const TargetAddress&)> onFollows;
+    std::function<void(const TargetAddress&)> onReplicaReported;
     std::function<void(const TargetAddress&, const Mark& position)> onPosition;
     // A connection could not be opened, or one that was asked broke or fell silent.
-    std::function<void(const TargetAddress&, const std::string& reason)> onTrouble;
+    std::function<void(const TargetAddress&, const std::string& reason)> onConnectionFailure;
     std::function<void(const TargetAddress&)> onAnswer;
     // A target took no further connection while this host has `open`.
-    std::function<void(const TargetAddress&, size_t open, const std::string& reason)> onRefused;
+    std::function<void(const TargetAddress&, size_t open, const std::string& reason)> onConnectionRefused;
 };
 
 // Whether it is known that a target which is to lead still holds its log. What only a leader may run waits while that is found out, and is refused where nobody who could
@@ -162,12 +162,12 @@
     void finish(const JobPtr& job, Outcome outcome);
     void failWaiting(const decisions::Error& error);
     void freeSession(const SessionPtr& session);
-    bool takeProof(const Mark& position, TimePoint sentAt, const Mark& known);
+    bool applyPrimaryProof(const Mark& position, TimePoint sentAt, const Mark& known);
     void takeWorkTime(const Job& job);
     void closeTransaction(const SessionPtr& session);
     // `isTrouble`: an answer that is missing counts against the target.
     void dropSession(const SessionPtr& session, const std::string& reason, bool isTrouble = true);
-    void proveLead(TimePoint now);
+    void provePrimary(TimePoint now);
     void keepAlive(TimePoint now);
     void askPosition(TimePoint now);
     void askNothing(const SessionPtr& session);
@@ -198,7 +198,7 @@
     uint64_t m_lastTransaction { 0 };
     TimePoint m_noNewBefore {}; // no connection is opened before this
     bool m_isSuspect { false }; // the last attempt to open one failed
-    TimePoint m_provedAt {};
+    TimePoint m_primaryProvenAt {};
     TimePoint m_holdUntil {};
     milliseconds m_proofInterval { 0 };
     milliseconds m_positionInterval { 0 };
--- a/src/gateway/target_pool_upkeep.cpp
+++ b/src/gateway/target_pool_upkeep.cpp
@@ -21,7 +21,7 @@
     freeStalled(now);
     endOverdue(now);
     endSilent(now);
-    proveLead(now);
+    provePrimary(now);
     askPosition(now);
     keepAlive(now);
     closeUnused(now);
@@ -116,9 +116,9 @@
     return it == m_sessions.end() ? nullptr : *it;
 }
 
-void TargetPool::proveLead(TimePoint now)
+void TargetPool::provePrimary(TimePoint now)
 {
-    if (m_comparison != Comparison::NotNeeded || m_proofInterval.count() == 0 || now - m_provedAt < m_proofInterval)
+    if (m_comparison != Comparison::NotNeeded || m_proofInterval.count() == 0 || now - m_primaryProvenAt < m_proofInterval)
         return;
     auto session = findQuiet();
     if (!session) {
@@ -126,18 +126,18 @@
             openSession(m_lastAccount);
         return;
     }
-    m_provedAt = now; // the next question is due an interval after this one, whatever its answer
+    m_primaryProvenAt = now; // the next question is due an interval after this one, whatever its answer
     session->isBusy = true;
-    auto known = m_observer.getKnown(m_target);
+    auto known = m_observer.getKnownMark(m_target);
     session->ask(m_codec.formatBegin(false, {}), [self = shared_from_this(), session, now, known](const Outcome& outcome) {
         if (outcome.error && outcome.error->kind == ErrorKind::NotPrimary)
-            self->m_observer.onFollows(self->m_target);
+            self->m_observer.onReplicaReported(self->m_target);
         if (outcome.error) {
             self->freeSession(session);
             return;
         }
         self->m_answeredAt = Clock::now();
-        self->takeProof(outcome.position, now, known);
+        self->applyPrimaryProof(outcome.position, now, known);
         self->m_observer.onAnswer(self->m_target);
         self->rollBack(session);
     });
