--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -167,7 +167,7 @@
         pool->setLimits(getLimits(target));
         auto member = m_view.members.find(target.member);
         pool->setTakesNew(member != m_view.members.end() && acceptsNewOperations(member->second, getDrainTime(), Clock::now()));
-        pool->setComparison(getComparison(target));
+        pool->setLogComparison(getComparison(target));
     }
     return pool;
 }
@@ -582,7 +582,7 @@
         bool isKnown = member != m_view.members.end();
         bool leads = isKnown && m_view.groups[member->second.listed.group].lead.member == id;
         pool->setLimits(getLimits(pool->getTarget())); // configuration and list may have come after the pool
-        pool->setComparison(getComparison(pool->getTarget()));
+        pool->setLogComparison(getComparison(pool->getTarget()));
         bool carries = isKnown && isCarrier(m_view, m_peers, place, member->second);
         pool->setCarrier(carries);
         pool->setProofInterval(leads && carries ? kProofInterval : milliseconds(0));
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -36,7 +36,7 @@
     void compareWithReplicas(const std::string& group);
     struct ComparisonRound;
     void endComparison(const ComparisonRound& round);
-    Comparison getComparison(const TargetAddress& target);
+    LogComparison getComparison(const TargetAddress& target);
     decisions::QuotaRule getQuotaRule() const;
     void writeNearAccounts(size_t shard, const std::set<std::string>& accounts, std::function<void(bool)> done);
     PoolLimits getLimits(const TargetAddress& target) const;
--- a/src/gateway/gateway_leads.cpp
+++ b/src/gateway/gateway_leads.cpp
@@ -20,16 +20,16 @@
     size_t left { 0 }; // that have not answered yet, nor been given up
 };
 
-Comparison Gateway::getComparison(const TargetAddress& target)
+LogComparison Gateway::getComparison(const TargetAddress& target)
 {
     auto& group = m_view.groups[target.group];
     bool isKnown = m_view.members.contains(target.member);
     if (!isKnown || group.lead.member != target.member || canTellLostLog(group))
-        return Comparison::NotNeeded;
+        return LogComparison::NotNeeded;
     compareWithReplicas(target.group);
     if (canTellLostLog(group))
-        return Comparison::NotNeeded;
-    return group.lacksAnswers ? Comparison::LacksAnswers : Comparison::UnderWay;
+        return LogComparison::NotNeeded;
+    return group.lacksAnswers ? LogComparison::AnswersMissing : LogComparison::InProgress;
 }
 
 // A host that has just started knows no floor, and would take the word of a primary that started again with nothing. Replicas of its term hold nothing
--- a/src/gateway/target_pool.cpp
+++ b/src/gateway/target_pool.cpp
@@ -118,7 +118,7 @@
 bool TargetPool::mayRun(const Job& job, TimePoint now) const
 {
     auto& request = job.request;
-    if (now < job.notBefore || isHeld(job, now) || (m_comparison != Comparison::NotNeeded && needsLeader(request)))
+    if (now < job.notBefore || isHeld(job, now) || (m_logComparison != LogComparison::NotNeeded && needsLeader(request)))
         return false;
     auto held = m_transactions.size();
     return request.kind != RequestKind::Begin || held + std::min(kReservedConnections, m_limits.connections - 1) < m_limits.connections;
@@ -179,7 +179,7 @@
     if (!m_takesNew)
         giveBack([](const Job& it) { return it.request.kind != RequestKind::Continue; }, { ErrorKind::TargetUnreachable, "the member leaves and takes no new operations" });
     // Nobody knows when the replicas will answer: callers are told at once, they may reach a host that knows more.
-    if (m_comparison == Comparison::LacksAnswers)
+    if (m_logComparison == LogComparison::AnswersMissing)
         giveBack([](const Job& it) { return needsLeader(it.request); }, { ErrorKind::NoPrimary, "the member may have lost its log, and its replicas do not answer" });
     std::erase_if(m_queue.entries, [&](const decisions::QueueEntry& it) {
         bool isDone = m_waiting.at(it.number)->isDone(); // repeated, and the first one was answered after all
@@ -214,7 +214,7 @@
 // As many connections as statements wait for, within the limits.
 void TargetPool::openSessions(TimePoint now)
 {
-    if (m_comparison != Comparison::NotNeeded) // the first position that a connection tells is compared with what is known then
+    if (m_logComparison != LogComparison::NotNeeded) // the first position that a connection tells is compared with what is known then
         return;
     if (m_limits.isByAccount) {
         openByAccount(now);
--- a/src/gateway/target_pool.h
+++ b/src/gateway/target_pool.h
@@ -58,10 +58,10 @@
 
 // Whether it is known that a target which is to lead still holds its log. What only a leader may run waits while that is found out, and is refused where nobody who could
 // tell answers.
-enum class Comparison {
+enum class LogComparison {
     NotNeeded,
-    UnderWay,
-    LacksAnswers,
+    InProgress,
+    AnswersMissing,
 };
 
 struct PoolLimits {
@@ -100,7 +100,7 @@
     bool isCarrier() const { return m_isCarrier; }
     // Whether operations may begin at the target; else those that wait here are given back unsent, and transactions go on.
     void setTakesNew(bool takesNew) { m_takesNew = takesNew; }
-    void setComparison(Comparison comparison) { m_comparison = comparison; }
+    void setLogComparison(LogComparison comparison) { m_logComparison = comparison; }
     // The target is gone: closes everything; orders in flight end as unknown, waiting ones as unreachable.
     void shutDown(const std::string& reason);
     // Statements that write wait until then: a planned change of primary is under way.
@@ -207,7 +207,7 @@
     bool m_isDispatching { false };
     bool m_isCarrier { true };
     bool m_takesNew { true };
-    Comparison m_comparison { Comparison::NotNeeded };
+    LogComparison m_logComparison { LogComparison::NotNeeded };
 };
 
 }
--- a/src/gateway/target_pool_upkeep.cpp
+++ b/src/gateway/target_pool_upkeep.cpp
@@ -118,7 +118,7 @@
 
 void TargetPool::provePrimary(TimePoint now)
 {
-    if (m_comparison != Comparison::NotNeeded || m_proofInterval.count() == 0 || now - m_primaryProvenAt < m_proofInterval)
+    if (m_logComparison != LogComparison::NotNeeded || m_proofInterval.count() == 0 || now - m_primaryProvenAt < m_proofInterval)
         return;
     auto session = findQuiet();
     if (!session) {
