--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -94,7 +94,7 @@
         base::clearMetric(family);
     for (auto& [member, pool] : m_pools) {
         auto load = pool->getLoad();
-        base::setGauge(MetricFamily::PoolConnections, { { "member", member } }, static_cast<double>(pool->getOpen()));
+        base::setGauge(MetricFamily::PoolConnections, { { "member", member } }, static_cast<double>(pool->countOpenSessions()));
         base::setGauge(MetricFamily::PoolWaiting, { { "member", member } }, load.waiting);
         base::setGauge(MetricFamily::PoolRunning, { { "member", member } }, load.running);
     }
@@ -166,7 +166,7 @@
         pool = std::make_shared<TargetPool>(m_context.get_executor(), m_platform->getCodec(), target, m_settings.name, makeObserver());
         pool->setLimits(getLimits(target));
         auto member = m_view.members.find(target.member);
-        pool->setTakesNew(member != m_view.members.end() && acceptsNewOperations(member->second, getDrainTime(), Clock::now()));
+        pool->setAcceptsNewOperations(member != m_view.members.end() && acceptsNewOperations(member->second, getDrainTime(), Clock::now()));
         pool->setLogComparison(getComparison(target));
     }
     return pool;
@@ -341,7 +341,7 @@
                 writeChanges(pong, m_directory.getChanges(ping.known_revision()), now);
         }
         for (auto& [member, pool] : m_pools) {
-            bool isOfUse = pool->isCarrier() || isTroubled(pool->getTarget());
+            bool isOfUse = pool->isForwarder() || isTroubled(pool->getTarget());
             if (!isOfUse)
                 continue;
             writeLoad(*pong.add_loads(), member, pool->getLoad(), isTroubled(pool->getTarget()));
@@ -554,9 +554,9 @@
     for (auto& [id, pool] : m_pools) {
         auto member = m_view.members.find(id);
         bool isKnown = member != m_view.members.end();
-        pool->setTakesNew(isKnown && acceptsNewOperations(member->second, getDrainTime(), now));
+        pool->setAcceptsNewOperations(isKnown && acceptsNewOperations(member->second, getDrainTime(), now));
         bool isBehind = isKnown && (mustShow(member->second) || isFarBehind(m_view.groups[member->second.listed.group], member->second, now));
-        pool->setPositionInterval(isBehind && pool->isCarrier() ? kPositionInterval : milliseconds(0));
+        pool->setPositionInterval(isBehind && pool->isForwarder() ? kPositionInterval : milliseconds(0));
         pool->sweep(now);
     }
 }
@@ -584,7 +584,7 @@
         pool->setLimits(getLimits(pool->getTarget())); // configuration and list may have come after the pool
         pool->setLogComparison(getComparison(pool->getTarget()));
         bool carries = isKnown && isCarrier(m_view, m_peers, place, member->second);
-        pool->setCarrier(carries);
+        pool->setForwarder(carries);
         pool->setProofInterval(leads && carries ? kProofInterval : milliseconds(0));
     }
 }
--- a/src/gateway/target_pool.cpp
+++ b/src/gateway/target_pool.cpp
@@ -176,7 +176,7 @@
 {
     auto now = Clock::now();
     // The time of a target that leaves can end while operations wait for their turn: looked at where they are sent, not only where they are routed.
-    if (!m_takesNew)
+    if (!m_acceptsNewOperations)
         giveBack([](const Job& it) { return it.request.kind != RequestKind::Continue; }, { ErrorKind::TargetUnreachable, "the member leaves and takes no new operations" });
     // Nobody knows when the replicas will answer: callers are told at once, they may reach a host that knows more.
     if (m_logComparison == LogComparison::AnswersMissing)
--- a/src/gateway/target_pool.h
+++ b/src/gateway/target_pool.h
@@ -96,10 +96,10 @@
     // Asks the target where its log stands at least this often; 0: only to keep connections alive.
     void setPositionInterval(milliseconds interval) { m_positionInterval = interval; }
     // Whether this host is the one that carries statements to the target; one that does not any more gives its connections back.
-    void setCarrier(bool isCarrier) { m_isCarrier = isCarrier; }
-    bool isCarrier() const { return m_isCarrier; }
+    void setForwarder(bool isForwarder) { m_isForwarder = isForwarder; }
+    bool isForwarder() const { return m_isForwarder; }
     // Whether operations may begin at the target; else those that wait here are given back unsent, and transactions go on.
-    void setTakesNew(bool takesNew) { m_takesNew = takesNew; }
+    void setAcceptsNewOperations(bool acceptsNew) { m_acceptsNewOperations = acceptsNew; }
     void setLogComparison(LogComparison comparison) { m_logComparison = comparison; }
     // The target is gone: closes everything; orders in flight end as unknown, waiting ones as unreachable.
     void shutDown(const std::string& reason);
@@ -109,7 +109,7 @@
     const TargetAddress& getTarget() const { return m_target; }
     PoolLoad getLoad() const;
     bool isIdle() const { return m_queue.entries.empty() && m_sessions.empty(); }
-    size_t getOpen() const { return m_sessions.size(); }
+    size_t countOpenSessions() const { return m_sessions.size(); }
 
 private:
     struct Job {
@@ -205,8 +205,8 @@
     TimePoint m_positionAskedAt {};
     TimePoint m_answeredAt {}; // the last answer to a statement or a proof
     bool m_isDispatching { false };
-    bool m_isCarrier { true };
-    bool m_takesNew { true };
+    bool m_isForwarder { true };
+    bool m_acceptsNewOperations { true };
     LogComparison m_logComparison { LogComparison::NotNeeded };
 };
 
--- a/src/gateway/target_pool_upkeep.cpp
+++ b/src/gateway/target_pool_upkeep.cpp
@@ -10,8 +10,8 @@
 
 static constexpr milliseconds kKeepAliveAfter { 1000 }; // an idle connection that was quiet for this long is asked something
 static constexpr milliseconds kSilentLimit { 300 }; // for questions that need no work at the target
-static constexpr milliseconds kUnusedAsCarrier { 10000 }; // a connection that was of no use for this long is closed
-static constexpr milliseconds kUnusedElsewhere { 500 }; // the same where another host carries now, which needs the connections
+static constexpr milliseconds kIdleTimeoutAsForwarder { 10000 }; // a connection that was of no use for this long is closed
+static constexpr milliseconds kIdleTimeoutOtherwise { 500 }; // the same where another host carries now, which needs the connections
 static constexpr double kStalledTimes = 8; // of the usual time: a statement's answer may be lost; the slowest usual ones take five times
 static constexpr milliseconds kStalledLeast { 150 }; // below this a hiccup of the network would count
 
@@ -181,10 +181,10 @@
 
 void TargetPool::closeUnused(TimePoint now)
 {
-    auto limit = m_isCarrier ? kUnusedAsCarrier : kUnusedElsewhere;
+    auto limit = m_isForwarder ? kIdleTimeoutAsForwarder : kIdleTimeoutOtherwise;
     auto sessions = m_sessions;
     for (auto& it : sessions) {
-        bool isLast = m_isCarrier && m_sessions.size() == 1;
+        bool isLast = m_isForwarder && m_sessions.size() == 1;
         if (!isLast && it->isFree() && it->getPending() == 0 && now - it->usedAt > limit)
             dropSession(it, "unused");
     }
