--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -490,7 +490,7 @@
                 finish(finding);
                 return;
             }
-            session->ask(m_platform->getCodec().formatStatusQuery(), [this, finish](const Outcome& answer) {
+            session->sendStatement(m_platform->getCodec().formatStatusQuery(), [this, finish](const Outcome& answer) {
                 StatusReport finding;
                 finding.wasReached = !answer.error || answer.error->kind == ErrorKind::Overloaded;
                 if (!answer.error && !answer.rows.empty()) {
--- a/src/gateway/target_pool.cpp
+++ b/src/gateway/target_pool.cpp
@@ -136,12 +136,12 @@
 
 bool TargetPool::hasFree(const std::string& account) const
 {
-    return std::ranges::any_of(m_sessions, [&](const SessionPtr& it) { return it->isFree() && it->account == account; });
+    return std::ranges::any_of(m_sessions, [&](const SessionPtr& it) { return it->isIdle() && it->account == account; });
 }
 
 unsigned TargetPool::countFree() const
 {
-    return static_cast<unsigned>(std::ranges::count_if(m_sessions, [](const SessionPtr& it) { return it->isFree(); }));
+    return static_cast<unsigned>(std::ranges::count_if(m_sessions, [](const SessionPtr& it) { return it->isIdle(); }));
 }
 
 TargetPool::JobPtr TargetPool::popNext(TimePoint now)
@@ -254,7 +254,7 @@
 {
     std::vector<decisions::PooledConnection> held;
     for (auto& it : m_sessions) {
-        held.push_back({ it->account, it->isFree(), it->isBusy && it->transaction == 0, it->served > 0, it->usedAt });
+        held.push_back({ it->account, it->isIdle(), it->isBusy && it->transaction == 0, it->servedJobs > 0, it->lastUsedAt });
     }
     return held;
 }
@@ -289,7 +289,7 @@
     SessionPtr best;
     size_t bestCost = 0;
     for (auto& it : m_sessions) {
-        if (!it->isFree() || it->account != job.request.account)
+        if (!it->isIdle() || it->account != job.request.account)
             continue;
         auto cost = decisions::planConnection(it->state, job.request.values, job.request.shape).getCost();
         if (!best || cost < bestCost) {
@@ -343,7 +343,7 @@
         failWaiting({ ErrorKind::NotPrimary, "the member has lost what it held" });
         return;
     }
-    session->usedAt = Clock::now();
+    session->lastUsedAt = Clock::now();
     m_sessions.push_back(session);
     dispatch();
 }
@@ -377,11 +377,11 @@
             self->dropSession(session, "the session could not be set up: " + outcome.error->message);
     };
     if (plan.mustReset)
-        session->ask(m_codec.formatReset(), check);
+        session->sendStatement(m_codec.formatReset(), check);
     for (const auto& [name, value] : plan.values)
-        session->ask(m_codec.formatSetValue(name, value), check);
+        session->sendStatement(m_codec.formatSetValue(name, value), check);
     if (plan.mustPrepare)
-        session->ask(m_codec.formatPrepare(decisions::getPreparedName(*request.shape), *request.shape), check);
+        session->sendStatement(m_codec.formatPrepare(decisions::getPreparedName(*request.shape), *request.shape), check);
     session->state = decisions::applyPlan(std::move(session->state), plan, request.shape);
 }
 
@@ -394,7 +394,7 @@
         m_transactions[job->request.transaction] = { session, { job->request.database, true } };
     }
     auto known = m_observer.getKnownMark(m_target);
-    session->ask(m_codec.formatBegin(isReadOnly, job->request.atLeast), [self = shared_from_this(), job, session, sentAt, isReadOnly, known](const Outcome& outcome) {
+    session->sendStatement(m_codec.formatBegin(isReadOnly, job->request.atLeast), [self = shared_from_this(), job, session, sentAt, isReadOnly, known](const Outcome& outcome) {
         if (!outcome.error) {
             if (!isReadOnly && !self->applyPrimaryProof(outcome.position, sentAt, known)) {
                 self->closeTransaction(session);
@@ -424,7 +424,7 @@
     auto bytes = m_codec.formatStatement(request.statement, atLeast, request.shape ? decisions::getPreparedName(*request.shape) : "");
     auto sentAt = Clock::now();
     auto known = m_observer.getKnownMark(m_target);
-    session->ask(bytes, [self = shared_from_this(), job, session, sentAt, known](const Outcome& outcome) {
+    session->sendStatement(bytes, [self = shared_from_this(), job, session, sentAt, known](const Outcome& outcome) {
         auto& request = job->request;
         bool isCommit = request.statement.kind == StatementKind::Commit;
         if (!outcome.error)
@@ -443,7 +443,7 @@
 // The connection is free once the target has said that the transaction is over.
 void TargetPool::rollBack(const SessionPtr& session)
 {
-    session->ask(m_codec.formatRollback(), [self = shared_from_this(), session](const Outcome&) {
+    session->sendStatement(m_codec.formatRollback(), [self = shared_from_this(), session](const Outcome&) {
         self->freeSession(session);
         self->dispatch();
     });
@@ -498,9 +498,9 @@
             m_observer.onPosition(m_target, outcome.position);
         if (outcome.error && outcome.error->kind == ErrorKind::NotPrimary)
             m_observer.onReplicaReported(m_target);
-        session->usedAt = Clock::now();
-        ++session->served;
-        bool awaitsRollback = session->getPending() > 0;
+        session->lastUsedAt = Clock::now();
+        ++session->servedJobs;
+        bool awaitsRollback = session->countPending() > 0;
         if (!awaitsRollback)
             freeSession(session);
     }
@@ -563,8 +563,8 @@
     m_sessions.erase(it);
     base::incrementCounter(base::MetricFamily::ConnectionsClosed, { { "member", m_target.member } });
     closeTransaction(session);
-    bool wasAsked = session->getPending() > 0;
-    auto askedAt = session->getAskedAt();
+    bool wasAsked = session->countPending() > 0;
+    auto askedAt = session->getOldestPendingAt();
     // Its jobs end through their answers, or here if they had none yet.
     session->close();
     auto running = m_running;
@@ -573,7 +573,7 @@
             endJob(job, session, decisions::makeFailure(ErrorKind::OutcomeUnknown, reason, true));
     }
     // Others that have answered since show that the target lives. If there are any, one of them is asked at once.
-    bool isAlive = std::ranges::any_of(m_sessions, [&](const SessionPtr& it) { return it->getHeardAt() > askedAt; });
+    bool isAlive = std::ranges::any_of(m_sessions, [&](const SessionPtr& it) { return it->getLastReceivedAt() > askedAt; });
     if (isTrouble && wasAsked && !isAlive)
         m_observer.onConnectionFailure(m_target, reason);
     if (isTrouble && wasAsked)
--- a/src/gateway/target_pool_upkeep.cpp
+++ b/src/gateway/target_pool_upkeep.cpp
@@ -87,12 +87,12 @@
         if (now < job->request.deadline)
             continue;
         finish(job, decisions::makeFailure(ErrorKind::StatementTimedOut, "the target did not answer in time", true));
-        auto askedAt = session->getAskedAt();
+        auto askedAt = session->getOldestPendingAt();
         dropSession(session, "no answer in time");
         // Other connections that have been quiet since may have died in the same way.
         auto sessions = m_sessions;
         for (auto& it : sessions) {
-            if (it->isFree() && it->getHeardAt() < askedAt)
+            if (it->isIdle() && it->getLastReceivedAt() < askedAt)
                 dropSession(it, "quiet since a connection to the same target died");
         }
     }
@@ -104,7 +104,7 @@
     auto sessions = m_sessions;
     for (auto& it : sessions) {
         bool hasJob = std::ranges::any_of(m_running, [&](const auto& running) { return running.second == it; });
-        if (!hasJob && it->getPending() > 0 && now - it->getAskedAt() > kSilentLimit)
+        if (!hasJob && it->countPending() > 0 && now - it->getOldestPendingAt() > kSilentLimit)
             dropSession(it, "the target is silent");
     }
 }
@@ -112,7 +112,7 @@
 // A connection on which nothing is under way.
 TargetPool::SessionPtr TargetPool::findQuiet() const
 {
-    auto it = std::ranges::find_if(m_sessions, [](const SessionPtr& it) { return it->isFree() && it->getPending() == 0; });
+    auto it = std::ranges::find_if(m_sessions, [](const SessionPtr& it) { return it->isIdle() && it->countPending() == 0; });
     return it == m_sessions.end() ? nullptr : *it;
 }
 
@@ -129,7 +129,7 @@
     m_primaryProvenAt = now; // the next question is due an interval after this one, whatever its answer
     session->isBusy = true;
     auto known = m_observer.getKnownMark(m_target);
-    session->ask(m_codec.formatBegin(false, {}), [self = shared_from_this(), session, now, known](const Outcome& outcome) {
+    session->sendStatement(m_codec.formatBegin(false, {}), [self = shared_from_this(), session, now, known](const Outcome& outcome) {
         if (outcome.error && outcome.error->kind == ErrorKind::NotPrimary)
             self->m_observer.onReplicaReported(self->m_target);
         if (outcome.error) {
@@ -146,7 +146,7 @@
 void TargetPool::keepAlive(TimePoint now)
 {
     for (auto& it : m_sessions) {
-        if (it->isBusy || it->transaction != 0 || it->getPending() > 0 || now - it->getHeardAt() < kKeepAliveAfter)
+        if (it->isBusy || it->transaction != 0 || it->countPending() > 0 || now - it->getLastReceivedAt() < kKeepAliveAfter)
             continue;
         askNothing(it);
     }
@@ -156,8 +156,8 @@
 void TargetPool::askNothing(const SessionPtr& session)
 {
     session->isBusy = true;
-    session->ask(m_codec.formatBegin(true, {}), [](const Outcome&) {});
-    session->ask(m_codec.formatRollback(), [self = shared_from_this(), session](const Outcome& outcome) {
+    session->sendStatement(m_codec.formatBegin(true, {}), [](const Outcome&) {});
+    session->sendStatement(m_codec.formatRollback(), [self = shared_from_this(), session](const Outcome& outcome) {
         if (outcome.position.term != 0)
             self->m_observer.onPosition(self->m_target, outcome.position);
         self->freeSession(session);
@@ -185,7 +185,7 @@
     auto sessions = m_sessions;
     for (auto& it : sessions) {
         bool isLast = m_isForwarder && m_sessions.size() == 1;
-        if (!isLast && it->isFree() && it->getPending() == 0 && now - it->usedAt > limit)
+        if (!isLast && it->isIdle() && it->countPending() == 0 && now - it->lastUsedAt > limit)
             dropSession(it, "unused");
     }
 }
--- a/src/gateway/target_session.cpp
+++ b/src/gateway/target_session.cpp
@@ -12,16 +12,16 @@
 {
 }
 
-void TargetSession::open(const TargetAddress& target, const std::string& from, milliseconds limit, Answer onOpen, std::function<void(const std::string&)> onClosed)
+void TargetSession::open(const TargetAddress& target, const std::string& clientName, milliseconds timeout, OutcomeCallback onOpen, std::function<void(const std::string&)> onClosed)
 {
     m_onOpen = std::move(onOpen);
     m_onClosed = std::move(onClosed);
-    m_heardAt = Clock::now();
+    m_lastReceivedAt = Clock::now();
     auto self = shared_from_this();
     m_channel->connect(
-        target.address, limit, [self](std::string_view message) { self->takeMessage(message); }, [self](const std::string& reason) { self->fail(reason); });
-    m_channel->send(m_codec.formatHello(target.group, from, target.member));
-    m_helloTimer.expires_after(limit);
+        target.address, timeout, [self](std::string_view message) { self->handleMessage(message); }, [self](const std::string& reason) { self->fail(reason); });
+    m_channel->send(m_codec.formatHello(target.group, clientName, target.member));
+    m_helloTimer.expires_after(timeout);
     m_helloTimer.async_wait([weak = weak_from_this()](boost::system::error_code ec) {
         auto session = weak.lock();
         if (!ec && session && session->m_onOpen)
@@ -29,21 +29,21 @@
     });
 }
 
-void TargetSession::ask(std::string_view bytes, Answer onAnswer)
+void TargetSession::sendStatement(std::string_view bytes, OutcomeCallback onAnswer)
 {
     auto now = Clock::now();
     if (m_pending.empty())
-        m_askedAt = now;
+        m_oldestPendingAt = now;
     m_pending.push_back({ std::move(onAnswer), now });
     m_channel->send(bytes);
 }
 
-void TargetSession::takeMessage(std::string_view message)
+void TargetSession::handleMessage(std::string_view message)
 {
-    m_heardAt = Clock::now();
+    m_lastReceivedAt = Clock::now();
     auto parsed = m_codec.parseTargetMessage(message);
     if (!m_isOpen) {
-        takeHello(parsed);
+        handleHello(parsed);
         return;
     }
     if (m_pending.empty()) {
@@ -52,18 +52,18 @@
         return;
     }
     if (auto* row = std::get_if<links::RowMessage>(&parsed))
-        m_current.rows.emplace_back(row->data);
+        m_outcome.rows.emplace_back(row->data);
     else if (auto* complete = std::get_if<links::CompleteMessage>(&parsed))
-        m_current.signature = complete->signature;
+        m_outcome.signature = complete->signature;
     else if (auto* failure = std::get_if<links::FailureMessage>(&parsed))
-        m_current.error = std::move(failure->error);
+        m_outcome.error = std::move(failure->error);
     else if (auto* ready = std::get_if<links::ReadyMessage>(&parsed))
-        endAnswer(*ready);
+        finishAnswer(*ready);
     else
         fail("malformed answer");
 }
 
-void TargetSession::takeHello(const links::TargetMessage& message)
+void TargetSession::handleHello(const links::TargetMessage& message)
 {
     m_helloTimer.cancel();
     Outcome outcome;
@@ -82,14 +82,14 @@
     onOpen(outcome);
 }
 
-void TargetSession::endAnswer(const links::ReadyMessage& ready)
+void TargetSession::finishAnswer(const links::ReadyMessage& ready)
 {
     auto pending = std::move(m_pending.front());
     m_pending.pop_front();
     if (!m_pending.empty())
-        m_askedAt = m_pending.front().askedAt;
-    auto outcome = std::move(m_current);
-    m_current = {};
+        m_oldestPendingAt = m_pending.front().sentAt;
+    auto outcome = std::move(m_outcome);
+    m_outcome = {};
     outcome.position = ready.position;
     m_targetState = ready.state;
     outcome.wasSent = true;
--- a/src/gateway/target_session.h
+++ b/src/gateway/target_session.h
@@ -22,51 +22,51 @@
 class TargetSession : public std::enable_shared_from_this<TargetSession> {
 public:
     // `position` of the outcome is the target's log position behind this answer.
-    using Answer = std::function<void(const Outcome& outcome)>;
+    using OutcomeCallback = std::function<void(const Outcome& outcome)>;
 
     TargetSession(boost::asio::any_io_executor executor, const links::StatementCodec& codec);
 
     // Connects and says hello. The answer says whether it may be used; `onClosed` comes once, for any later end.
-    void open(const TargetAddress& target, const std::string& from, milliseconds limit, Answer onOpen, std::function<void(const std::string& reason)> onClosed);
+    void open(const TargetAddress& target, const std::string& clientName, milliseconds timeout, OutcomeCallback onOpen, std::function<void(const std::string& reason)> onClosed);
     // Sends a statement; its answer comes in order. When the connection ends first, the outcome is unknown.
-    void ask(std::string_view bytes, Answer onAnswer);
+    void sendStatement(std::string_view bytes, OutcomeCallback onAnswer);
     void close();
 
     bool isOpen() const { return m_isOpen; }
     // What the target said last of where the connection stands.
     decisions::SessionState getTargetState() const { return m_targetState; }
-    size_t getPending() const { return m_pending.size(); }
-    TimePoint getHeardAt() const { return m_heardAt; }
-    TimePoint getAskedAt() const { return m_askedAt; } // when the oldest unanswered question was sent
+    size_t countPending() const { return m_pending.size(); }
+    TimePoint getLastReceivedAt() const { return m_lastReceivedAt; }
+    TimePoint getOldestPendingAt() const { return m_oldestPendingAt; } // when the oldest unanswered question was sent
 
     std::string account {}; // whose it is; empty: this host's own
     decisions::ConnectionState state {}; // what earlier sessions left on it
     uint64_t transaction { 0 }; // that holds it; 0: none
     bool isBusy { false }; // a job runs on it
-    TimePoint usedAt {}; // the last time a job ended on it
-    unsigned served { 0 }; // jobs
+    TimePoint lastUsedAt {}; // the last time a job ended on it
+    unsigned servedJobs { 0 }; // jobs
     // Whether a job may be given to it.
-    bool isFree() const { return !isBusy && transaction == 0; }
+    bool isIdle() const { return !isBusy && transaction == 0; }
 
 private:
     struct Pending {
-        Answer onAnswer;
-        TimePoint askedAt;
+        OutcomeCallback onAnswer;
+        TimePoint sentAt;
     };
-    void takeMessage(std::string_view message);
-    void takeHello(const links::TargetMessage& message);
-    void endAnswer(const links::ReadyMessage& ready);
+    void handleMessage(std::string_view message);
+    void handleHello(const links::TargetMessage& message);
+    void finishAnswer(const links::ReadyMessage& ready);
     void fail(const std::string& reason);
 
     const links::StatementCodec& m_codec;
     std::shared_ptr<links::Channel> m_channel;
     boost::asio::steady_timer m_helloTimer; // a target may take the connection and never say anything
     std::deque<Pending> m_pending;
-    Answer m_onOpen;
+    OutcomeCallback m_onOpen;
     std::function<void(const std::string&)> m_onClosed;
-    Outcome m_current; // of the answer that is being read
-    TimePoint m_heardAt {};
-    TimePoint m_askedAt {};
+    Outcome m_outcome; // of the answer that is being read
+    TimePoint m_lastReceivedAt {};
+    TimePoint m_oldestPendingAt {};
     decisions::SessionState m_targetState { decisions::SessionState::Idle };
     bool m_isOpen { false };
 };
