--- a/src/gateway/target_pool.cpp
+++ b/src/gateway/target_pool.cpp
@@ -13,14 +13,14 @@
 using decisions::ErrorKind;
 using decisions::StatementKind;
 
-static constexpr milliseconds kConnectLimit { 700 }; // a hello takes some tens of ms; a dark host never answers
-static constexpr milliseconds kRefusedPause { 300 }; // after the target took no connection; other hosts may hold them
-static constexpr milliseconds kBrokenPause { 100 }; // after a connection could not be had
+static constexpr milliseconds kConnectTimeout { 700 }; // a hello takes some tens of ms; a dark host never answers
+static constexpr milliseconds kConnectionRefusedBackoff { 300 }; // after the target took no connection; other hosts may hold them
+static constexpr milliseconds kConnectFailureBackoff { 100 }; // after a connection could not be had
 static constexpr unsigned kReservedConnections = 2; // never held by transactions, so that single statements go on
-static constexpr milliseconds kBusyPause { 15 }; // before a target that was busy is asked again: about one statement's time
-static constexpr size_t kPreparedMost = 200; // shapes kept on one connection
-static constexpr unsigned kOpeningMost = 2; // connections at a time; each takes a slot of the target for a while
-static constexpr milliseconds kComeBackLeast { 300 }; // told to callers that were refused; less would bring them back into the same queue
+static constexpr milliseconds kBusyRetryDelay { 15 }; // before a target that was busy is asked again: about one statement's time
+static constexpr size_t kMaxPreparedShapes = 200; // shapes kept on one connection
+static constexpr unsigned kMaxOpening = 2; // connections at a time; each takes a slot of the target for a while
+static constexpr milliseconds kMinRetryAfter { 300 }; // told to callers that were refused; less would bring them back into the same queue
 
 TargetPool::TargetPool(boost::asio::any_io_executor executor, const links::StatementCodec& codec, TargetAddress target, std::string from, PoolObserver observer)
     : m_executor(std::move(executor))
@@ -95,8 +95,8 @@
         auto job = m_waiting.at(it.number);
         m_waiting.erase(it.number);
         auto wait = milliseconds(static_cast<int64_t>(decisions::getTotalWaitMs(m_queue)));
-        auto comeBack = decisions::jitterRetryAfter(std::max(wait, kComeBackLeast), base::getRandom());
-        finish(job, decisions::makeFailure(ErrorKind::Overloaded, reason.empty() ? fmt::format("{} statements wait before it, {:.0f} ms each{}; come back in {} ms", m_waiting.size(), m_queue.workMs, m_queue.overload.isSustained ? ", for long" : "", comeBack.count()) : reason));
+        auto retryAfter = decisions::jitterRetryAfter(std::max(wait, kMinRetryAfter), base::getRandom());
+        finish(job, decisions::makeFailure(ErrorKind::Overloaded, reason.empty() ? fmt::format("{} statements wait before it, {:.0f} ms each{}; come back in {} ms", m_waiting.size(), m_queue.workMs, m_queue.overload.isSustained ? ", for long" : "", retryAfter.count()) : reason));
     }
 }
 
@@ -223,16 +223,16 @@
     auto needed = countWaitingForConnection();
     auto wanted = std::min<size_t>(needed, m_limits.running) + m_transactions.size() + m_running.size();
     auto most = std::min<size_t>(wanted, m_limits.connections);
-    while (countFree() + m_opening < needed && m_sessions.size() + m_opening < most && m_opening < kOpeningMost && now >= m_noNewBefore)
+    while (countFree() + m_opening < needed && m_sessions.size() + m_opening < most && m_opening < kMaxOpening && now >= m_noNewBefore)
         openSession({});
 }
 
 void TargetPool::openByAccount(TimePoint now)
 {
     // A connection on its way holds a slot of the target: half of them are left to statements.
-    auto openingMost = std::max(1U, (m_limits.running - 1) / 2);
-    while (m_opening < openingMost && now >= m_noNewBefore) {
-        auto step = decisions::planOpening(getHeld(), getDemands(now), { m_limits.connections, m_opening, openingMost }, now);
+    auto maxOpening = std::max(1U, (m_limits.running - 1) / 2);
+    while (m_opening < maxOpening && now >= m_noNewBefore) {
+        auto step = decisions::planOpening(getHeld(), getDemands(now), { m_limits.connections, m_opening, maxOpening }, now);
         if (!step)
             return;
         if (step->evicted)
@@ -313,7 +313,7 @@
         if (auto session = weak.lock())
             self->dropSession(session, reason);
     };
-    session->open(m_target, account.empty() ? m_from : account, kConnectLimit, onOpen, onClosed);
+    session->open(m_target, account.empty() ? m_from : account, kConnectTimeout, onOpen, onClosed);
 }
 
 void TargetPool::takeOpened(const SessionPtr& session, const Outcome& outcome, const Mark& known)
@@ -325,7 +325,7 @@
     m_isSuspect = outcome.error.has_value();
     if (outcome.error) {
         bool isRefused = outcome.error->kind == ErrorKind::TooManyConnections;
-        m_noNewBefore = Clock::now() + (isRefused ? kRefusedPause : kBrokenPause);
+        m_noNewBefore = Clock::now() + (isRefused ? kConnectionRefusedBackoff : kConnectFailureBackoff);
         if (isRefused)
             m_observer.onConnectionRefused(m_target, m_sessions.size(), outcome.error->message);
         else
@@ -369,7 +369,7 @@
 {
     auto& request = job.request;
     auto plan = decisions::planConnection(session->state, request.values, request.shape);
-    if (session->state.prepared.size() > kPreparedMost)
+    if (session->state.prepared.size() > kMaxPreparedShapes)
         plan = decisions::planConnection({ { { "", "" } }, {} }, request.values, request.shape);
     auto self = shared_from_this();
     auto check = [self, session](const Outcome& outcome) {
@@ -506,7 +506,7 @@
     }
     if (mayAskAgain(*job, session, outcome)) {
         ++job->timesBusy;
-        job->notBefore = Clock::now() + kBusyPause;
+        job->notBefore = Clock::now() + kBusyRetryDelay;
         job->isStalled = false;
         enqueue(job);
     } else
@@ -519,7 +519,7 @@
 {
     bool wasBusy = outcome.error && outcome.error->kind == ErrorKind::Overloaded && outcome.wasSent;
     bool isInTransaction = job.request.kind == RequestKind::Continue && session->isOpen() && session->getTargetState() == decisions::SessionState::InTransaction;
-    return wasBusy && isInTransaction && !job.isDone() && job.timesBusy < decisions::kMaxBusyAttempts && Clock::now() + kBusyPause < job.request.deadline;
+    return wasBusy && isInTransaction && !job.isDone() && job.timesBusy < decisions::kMaxBusyAttempts && Clock::now() + kBusyRetryDelay < job.request.deadline;
 }
 
 // Only a connection on which no transaction is open may serve another caller: a statement that a target failed to run, be it our
--- a/src/gateway/target_pool.h
+++ b/src/gateway/target_pool.h
@@ -175,7 +175,7 @@
     void closeUnused(TimePoint now);
     unsigned countRunning() const;
     void findStalled(TimePoint now);
-    milliseconds getStalledLimit() const;
+    milliseconds getStallTimeout() const;
     void freeStalled(TimePoint now);
     void endOverdue(TimePoint now);
     void endSilent(TimePoint now);
--- a/src/gateway/target_pool_upkeep.cpp
+++ b/src/gateway/target_pool_upkeep.cpp
@@ -8,12 +8,12 @@
 using decisions::ErrorKind;
 using decisions::StatementKind;
 
-static constexpr milliseconds kKeepAliveAfter { 1000 }; // an idle connection that was quiet for this long is asked something
-static constexpr milliseconds kSilentLimit { 300 }; // for questions that need no work at the target
+static constexpr milliseconds kKeepAliveInterval { 1000 }; // an idle connection that was quiet for this long is asked something
+static constexpr milliseconds kSilenceTimeout { 300 }; // for questions that need no work at the target
 static constexpr milliseconds kIdleTimeoutAsForwarder { 10000 }; // a connection that was of no use for this long is closed
 static constexpr milliseconds kIdleTimeoutOtherwise { 500 }; // the same where another host carries now, which needs the connections
-static constexpr double kStalledTimes = 8; // of the usual time: a statement's answer may be lost; the slowest usual ones take five times
-static constexpr milliseconds kStalledLeast { 150 }; // below this a hiccup of the network would count
+static constexpr double kStallFactor = 8; // of the usual time: a statement's answer may be lost; the slowest usual ones take five times
+static constexpr milliseconds kMinStallTimeout { 150 }; // below this a hiccup of the network would count
 
 void TargetPool::sweep(TimePoint now)
 {
@@ -28,9 +28,9 @@
     dispatch();
 }
 
-milliseconds TargetPool::getStalledLimit() const
+milliseconds TargetPool::getStallTimeout() const
 {
-    return std::max(kStalledLeast, milliseconds(static_cast<int64_t>(kStalledTimes * m_queue.workMs)));
+    return std::max(kMinStallTimeout, milliseconds(static_cast<int64_t>(kStallFactor * m_queue.workMs)));
 }
 
 // A few hung statements can hold all connections. While others wait for one, the statement that has hung longest gives its connection up,
@@ -44,7 +44,7 @@
     for (auto& [job, session] : m_running) { // in the order in which they were started
         auto& request = job->request;
         bool leavesNothing = request.statement.kind != StatementKind::Commit && (!request.statement.isWrite || request.kind == RequestKind::Begin || request.kind == RequestKind::Continue);
-        bool hasHung = job->isStalled || now - job->startedAt > 2 * getStalledLimit();
+        bool hasHung = job->isStalled || now - job->startedAt > 2 * getStallTimeout();
         if (!leavesNothing || !hasHung)
             continue;
         dropSession(SessionPtr(session), "its answer seems to be lost and others wait for a connection", false);
@@ -57,7 +57,7 @@
 // Nothing is ended for it: a slow answer is delivered as well.
 void TargetPool::findStalled(TimePoint now)
 {
-    auto limit = getStalledLimit();
+    auto limit = getStallTimeout();
     auto running = m_running;
     for (auto& [job, session] : running) {
         if (job->isStalled && job->isDone()) { // its repetition was answered
@@ -104,7 +104,7 @@
     auto sessions = m_sessions;
     for (auto& it : sessions) {
         bool hasJob = std::ranges::any_of(m_running, [&](const auto& running) { return running.second == it; });
-        if (!hasJob && it->countPending() > 0 && now - it->getOldestPendingAt() > kSilentLimit)
+        if (!hasJob && it->countPending() > 0 && now - it->getOldestPendingAt() > kSilenceTimeout)
             dropSession(it, "the target is silent");
     }
 }
@@ -146,7 +146,7 @@
 void TargetPool::keepAlive(TimePoint now)
 {
     for (auto& it : m_sessions) {
-        if (it->isBusy || it->transaction != 0 || it->countPending() > 0 || now - it->getLastReceivedAt() < kKeepAliveAfter)
+        if (it->isBusy || it->transaction != 0 || it->countPending() > 0 || now - it->getLastReceivedAt() < kKeepAliveInterval)
             continue;
         askNothing(it);
     }
