--- a/src/gateway/target_pool.cpp
+++ b/src/gateway/target_pool.cpp
@@ -33,7 +33,7 @@
 
 PoolLoad TargetPool::getLoad() const
 {
-    return { static_cast<unsigned>(m_waiting.size()), countRunning(), m_queue.workMs };
+    return { static_cast<unsigned>(m_waitingJobs.size()), countRunning(), m_queue.workMs };
 }
 
 void TargetPool::setLimits(const PoolLimits& limits)
@@ -47,14 +47,14 @@
     return kind == RequestKind::Begin || kind == RequestKind::Continue;
 }
 
-static decisions::SchedulingParameters getTurn(const StatementRequest& request)
+static decisions::SchedulingParameters getScheduling(const StatementRequest& request)
 {
     return { request.kind == RequestKind::Continue, request.priority, request.objective, request.deadline };
 }
 
-decisions::QueueEntry TargetPool::makeEntry(const Job& job)
+decisions::QueueEntry TargetPool::makeQueueEntry(const Job& job)
 {
-    return { job.number, getTurn(job.request), { job.request.database, isInTransaction(job.request.kind) }, job.submittedAt };
+    return { job.number, getScheduling(job.request), { job.request.database, isInTransaction(job.request.kind) }, job.submittedAt };
 }
 
 void TargetPool::submit(StatementRequest request, RequestCallback done)
@@ -68,9 +68,9 @@
         finish(job, decisions::makeFailure(ErrorKind::TargetUnreachable, "no connection to the target could be opened"));
         return;
     }
-    job->number = ++m_lastNumber;
-    m_waiting[job->number] = job;
-    refuse(decisions::admit(m_queue, makeEntry(*job), now), "");
+    job->number = ++m_lastQueueNumber;
+    m_waitingJobs[job->number] = job;
+    refuseEntries(decisions::admit(m_queue, makeQueueEntry(*job), now), "");
     if (!m_isDispatching) {
         m_isDispatching = true;
         boost::asio::post(m_executor, [self = shared_from_this()] {
@@ -83,20 +83,20 @@
 // Past admission: it was admitted before.
 void TargetPool::enqueue(const JobPtr& job)
 {
-    job->number = ++m_lastNumber;
-    m_waiting[job->number] = job;
-    m_queue.entries.push_back(makeEntry(*job));
+    job->number = ++m_lastQueueNumber;
+    m_waitingJobs[job->number] = job;
+    m_queue.entries.push_back(makeQueueEntry(*job));
 }
 
 // Ends jobs that the queue has given up, all of them unsent.
-void TargetPool::refuse(const std::vector<decisions::QueueEntry>& entries, const std::string& reason)
+void TargetPool::refuseEntries(const std::vector<decisions::QueueEntry>& entries, const std::string& reason)
 {
     for (auto& it : entries) {
-        auto job = m_waiting.at(it.number);
-        m_waiting.erase(it.number);
+        auto job = m_waitingJobs.at(it.number);
+        m_waitingJobs.erase(it.number);
         auto wait = milliseconds(static_cast<int64_t>(decisions::getTotalWaitMs(m_queue)));
         auto retryAfter = decisions::jitterRetryAfter(std::max(wait, kMinRetryAfter), base::getRandom());
-        finish(job, decisions::makeFailure(ErrorKind::Overloaded, reason.empty() ? fmt::format("{} statements wait before it, {:.0f} ms each{}; come back in {} ms", m_waiting.size(), m_queue.workMs, m_queue.overload.isSustained ? ", for long" : "", retryAfter.count()) : reason));
+        finish(job, decisions::makeFailure(ErrorKind::Overloaded, reason.empty() ? fmt::format("{} statements wait before it, {:.0f} ms each{}; come back in {} ms", m_waitingJobs.size(), m_queue.workMs, m_queue.overload.isSustained ? ", for long" : "", retryAfter.count()) : reason));
     }
 }
 
@@ -105,20 +105,20 @@
 {
     auto& request = job.request;
     bool mayWrite = request.statement.isWrite || (request.kind == RequestKind::Begin && !request.isReadOnly) || request.statement.kind == StatementKind::Commit;
-    return mayWrite && now < m_holdUntil;
+    return mayWrite && now < m_writesHeldUntil;
 }
 
-static bool needsLeader(const StatementRequest& request)
+static bool needsPrimary(const StatementRequest& request)
 {
     bool isWrite = request.kind == RequestKind::Single && request.statement.isWrite;
     return isWrite || request.kind == RequestKind::PrimaryRead || (request.kind == RequestKind::Begin && !request.isReadOnly);
 }
 
 // Whether it could run if it had a connection.
-bool TargetPool::mayRun(const Job& job, TimePoint now) const
+bool TargetPool::canRunOnceConnected(const Job& job, TimePoint now) const
 {
     auto& request = job.request;
-    if (now < job.notBefore || isHeld(job, now) || (m_logComparison != LogComparison::NotNeeded && needsLeader(request)))
+    if (now < job.retryAt || isHeld(job, now) || (m_logComparison != LogComparison::NotNeeded && needsPrimary(request)))
         return false;
     auto held = m_transactions.size();
     return request.kind != RequestKind::Begin || held + std::min(kReservedConnections, m_limits.connections - 1) < m_limits.connections;
@@ -126,7 +126,7 @@
 
 bool TargetPool::isRunnable(const Job& job, TimePoint now) const
 {
-    if (!mayRun(job, now))
+    if (!canRunOnceConnected(job, now))
         return false;
     if (job.request.kind != RequestKind::Continue)
         return hasFree(job.request.account);
@@ -146,28 +146,28 @@
 
 TargetPool::JobPtr TargetPool::popNext(TimePoint now)
 {
-    auto next = decisions::popNextRunnable(m_queue, now, [&](const decisions::QueueEntry& it) { return isRunnable(*m_waiting.at(it.number), now); });
+    auto next = decisions::popNextRunnable(m_queue, now, [&](const decisions::QueueEntry& it) { return isRunnable(*m_waitingJobs.at(it.number), now); });
     if (!next)
         return nullptr;
-    auto job = m_waiting.at(next->number);
-    m_waiting.erase(next->number);
+    auto job = m_waitingJobs.at(next->number);
+    m_waitingJobs.erase(next->number);
     return job;
 }
 
 // Ends jobs that wait here, all of them unsent. A repetition leaves the answer to the job that it repeats.
-void TargetPool::giveBack(const std::function<bool(const Job&)>& mustGo, const decisions::Error& error)
+void TargetPool::failWaitingIf(const std::function<bool(const Job&)>& mustFail, const decisions::Error& error)
 {
-    std::vector<JobPtr> given;
+    std::vector<JobPtr> failed;
     std::erase_if(m_queue.entries, [&](const decisions::QueueEntry& it) {
-        auto job = m_waiting.at(it.number);
-        if (!mustGo(*job))
+        auto job = m_waitingJobs.at(it.number);
+        if (!mustFail(*job))
             return false;
-        given.push_back(job);
-        m_waiting.erase(it.number);
+        failed.push_back(job);
+        m_waitingJobs.erase(it.number);
         return true;
     });
-    for (auto& job : given) {
-        if (!job->isRepetition)
+    for (auto& job : failed) {
+        if (!job->isHedge)
             finish(job, decisions::makeFailure(error.kind, error.message));
     }
 }
@@ -177,29 +177,29 @@
     auto now = Clock::now();
     // The time of a target that leaves can end while operations wait for their turn: looked at where they are sent, not only where they are routed.
     if (!m_acceptsNewOperations)
-        giveBack([](const Job& it) { return it.request.kind != RequestKind::Continue; }, { ErrorKind::TargetUnreachable, "the member leaves and takes no new operations" });
+        failWaitingIf([](const Job& it) { return it.request.kind != RequestKind::Continue; }, { ErrorKind::TargetUnreachable, "the member leaves and takes no new operations" });
     // Nobody knows when the replicas will answer: callers are told at once, they may reach a host that knows more.
     if (m_logComparison == LogComparison::AnswersMissing)
-        giveBack([](const Job& it) { return needsLeader(it.request); }, { ErrorKind::NoPrimary, "the member may have lost its log, and its replicas do not answer" });
+        failWaitingIf([](const Job& it) { return needsPrimary(it.request); }, { ErrorKind::NoPrimary, "the member may have lost its log, and its replicas do not answer" });
     std::erase_if(m_queue.entries, [&](const decisions::QueueEntry& it) {
-        bool isDone = m_waiting.at(it.number)->isDone(); // repeated, and the first one was answered after all
+        bool isDone = m_waitingJobs.at(it.number)->isDone(); // repeated, and the first one was answered after all
         if (isDone)
-            m_waiting.erase(it.number);
+            m_waitingJobs.erase(it.number);
         return isDone;
     });
-    if (now < m_holdUntil)
+    if (now < m_writesHeldUntil)
         decisions::noteQueueHeld(m_queue, now);
-    while (!m_waiting.empty() && countRunning() < m_limits.running) {
+    while (!m_waitingJobs.empty() && countRunning() < m_limits.running) {
         auto job = popNext(now);
         if (!job)
             break;
-        if (!decisions::isWorthSending(getTurn(job->request), now, m_queue.workMs) && job->request.statement.kind != StatementKind::Commit) {
+        if (!decisions::isWorthSending(getScheduling(job->request), now, m_queue.workMs) && job->request.statement.kind != StatementKind::Commit) {
             finish(job, decisions::makeFailure(ErrorKind::Overloaded, "its turn came too late to be answered in time"));
             continue;
         }
         auto session = findSession(*job);
         if (session)
-            start(job, session);
+            startJob(job, session);
         else // its transaction lost its connection while it waited
             finish(job, decisions::makeFailure(ErrorKind::TransactionAborted, "the connection of the transaction was lost"));
     }
@@ -221,7 +221,7 @@
         return;
     }
     auto needed = countWaitingForConnection();
-    auto wanted = std::min<size_t>(needed, m_limits.running) + m_transactions.size() + m_running.size();
+    auto wanted = std::min<size_t>(needed, m_limits.running) + m_transactions.size() + m_runningJobs.size();
     auto most = std::min<size_t>(wanted, m_limits.connections);
     while (countFree() + m_opening < needed && m_sessions.size() + m_opening < most && m_opening < kMaxOpening && now >= m_noNewBefore)
         openSession({});
@@ -263,11 +263,11 @@
 std::vector<decisions::AccountDemand> TargetPool::getDemands(TimePoint now) const
 {
     auto entries = m_queue.entries;
-    std::erase_if(entries, [&](const decisions::QueueEntry& it) { return it.scheduling.isContinuation || !mayRun(*m_waiting.at(it.number), now); });
+    std::erase_if(entries, [&](const decisions::QueueEntry& it) { return it.scheduling.isContinuation || !canRunOnceConnected(*m_waitingJobs.at(it.number), now); });
     std::ranges::sort(entries, [&](const decisions::QueueEntry& a, const decisions::QueueEntry& b) { return decisions::isScheduledBefore(m_queue, a, b, now); });
     std::vector<decisions::AccountDemand> demands;
     for (auto& it : entries) {
-        std::string_view account = m_waiting.at(it.number)->request.account;
+        std::string_view account = m_waitingJobs.at(it.number)->request.account;
         auto known = std::ranges::find(demands, account, &decisions::AccountDemand::account);
         if (known != demands.end()) {
             ++known->waiting;
@@ -348,17 +348,17 @@
     dispatch();
 }
 
-void TargetPool::start(const JobPtr& job, const SessionPtr& session)
+void TargetPool::startJob(const JobPtr& job, const SessionPtr& session)
 {
     job->startedAt = Clock::now();
     base::observeHistogram(base::MetricFamily::QueueSeconds, { { "member", m_target.member } }, std::chrono::duration<double>(job->startedAt - job->submittedAt).count());
     bool isOwn = job->request.kind == RequestKind::Continue;
     base::checkInvariant(!session->isBusy && (session->transaction != 0) == isOwn, "a connection was given away that somebody else holds", m_target.member);
     session->isBusy = true;
-    m_running.emplace_back(job, session);
+    m_runningJobs.emplace_back(job, session);
     prepareSession(*job, session);
     if (job->request.kind == RequestKind::Begin || job->request.kind == RequestKind::PrimaryRead)
-        begin(job, session);
+        beginTransaction(job, session);
     else
         runStatement(job, session);
 }
@@ -385,7 +385,7 @@
     session->state = decisions::applyPlan(std::move(session->state), plan, request.shape);
 }
 
-void TargetPool::begin(const JobPtr& job, const SessionPtr& session)
+void TargetPool::beginTransaction(const JobPtr& job, const SessionPtr& session)
 {
     auto sentAt = Clock::now();
     bool isReadOnly = job->request.kind == RequestKind::Begin && job->request.isReadOnly;
@@ -398,7 +398,7 @@
         if (!outcome.error) {
             if (!isReadOnly && !self->applyPrimaryProof(outcome.position, sentAt, known)) {
                 self->closeTransaction(session);
-                self->endJob(job, session, decisions::makeFailure(ErrorKind::NotPrimary, "the member has lost what it held"));
+                self->completeJob(job, session, decisions::makeFailure(ErrorKind::NotPrimary, "the member has lost what it held"));
                 return;
             }
             if (job->isDone()) // it ran out of time meanwhile; its connection is gone
@@ -411,7 +411,7 @@
         refused.wasSent = false; // only the BEGIN was
         if (refused.error->kind == ErrorKind::OutcomeUnknown)
             refused.error->kind = ErrorKind::TargetUnreachable;
-        self->endJob(job, session, refused);
+        self->completeJob(job, session, refused);
     });
 }
 
@@ -428,13 +428,13 @@
         auto& request = job->request;
         bool isCommit = request.statement.kind == StatementKind::Commit;
         if (!outcome.error)
-            self->takeWorkTime(*job);
+            self->recordWorkTime(*job);
         // A write and its commit succeed at a target that leads only.
         if (!outcome.error && request.kind == RequestKind::Single && request.statement.isWrite)
             self->applyPrimaryProof(outcome.position, sentAt, known);
-        if (isCommit && !self->mayAskAgain(*job, session, outcome))
+        if (isCommit && !self->canRetryWhenBusy(*job, session, outcome))
             self->closeTransaction(session);
-        self->endJob(job, session, outcome);
+        self->completeJob(job, session, outcome);
     });
     if (request.kind == RequestKind::PrimaryRead)
         rollBack(session);
@@ -450,7 +450,7 @@
 }
 
 // What a statement took, and with it the operation that it belongs to.
-void TargetPool::takeWorkTime(const Job& job)
+void TargetPool::recordWorkTime(const Job& job)
 {
     std::chrono::duration<double, std::milli> took = Clock::now() - job.startedAt;
     m_queue.workMs = decisions::updateWorkTime(m_queue.workMs, took.count());
@@ -484,14 +484,14 @@
     return true;
 }
 
-void TargetPool::endJob(const JobPtr& job, const SessionPtr& session, const Outcome& outcome)
+void TargetPool::completeJob(const JobPtr& job, const SessionPtr& session, const Outcome& outcome)
 {
-    auto it = std::ranges::find(m_running, job, &std::pair<JobPtr, SessionPtr>::first);
-    if (it != m_running.end())
-        m_running.erase(it);
+    auto it = std::ranges::find(m_runningJobs, job, &std::pair<JobPtr, SessionPtr>::first);
+    if (it != m_runningJobs.end())
+        m_runningJobs.erase(it);
     if (session->isOpen()) {
         std::chrono::duration<double, std::milli> took = Clock::now() - job->startedAt;
-        m_answeredAt = Clock::now();
+        m_lastAnswerAt = Clock::now();
         base::observeHistogram(base::MetricFamily::TargetSeconds, { { "member", m_target.member } }, took.count() / 1000);
         m_observer.onAnswer(m_target);
         if (outcome.position.term != 0)
@@ -504,9 +504,9 @@
         if (!awaitsRollback)
             freeSession(session);
     }
-    if (mayAskAgain(*job, session, outcome)) {
-        ++job->timesBusy;
-        job->notBefore = Clock::now() + kBusyRetryDelay;
+    if (canRetryWhenBusy(*job, session, outcome)) {
+        ++job->busyCount;
+        job->retryAt = Clock::now() + kBusyRetryDelay;
         job->isStalled = false;
         enqueue(job);
     } else
@@ -515,11 +515,11 @@
 }
 
 // A target that was busy has run nothing. Inside a transaction there is no other one to ask, and giving up would waste what it did so far.
-bool TargetPool::mayAskAgain(const Job& job, const SessionPtr& session, const Outcome& outcome) const
+bool TargetPool::canRetryWhenBusy(const Job& job, const SessionPtr& session, const Outcome& outcome) const
 {
-    bool wasBusy = outcome.error && outcome.error->kind == ErrorKind::Overloaded && outcome.wasSent;
+    bool wasRefusedAsBusy = outcome.error && outcome.error->kind == ErrorKind::Overloaded && outcome.wasSent;
     bool isInTransaction = job.request.kind == RequestKind::Continue && session->isOpen() && session->getTargetState() == decisions::SessionState::InTransaction;
-    return wasBusy && isInTransaction && !job.isDone() && job.timesBusy < decisions::kMaxBusyAttempts && Clock::now() + kBusyRetryDelay < job.request.deadline;
+    return wasRefusedAsBusy && isInTransaction && !job.isDone() && job.busyCount < decisions::kMaxBusyAttempts && Clock::now() + kBusyRetryDelay < job.request.deadline;
 }
 
 // Only a connection on which no transaction is open may serve another caller: a statement that a target failed to run, be it our
@@ -567,10 +567,10 @@
     auto askedAt = session->getOldestPendingAt();
     // Its jobs end through their answers, or here if they had none yet.
     session->close();
-    auto running = m_running;
+    auto running = m_runningJobs;
     for (auto& [job, holder] : running) {
         if (holder == session)
-            endJob(job, session, decisions::makeFailure(ErrorKind::OutcomeUnknown, reason, true));
+            completeJob(job, session, decisions::makeFailure(ErrorKind::OutcomeUnknown, reason, true));
     }
     // Others that have answered since show that the target lives. If there are any, one of them is asked at once.
     bool isAlive = std::ranges::any_of(m_sessions, [&](const SessionPtr& it) { return it->getLastReceivedAt() > askedAt; });
@@ -583,8 +583,8 @@
 
 void TargetPool::failWaiting(const decisions::Error& error)
 {
-    auto waiting = std::move(m_waiting);
-    m_waiting.clear();
+    auto waiting = std::move(m_waitingJobs);
+    m_waitingJobs.clear();
     m_queue.entries.clear();
     for (auto& [number, job] : waiting)
         finish(job, decisions::makeFailure(error.kind, error.message));
@@ -600,7 +600,7 @@
 
 unsigned TargetPool::countRunning() const
 {
-    return static_cast<unsigned>(std::ranges::count_if(m_running, [](const auto& it) { return !it.first->isStalled; }));
+    return static_cast<unsigned>(std::ranges::count_if(m_runningJobs, [](const auto& it) { return !it.first->isStalled; }));
 }
 
 }
--- a/src/gateway/target_pool.h
+++ b/src/gateway/target_pool.h
@@ -104,7 +104,7 @@
     // The target is gone: closes everything; orders in flight end as unknown, waiting ones as unreachable.
     void shutDown(const std::string& reason);
     // Statements that write wait until then: a planned change of primary is under way.
-    void holdWrites(TimePoint until) { m_holdUntil = until; }
+    void holdWrites(TimePoint until) { m_writesHeldUntil = until; }
 
     const TargetAddress& getTarget() const { return m_target; }
     PoolLoad getLoad() const;
@@ -117,10 +117,10 @@
         std::shared_ptr<RequestCallback> done; // shared with the job that repeats it; empty inside once it was called
         TimePoint submittedAt;
         TimePoint startedAt {};
-        TimePoint notBefore {}; // the target was busy: it is asked again then
-        unsigned timesBusy { 0 };
+        TimePoint retryAt {}; // the target was busy: it is asked again then
+        unsigned busyCount { 0 };
         uint64_t number { 0 }; // in the queue
-        bool isRepetition { false }; // of a job whose answer may yet come
+        bool isHedge { false }; // of a job whose answer may yet come
         bool isStalled { false }; // its answer seems to be lost: it takes no place among those at the target any more
         bool isDone() const { return !*done; }
     };
@@ -132,16 +132,16 @@
         double spentMs { 0 }; // of a place at the target so far
     };
 
-    static decisions::QueueEntry makeEntry(const Job& job);
+    static decisions::QueueEntry makeQueueEntry(const Job& job);
     void enqueue(const JobPtr& job);
-    void refuse(const std::vector<decisions::QueueEntry>& entries, const std::string& reason);
+    void refuseEntries(const std::vector<decisions::QueueEntry>& entries, const std::string& reason);
     size_t countWaitingForConnection() const;
     bool isHeld(const Job& job, TimePoint now) const;
-    void giveBack(const std::function<bool(const Job&)>& mustGo, const decisions::Error& error);
+    void failWaitingIf(const std::function<bool(const Job&)>& mustFail, const decisions::Error& error);
     void dispatch();
     void openSessions(TimePoint now);
     JobPtr popNext(TimePoint now);
-    bool mayRun(const Job& job, TimePoint now) const;
+    bool canRunOnceConnected(const Job& job, TimePoint now) const;
     bool isRunnable(const Job& job, TimePoint now) const;
     bool hasFree(const std::string& account) const;
     SessionPtr findSession(const Job& job) const;
@@ -152,18 +152,18 @@
     std::vector<decisions::PooledConnection> getHeld() const;
     void openSession(const std::string& account);
     void takeOpened(const SessionPtr& session, const Outcome& outcome, const Mark& known);
-    void start(const JobPtr& job, const SessionPtr& session);
+    void startJob(const JobPtr& job, const SessionPtr& session);
     void prepareSession(const Job& job, const SessionPtr& session);
-    void begin(const JobPtr& job, const SessionPtr& session);
+    void beginTransaction(const JobPtr& job, const SessionPtr& session);
     void rollBack(const SessionPtr& session);
     void runStatement(const JobPtr& job, const SessionPtr& session);
-    bool mayAskAgain(const Job& job, const SessionPtr& session, const Outcome& outcome) const;
-    void endJob(const JobPtr& job, const SessionPtr& session, const Outcome& outcome);
+    bool canRetryWhenBusy(const Job& job, const SessionPtr& session, const Outcome& outcome) const;
+    void completeJob(const JobPtr& job, const SessionPtr& session, const Outcome& outcome);
     void finish(const JobPtr& job, Outcome outcome);
     void failWaiting(const decisions::Error& error);
     void freeSession(const SessionPtr& session);
     bool applyPrimaryProof(const Mark& position, TimePoint sentAt, const Mark& known);
-    void takeWorkTime(const Job& job);
+    void recordWorkTime(const Job& job);
     void closeTransaction(const SessionPtr& session);
     // `isTrouble`: an answer that is missing counts against the target.
     void dropSession(const SessionPtr& session, const std::string& reason, bool isTrouble = true);
@@ -174,11 +174,11 @@
     SessionPtr findQuiet() const;
     void closeUnused(TimePoint now);
     unsigned countRunning() const;
-    void findStalled(TimePoint now);
+    void markStalledJobs(TimePoint now);
     milliseconds getStallTimeout() const;
-    void freeStalled(TimePoint now);
-    void endOverdue(TimePoint now);
-    void endSilent(TimePoint now);
+    void closeStalledSession(TimePoint now);
+    void failOverdueJobs(TimePoint now);
+    void closeSilentSessions(TimePoint now);
 
     boost::asio::any_io_executor m_executor;
     const links::StatementCodec& m_codec;
@@ -187,9 +187,9 @@
     PoolObserver m_observer;
     PoolLimits m_limits;
     decisions::MemberQueue m_queue;
-    std::unordered_map<uint64_t, JobPtr> m_waiting; // by number in the queue
-    uint64_t m_lastNumber { 0 };
-    std::vector<std::pair<JobPtr, SessionPtr>> m_running;
+    std::unordered_map<uint64_t, JobPtr> m_waitingJobs; // by number in the queue
+    uint64_t m_lastQueueNumber { 0 };
+    std::vector<std::pair<JobPtr, SessionPtr>> m_runningJobs;
     std::vector<SessionPtr> m_sessions; // open
     unsigned m_opening { 0 };
     std::map<std::string, unsigned> m_openingFor; // the same by account
@@ -199,11 +199,11 @@
     TimePoint m_noNewBefore {}; // no connection is opened before this
     bool m_isSuspect { false }; // the last attempt to open one failed
     TimePoint m_primaryProvenAt {};
-    TimePoint m_holdUntil {};
+    TimePoint m_writesHeldUntil {};
     milliseconds m_proofInterval { 0 };
     milliseconds m_positionInterval { 0 };
     TimePoint m_positionAskedAt {};
-    TimePoint m_answeredAt {}; // the last answer to a statement or a proof
+    TimePoint m_lastAnswerAt {}; // the last answer to a statement or a proof
     bool m_isDispatching { false };
     bool m_isForwarder { true };
     bool m_acceptsNewOperations { true };
--- a/src/gateway/target_pool_upkeep.cpp
+++ b/src/gateway/target_pool_upkeep.cpp
@@ -17,10 +17,10 @@
 
 void TargetPool::sweep(TimePoint now)
 {
-    findStalled(now);
-    freeStalled(now);
-    endOverdue(now);
-    endSilent(now);
+    markStalledJobs(now);
+    closeStalledSession(now);
+    failOverdueJobs(now);
+    closeSilentSessions(now);
     provePrimary(now);
     askPosition(now);
     keepAlive(now);
@@ -36,16 +36,16 @@
 // A few hung statements can hold all connections. While others wait for one, the statement that has hung longest gives its connection up,
 // if that leaves nothing behind at the target: it is run anew, or its transaction, which is rolled back there, is reported as ended.
 // One at each sweep: the next may be answered meanwhile. Without any answer since, twice the time must pass.
-void TargetPool::freeStalled(TimePoint now)
+void TargetPool::closeStalledSession(TimePoint now)
 {
     bool isScarce = countFree() == 0 && m_sessions.size() + m_opening >= m_limits.connections;
     if (!isScarce || countWaitingForConnection() == 0)
         return;
-    for (auto& [job, session] : m_running) { // in the order in which they were started
+    for (auto& [job, session] : m_runningJobs) { // in the order in which they were started
         auto& request = job->request;
-        bool leavesNothing = request.statement.kind != StatementKind::Commit && (!request.statement.isWrite || request.kind == RequestKind::Begin || request.kind == RequestKind::Continue);
-        bool hasHung = job->isStalled || now - job->startedAt > 2 * getStallTimeout();
-        if (!leavesNothing || !hasHung)
+        bool isSafeToAbandon = request.statement.kind != StatementKind::Commit && (!request.statement.isWrite || request.kind == RequestKind::Begin || request.kind == RequestKind::Continue);
+        bool isOverdue = job->isStalled || now - job->startedAt > 2 * getStallTimeout();
+        if (!isSafeToAbandon || !isOverdue)
             continue;
         dropSession(SessionPtr(session), "its answer seems to be lost and others wait for a connection", false);
         return;
@@ -55,34 +55,34 @@
 // A statement that takes several times as long as usual, while later ones were answered, has probably lost its answer. It gives up its
 // place, or a few of these would stop all others until their time is over. A read is run once more; whichever answer comes first counts.
 // Nothing is ended for it: a slow answer is delivered as well.
-void TargetPool::findStalled(TimePoint now)
+void TargetPool::markStalledJobs(TimePoint now)
 {
     auto limit = getStallTimeout();
-    auto running = m_running;
+    auto running = m_runningJobs;
     for (auto& [job, session] : running) {
         if (job->isStalled && job->isDone()) { // its repetition was answered
             dropSession(session, "the answer is no longer waited for");
             continue;
         }
-        if (job->isStalled || now - job->startedAt < limit || m_answeredAt < job->startedAt + limit / 2)
+        if (job->isStalled || now - job->startedAt < limit || m_lastAnswerAt < job->startedAt + limit / 2)
             continue;
         job->isStalled = true;
         auto& request = job->request;
-        bool mayRepeat = !request.statement.isWrite && (request.kind == RequestKind::Single || request.kind == RequestKind::PrimaryRead);
-        bool isBusy = m_waiting.size() >= m_limits.running; // a repetition would take a turn from somebody who has had none
-        if (!mayRepeat || isBusy)
+        bool canHedge = !request.statement.isWrite && (request.kind == RequestKind::Single || request.kind == RequestKind::PrimaryRead);
+        bool isBusy = m_waitingJobs.size() >= m_limits.running; // a repetition would take a turn from somebody who has had none
+        if (!canHedge || isBusy)
             continue;
-        auto again = std::make_shared<Job>(*job);
-        again->isStalled = false;
-        again->isRepetition = true;
-        enqueue(again);
+        auto hedge = std::make_shared<Job>(*job);
+        hedge->isStalled = false;
+        hedge->isHedge = true;
+        enqueue(hedge);
     }
 }
 
-void TargetPool::endOverdue(TimePoint now)
+void TargetPool::failOverdueJobs(TimePoint now)
 {
-    refuse(decisions::removeExpired(m_queue, now), "no turn came in time");
-    auto running = m_running;
+    refuseEntries(decisions::removeExpired(m_queue, now), "no turn came in time");
+    auto running = m_runningJobs;
     for (auto& [job, session] : running) {
         if (now < job->request.deadline)
             continue;
@@ -99,11 +99,11 @@
 }
 
 // Questions of our own need no work at the target: silence means that the connection is dead.
-void TargetPool::endSilent(TimePoint now)
+void TargetPool::closeSilentSessions(TimePoint now)
 {
     auto sessions = m_sessions;
     for (auto& it : sessions) {
-        bool hasJob = std::ranges::any_of(m_running, [&](const auto& running) { return running.second == it; });
+        bool hasJob = std::ranges::any_of(m_runningJobs, [&](const auto& running) { return running.second == it; });
         if (!hasJob && it->countPending() > 0 && now - it->getOldestPendingAt() > kSilenceTimeout)
             dropSession(it, "the target is silent");
     }
@@ -136,7 +136,7 @@
             self->freeSession(session);
             return;
         }
-        self->m_answeredAt = Clock::now();
+        self->m_lastAnswerAt = Clock::now();
         self->applyPrimaryProof(outcome.position, now, known);
         self->m_observer.onAnswer(self->m_target);
         self->rollBack(session);
