--- a/src/gateway/target_pool.cpp
+++ b/src/gateway/target_pool.cpp
@@ -22,11 +22,11 @@
 static constexpr unsigned kMaxOpening = 2; // connections at a time; each takes a slot of the target for a while
 static constexpr milliseconds kMinRetryAfter { 300 }; // told to callers that were refused; less would bring them back into the same queue
 
-TargetPool::TargetPool(boost::asio::any_io_executor executor, const links::StatementCodec& codec, TargetAddress target, std::string from, PoolObserver observer)
+TargetPool::TargetPool(boost::asio::any_io_executor executor, const links::StatementCodec& codec, TargetAddress target, std::string hostName, PoolObserver observer)
     : m_executor(std::move(executor))
     , m_codec(codec)
     , m_target(std::move(target))
-    , m_from(std::move(from))
+    , m_hostName(std::move(hostName))
     , m_observer(std::move(observer))
 {
 }
@@ -39,7 +39,7 @@
 void TargetPool::setLimits(const PoolLimits& limits)
 {
     m_limits = limits;
-    m_queue.concurrency = limits.running;
+    m_queue.concurrency = limits.concurrency;
 }
 
 static bool isInTransaction(RequestKind kind)
@@ -60,10 +60,10 @@
 void TargetPool::submit(StatementRequest request, RequestCallback done)
 {
     auto now = Clock::now();
-    m_lastAccount = request.account;
+    m_lastRequestAccount = request.account;
     auto job = std::make_shared<Job>(Job { std::move(request), std::make_shared<RequestCallback>(std::move(done)), now });
-    if (m_isSuspect && m_sessions.empty()) { // the next attempt takes as long as the last: nobody waits for it
-        if (m_opening == 0 && now >= m_noNewBefore)
+    if (m_hasOpenFailed && m_sessions.empty()) { // the next attempt takes as long as the last: nobody waits for it
+        if (m_openingCount == 0 && now >= m_nextOpeningAt)
             openSession(job->request.account);
         finish(job, decisions::makeFailure(ErrorKind::TargetUnreachable, "no connection to the target could be opened"));
         return;
@@ -121,7 +121,7 @@
     if (now < job.retryAt || isHeld(job, now) || (m_logComparison != LogComparison::NotNeeded && needsPrimary(request)))
         return false;
     auto held = m_transactions.size();
-    return request.kind != RequestKind::Begin || held + std::min(kReservedConnections, m_limits.connections - 1) < m_limits.connections;
+    return request.kind != RequestKind::Begin || held + std::min(kReservedConnections, m_limits.maxConnections - 1) < m_limits.maxConnections;
 }
 
 bool TargetPool::isRunnable(const Job& job, TimePoint now) const
@@ -129,17 +129,17 @@
     if (!canRunOnceConnected(job, now))
         return false;
     if (job.request.kind != RequestKind::Continue)
-        return hasFree(job.request.account);
+        return hasIdleSession(job.request.account);
     auto it = m_transactions.find(job.request.transaction);
     return it == m_transactions.end() || !it->second.session->isBusy;
 }
 
-bool TargetPool::hasFree(const std::string& account) const
+bool TargetPool::hasIdleSession(const std::string& account) const
 {
     return std::ranges::any_of(m_sessions, [&](const SessionPtr& it) { return it->isIdle() && it->account == account; });
 }
 
-unsigned TargetPool::countFree() const
+unsigned TargetPool::countIdleSessions() const
 {
     return static_cast<unsigned>(std::ranges::count_if(m_sessions, [](const SessionPtr& it) { return it->isIdle(); }));
 }
@@ -189,7 +189,7 @@
     });
     if (now < m_writesHeldUntil)
         decisions::noteQueueHeld(m_queue, now);
-    while (!m_waitingJobs.empty() && countRunning() < m_limits.running) {
+    while (!m_waitingJobs.empty() && countRunning() < m_limits.concurrency) {
         auto job = popNext(now);
         if (!job)
             break;
@@ -216,33 +216,33 @@
 {
     if (m_logComparison != LogComparison::NotNeeded) // the first position that a connection tells is compared with what is known then
         return;
-    if (m_limits.isByAccount) {
-        openByAccount(now);
+    if (m_limits.isPerAccount) {
+        openSessionsByAccount(now);
         return;
     }
     auto needed = countWaitingForConnection();
-    auto wanted = std::min<size_t>(needed, m_limits.running) + m_transactions.size() + m_runningJobs.size();
-    auto most = std::min<size_t>(wanted, m_limits.connections);
-    while (countFree() + m_opening < needed && m_sessions.size() + m_opening < most && m_opening < kMaxOpening && now >= m_noNewBefore)
+    auto wanted = std::min<size_t>(needed, m_limits.concurrency) + m_transactions.size() + m_runningJobs.size();
+    auto maxWanted = std::min<size_t>(wanted, m_limits.maxConnections);
+    while (countIdleSessions() + m_openingCount < needed && m_sessions.size() + m_openingCount < maxWanted && m_openingCount < kMaxOpening && now >= m_nextOpeningAt)
         openSession({});
 }
 
-void TargetPool::openByAccount(TimePoint now)
+void TargetPool::openSessionsByAccount(TimePoint now)
 {
     // A connection on its way holds a slot of the target: half of them are left to statements.
-    auto maxOpening = std::max(1U, (m_limits.running - 1) / 2);
-    while (m_opening < maxOpening && now >= m_noNewBefore) {
-        auto step = decisions::planOpening(getHeld(), getDemands(now), { m_limits.connections, m_opening, maxOpening }, now);
+    auto maxOpening = std::max(1U, (m_limits.concurrency - 1) / 2);
+    while (m_openingCount < maxOpening && now >= m_nextOpeningAt) {
+        auto step = decisions::planOpening(getPooledConnections(), getDemands(now), { m_limits.maxConnections, m_openingCount, maxOpening }, now);
         if (!step)
             return;
         if (step->evicted)
-            giveUp(m_sessions[*step->evicted]);
+            evictSession(m_sessions[*step->evicted]);
         openSession(step->account);
     }
 }
 
 // Nothing runs on it.
-void TargetPool::giveUp(const SessionPtr& session)
+void TargetPool::evictSession(const SessionPtr& session)
 {
     base::incrementCounter(base::MetricFamily::ConnectionsClosed, { { "member", m_target.member } });
     base::incrementCounter(base::MetricFamily::ConnectionsGivenUp, { { "member", m_target.member } });
@@ -250,7 +250,7 @@
     std::erase(m_sessions, SessionPtr(session));
 }
 
-std::vector<decisions::PooledConnection> TargetPool::getHeld() const
+std::vector<decisions::PooledConnection> TargetPool::getPooledConnections() const
 {
     std::vector<decisions::PooledConnection> held;
     for (auto& it : m_sessions) {
@@ -273,8 +273,8 @@
             ++known->waiting;
             continue;
         }
-        auto opening = m_openingFor.find(std::string(account));
-        demands.push_back({ account, 1, opening == m_openingFor.end() ? 0 : opening->second });
+        auto opening = m_openingByAccount.find(std::string(account));
+        demands.push_back({ account, 1, opening == m_openingByAccount.end() ? 0 : opening->second });
     }
     return demands;
 }
@@ -302,30 +302,30 @@
 
 void TargetPool::openSession(const std::string& account)
 {
-    ++m_opening;
-    ++m_openingFor[account];
+    ++m_openingCount;
+    ++m_openingByAccount[account];
     auto session = std::make_shared<TargetSession>(m_executor, m_codec);
     session->account = account;
     auto self = shared_from_this();
     std::weak_ptr<TargetSession> weak = session;
-    auto onOpen = [self, session, known = m_observer.getKnownMark(m_target)](const Outcome& outcome) { self->takeOpened(session, outcome, known); };
+    auto onOpen = [self, session, known = m_observer.getKnownMark(m_target)](const Outcome& outcome) { self->handleOpened(session, outcome, known); };
     auto onClosed = [self, weak](const std::string& reason) {
         if (auto session = weak.lock())
             self->dropSession(session, reason);
     };
-    session->open(m_target, account.empty() ? m_from : account, kConnectTimeout, onOpen, onClosed);
+    session->open(m_target, account.empty() ? m_hostName : account, kConnectTimeout, onOpen, onClosed);
 }
 
-void TargetPool::takeOpened(const SessionPtr& session, const Outcome& outcome, const Mark& known)
+void TargetPool::handleOpened(const SessionPtr& session, const Outcome& outcome, const Mark& known)
 {
-    --m_opening;
-    if (--m_openingFor[session->account] == 0)
-        m_openingFor.erase(session->account);
+    --m_openingCount;
+    if (--m_openingByAccount[session->account] == 0)
+        m_openingByAccount.erase(session->account);
     base::incrementCounter(base::MetricFamily::ConnectionsOpened, { { "member", m_target.member }, { "result", outcome.error ? decisions::getErrorRow(outcome.error->kind).name : "opened" } });
-    m_isSuspect = outcome.error.has_value();
+    m_hasOpenFailed = outcome.error.has_value();
     if (outcome.error) {
         bool isRefused = outcome.error->kind == ErrorKind::TooManyConnections;
-        m_noNewBefore = Clock::now() + (isRefused ? kConnectionRefusedBackoff : kConnectFailureBackoff);
+        m_nextOpeningAt = Clock::now() + (isRefused ? kConnectionRefusedBackoff : kConnectFailureBackoff);
         if (isRefused)
             m_observer.onConnectionRefused(m_target, m_sessions.size(), outcome.error->message);
         else
@@ -397,7 +397,7 @@
     session->sendStatement(m_codec.formatBegin(isReadOnly, job->request.atLeast), [self = shared_from_this(), job, session, sentAt, isReadOnly, known](const Outcome& outcome) {
         if (!outcome.error) {
             if (!isReadOnly && !self->applyPrimaryProof(outcome.position, sentAt, known)) {
-                self->closeTransaction(session);
+                self->detachTransaction(session);
                 self->completeJob(job, session, decisions::makeFailure(ErrorKind::NotPrimary, "the member has lost what it held"));
                 return;
             }
@@ -406,7 +406,7 @@
             self->runStatement(job, session);
             return;
         }
-        self->closeTransaction(session);
+        self->detachTransaction(session);
         auto refused = outcome;
         refused.wasSent = false; // only the BEGIN was
         if (refused.error->kind == ErrorKind::OutcomeUnknown)
@@ -433,7 +433,7 @@
         if (!outcome.error && request.kind == RequestKind::Single && request.statement.isWrite)
             self->applyPrimaryProof(outcome.position, sentAt, known);
         if (isCommit && !self->canRetryWhenBusy(*job, session, outcome))
-            self->closeTransaction(session);
+            self->detachTransaction(session);
         self->completeJob(job, session, outcome);
     });
     if (request.kind == RequestKind::PrimaryRead)
@@ -444,7 +444,7 @@
 void TargetPool::rollBack(const SessionPtr& session)
 {
     session->sendStatement(m_codec.formatRollback(), [self = shared_from_this(), session](const Outcome&) {
-        self->freeSession(session);
+        self->releaseSession(session);
         self->dispatch();
     });
 }
@@ -457,18 +457,18 @@
     if (!isInTransaction(job.request.kind))
         decisions::recordOperationCost(m_queue.costs, { job.request.database, false }, took.count());
     else if (auto it = m_transactions.find(job.request.transaction); it != m_transactions.end())
-        it->second.spentMs += took.count();
+        it->second.slotMs += took.count();
 }
 
 // The transaction holds its connection no longer, however it ended.
-void TargetPool::closeTransaction(const SessionPtr& session)
+void TargetPool::detachTransaction(const SessionPtr& session)
 {
     auto it = m_transactions.find(session->transaction);
     session->transaction = 0;
     if (it == m_transactions.end())
         return;
-    if (it->second.spentMs > 0)
-        decisions::recordOperationCost(m_queue.costs, it->second.kind, it->second.spentMs);
+    if (it->second.slotMs > 0)
+        decisions::recordOperationCost(m_queue.costs, it->second.kind, it->second.slotMs);
     m_transactions.erase(it);
 }
 
@@ -502,7 +502,7 @@
         ++session->servedJobs;
         bool awaitsRollback = session->countPending() > 0;
         if (!awaitsRollback)
-            freeSession(session);
+            releaseSession(session);
     }
     if (canRetryWhenBusy(*job, session, outcome)) {
         ++job->busyCount;
@@ -524,7 +524,7 @@
 
 // Only a connection on which no transaction is open may serve another caller: a statement that a target failed to run, be it our
 // own ROLLBACK, can leave one behind.
-void TargetPool::freeSession(const SessionPtr& session)
+void TargetPool::releaseSession(const SessionPtr& session)
 {
     session->isBusy = false;
     if (session->isOpen() && session->transaction == 0 && session->getTargetState() != decisions::SessionState::Idle)
@@ -546,7 +546,7 @@
     if (it == m_transactions.end())
         return;
     auto session = it->second.session;
-    closeTransaction(session);
+    detachTransaction(session);
     if (session->isBusy) { // a statement is at the target: only closing ends it
         dropSession(session, "its transaction was given up");
         return;
@@ -562,7 +562,7 @@
         return;
     m_sessions.erase(it);
     base::incrementCounter(base::MetricFamily::ConnectionsClosed, { { "member", m_target.member } });
-    closeTransaction(session);
+    detachTransaction(session);
     bool wasAsked = session->countPending() > 0;
     auto askedAt = session->getOldestPendingAt();
     // Its jobs end through their answers, or here if they had none yet.
--- a/src/gateway/target_pool.h
+++ b/src/gateway/target_pool.h
@@ -65,9 +65,9 @@
 };
 
 struct PoolLimits {
-    unsigned connections { 4 }; // open at a time
-    unsigned running { 3 }; // statements at the target at a time
-    bool isByAccount { false }; // a connection serves one client account, and what has none is one of them; else any session
+    unsigned maxConnections { 4 }; // open at a time
+    unsigned concurrency { 3 }; // statements at the target at a time
+    bool isPerAccount { false }; // a connection serves one client account, and what has none is one of them; else any session
 };
 
 struct PoolLoad {
@@ -79,7 +79,7 @@
 
 class TargetPool : public std::enable_shared_from_this<TargetPool> {
 public:
-    TargetPool(boost::asio::any_io_executor executor, const links::StatementCodec& codec, TargetAddress target, std::string from, PoolObserver observer);
+    TargetPool(boost::asio::any_io_executor executor, const links::StatementCodec& codec, TargetAddress target, std::string hostName, PoolObserver observer);
 
     void setLimits(const PoolLimits& limits);
     uint64_t takeTransactionNumber() { return ++m_lastTransaction; }
@@ -129,7 +129,7 @@
     struct OpenTransaction {
         SessionPtr session;
         decisions::OperationKind kind;
-        double spentMs { 0 }; // of a place at the target so far
+        double slotMs { 0 }; // of a place at the target so far
     };
 
     static decisions::QueueEntry makeQueueEntry(const Job& job);
@@ -143,15 +143,15 @@
     JobPtr popNext(TimePoint now);
     bool canRunOnceConnected(const Job& job, TimePoint now) const;
     bool isRunnable(const Job& job, TimePoint now) const;
-    bool hasFree(const std::string& account) const;
+    bool hasIdleSession(const std::string& account) const;
     SessionPtr findSession(const Job& job) const;
-    unsigned countFree() const;
-    void openByAccount(TimePoint now);
-    void giveUp(const SessionPtr& session);
+    unsigned countIdleSessions() const;
+    void openSessionsByAccount(TimePoint now);
+    void evictSession(const SessionPtr& session);
     std::vector<decisions::AccountDemand> getDemands(TimePoint now) const;
-    std::vector<decisions::PooledConnection> getHeld() const;
+    std::vector<decisions::PooledConnection> getPooledConnections() const;
     void openSession(const std::string& account);
-    void takeOpened(const SessionPtr& session, const Outcome& outcome, const Mark& known);
+    void handleOpened(const SessionPtr& session, const Outcome& outcome, const Mark& known);
     void startJob(const JobPtr& job, const SessionPtr& session);
     void prepareSession(const Job& job, const SessionPtr& session);
     void beginTransaction(const JobPtr& job, const SessionPtr& session);
@@ -161,18 +161,18 @@
     void completeJob(const JobPtr& job, const SessionPtr& session, const Outcome& outcome);
     void finish(const JobPtr& job, Outcome outcome);
     void failWaiting(const decisions::Error& error);
-    void freeSession(const SessionPtr& session);
+    void releaseSession(const SessionPtr& session);
     bool applyPrimaryProof(const Mark& position, TimePoint sentAt, const Mark& known);
     void recordWorkTime(const Job& job);
-    void closeTransaction(const SessionPtr& session);
+    void detachTransaction(const SessionPtr& session);
     // `isTrouble`: an answer that is missing counts against the target.
     void dropSession(const SessionPtr& session, const std::string& reason, bool isTrouble = true);
     void provePrimary(TimePoint now);
-    void keepAlive(TimePoint now);
-    void askPosition(TimePoint now);
-    void askNothing(const SessionPtr& session);
-    SessionPtr findQuiet() const;
-    void closeUnused(TimePoint now);
+    void sendKeepAlives(TimePoint now);
+    void queryPosition(TimePoint now);
+    void sendEmptyTransaction(const SessionPtr& session);
+    SessionPtr findIdleSession() const;
+    void closeUnusedSessions(TimePoint now);
     unsigned countRunning() const;
     void markStalledJobs(TimePoint now);
     milliseconds getStallTimeout() const;
@@ -183,7 +183,7 @@
     boost::asio::any_io_executor m_executor;
     const links::StatementCodec& m_codec;
     TargetAddress m_target;
-    std::string m_from;
+    std::string m_hostName;
     PoolObserver m_observer;
     PoolLimits m_limits;
     decisions::MemberQueue m_queue;
@@ -191,18 +191,18 @@
     uint64_t m_lastQueueNumber { 0 };
     std::vector<std::pair<JobPtr, SessionPtr>> m_runningJobs;
     std::vector<SessionPtr> m_sessions; // open
-    unsigned m_opening { 0 };
-    std::map<std::string, unsigned> m_openingFor; // the same by account
-    std::string m_lastAccount {}; // that ordered something
+    unsigned m_openingCount { 0 };
+    std::map<std::string, unsigned> m_openingByAccount; // the same by account
+    std::string m_lastRequestAccount {}; // that ordered something
     std::unordered_map<uint64_t, OpenTransaction> m_transactions;
     uint64_t m_lastTransaction { 0 };
-    TimePoint m_noNewBefore {}; // no connection is opened before this
-    bool m_isSuspect { false }; // the last attempt to open one failed
+    TimePoint m_nextOpeningAt {}; // no connection is opened before this
+    bool m_hasOpenFailed { false }; // the last attempt to open one failed
     TimePoint m_primaryProvenAt {};
     TimePoint m_writesHeldUntil {};
     milliseconds m_proofInterval { 0 };
     milliseconds m_positionInterval { 0 };
-    TimePoint m_positionAskedAt {};
+    TimePoint m_positionQueriedAt {};
     TimePoint m_lastAnswerAt {}; // the last answer to a statement or a proof
     bool m_isDispatching { false };
     bool m_isForwarder { true };
--- a/src/gateway/target_pool_upkeep.cpp
+++ b/src/gateway/target_pool_upkeep.cpp
@@ -22,9 +22,9 @@
     failOverdueJobs(now);
     closeSilentSessions(now);
     provePrimary(now);
-    askPosition(now);
-    keepAlive(now);
-    closeUnused(now);
+    queryPosition(now);
+    sendKeepAlives(now);
+    closeUnusedSessions(now);
     dispatch();
 }
 
@@ -38,7 +38,7 @@
 // One at each sweep: the next may be answered meanwhile. Without any answer since, twice the time must pass.
 void TargetPool::closeStalledSession(TimePoint now)
 {
-    bool isScarce = countFree() == 0 && m_sessions.size() + m_opening >= m_limits.connections;
+    bool isScarce = countIdleSessions() == 0 && m_sessions.size() + m_openingCount >= m_limits.maxConnections;
     if (!isScarce || countWaitingForConnection() == 0)
         return;
     for (auto& [job, session] : m_runningJobs) { // in the order in which they were started
@@ -69,7 +69,7 @@
         job->isStalled = true;
         auto& request = job->request;
         bool canHedge = !request.statement.isWrite && (request.kind == RequestKind::Single || request.kind == RequestKind::PrimaryRead);
-        bool isBusy = m_waitingJobs.size() >= m_limits.running; // a repetition would take a turn from somebody who has had none
+        bool isBusy = m_waitingJobs.size() >= m_limits.concurrency; // a repetition would take a turn from somebody who has had none
         if (!canHedge || isBusy)
             continue;
         auto hedge = std::make_shared<Job>(*job);
@@ -110,7 +110,7 @@
 }
 
 // A connection on which nothing is under way.
-TargetPool::SessionPtr TargetPool::findQuiet() const
+TargetPool::SessionPtr TargetPool::findIdleSession() const
 {
     auto it = std::ranges::find_if(m_sessions, [](const SessionPtr& it) { return it->isIdle() && it->countPending() == 0; });
     return it == m_sessions.end() ? nullptr : *it;
@@ -120,10 +120,10 @@
 {
     if (m_logComparison != LogComparison::NotNeeded || m_proofInterval.count() == 0 || now - m_primaryProvenAt < m_proofInterval)
         return;
-    auto session = findQuiet();
+    auto session = findIdleSession();
     if (!session) {
-        if (m_sessions.empty() && m_opening == 0 && now >= m_noNewBefore)
-            openSession(m_lastAccount);
+        if (m_sessions.empty() && m_openingCount == 0 && now >= m_nextOpeningAt)
+            openSession(m_lastRequestAccount);
         return;
     }
     m_primaryProvenAt = now; // the next question is due an interval after this one, whatever its answer
@@ -133,7 +133,7 @@
         if (outcome.error && outcome.error->kind == ErrorKind::NotPrimary)
             self->m_observer.onReplicaReported(self->m_target);
         if (outcome.error) {
-            self->freeSession(session);
+            self->releaseSession(session);
             return;
         }
         self->m_lastAnswerAt = Clock::now();
@@ -143,43 +143,43 @@
     });
 }
 
-void TargetPool::keepAlive(TimePoint now)
+void TargetPool::sendKeepAlives(TimePoint now)
 {
     for (auto& it : m_sessions) {
         if (it->isBusy || it->transaction != 0 || it->countPending() > 0 || now - it->getLastReceivedAt() < kKeepAliveInterval)
             continue;
-        askNothing(it);
+        sendEmptyTransaction(it);
     }
 }
 
 // An empty transaction: its answer tells the position, and it takes no slot of the target.
-void TargetPool::askNothing(const SessionPtr& session)
+void TargetPool::sendEmptyTransaction(const SessionPtr& session)
 {
     session->isBusy = true;
     session->sendStatement(m_codec.formatBegin(true, {}), [](const Outcome&) {});
     session->sendStatement(m_codec.formatRollback(), [self = shared_from_this(), session](const Outcome& outcome) {
         if (outcome.position.term != 0)
             self->m_observer.onPosition(self->m_target, outcome.position);
-        self->freeSession(session);
+        self->releaseSession(session);
         self->dispatch();
     });
 }
 
-void TargetPool::askPosition(TimePoint now)
+void TargetPool::queryPosition(TimePoint now)
 {
-    if (m_positionInterval.count() == 0 || now - m_positionAskedAt < m_positionInterval)
+    if (m_positionInterval.count() == 0 || now - m_positionQueriedAt < m_positionInterval)
         return;
-    auto session = findQuiet();
+    auto session = findIdleSession();
     if (!session) {
-        if (m_sessions.empty() && m_opening == 0 && now >= m_noNewBefore)
-            openSession(m_lastAccount);
+        if (m_sessions.empty() && m_openingCount == 0 && now >= m_nextOpeningAt)
+            openSession(m_lastRequestAccount);
         return;
     }
-    m_positionAskedAt = now;
-    askNothing(session);
+    m_positionQueriedAt = now;
+    sendEmptyTransaction(session);
 }
 
-void TargetPool::closeUnused(TimePoint now)
+void TargetPool::closeUnusedSessions(TimePoint now)
 {
     auto limit = m_isForwarder ? kIdleTimeoutAsForwarder : kIdleTimeoutOtherwise;
     auto sessions = m_sessions;
