--- a/src/gateway/target_pool.cpp
+++ b/src/gateway/target_pool.cpp
@@ -13,14 +13,14 @@
 using decisions::ErrorKind;
 using decisions::StatementKind;
 
-static constexpr milliseconds kConnectTimeout { 700 }; // a hello takes some tens of ms; a dark host never answers
-static constexpr milliseconds kConnectionRefusedBackoff { 300 }; // after the target took no connection; other hosts may hold them
-static constexpr milliseconds kConnectFailureBackoff { 100 }; // after a connection could not be had
-static constexpr unsigned kReservedConnections = 2; // never held by transactions, so that single statements go on
-static constexpr milliseconds kBusyRetryDelay { 15 }; // before a target that was busy is asked again: about one statement's time
-static constexpr size_t kMaxPreparedShapes = 200; // shapes kept on one connection
-static constexpr unsigned kMaxOpening = 2; // connections at a time; each takes a slot of the target for a while
-static constexpr milliseconds kMinRetryAfter { 300 }; // told to callers that were refused; less would bring them back into the same queue
+static constexpr milliseconds kConnectTimeout { 700 };
+static constexpr milliseconds kConnectionRefusedBackoff { 300 }; // other hosts may use all connections of the target
+static constexpr milliseconds kConnectFailureBackoff { 100 };
+static constexpr unsigned kReservedConnections = 2; // not available to transactions, so that single statements are still served
+static constexpr milliseconds kBusyRetryDelay { 15 }; // about the time of one statement
+static constexpr size_t kMaxPreparedShapes = 200; // per connection; the connection is reset beyond this
+static constexpr unsigned kMaxOpening = 2; // opening a connection occupies a slot of the target
+static constexpr milliseconds kMinRetryAfter { 300 }; // earlier, refused callers would meet the same queue
 
 TargetPool::TargetPool(boost::asio::any_io_executor executor, const links::StatementCodec& codec, TargetAddress target, std::string hostName, PoolObserver observer)
     : m_executor(std::move(executor))
@@ -62,7 +62,7 @@
     auto now = Clock::now();
     m_lastRequestAccount = request.account;
     auto job = std::make_shared<Job>(Job { std::move(request), std::make_shared<RequestCallback>(std::move(done)), now });
-    if (m_hasOpenFailed && m_sessions.empty()) { // the next attempt takes as long as the last: nobody waits for it
+    if (m_hasOpenFailed && m_sessions.empty()) { // the target is probably down: fail fast and let a new attempt run in the background
         if (m_openingCount == 0 && now >= m_nextOpeningAt)
             openSession(job->request.account);
         finish(job, decisions::makeFailure(ErrorKind::TargetUnreachable, "no connection to the target could be opened"));
@@ -80,7 +80,7 @@
     }
 }
 
-// Past admission: it was admitted before.
+// Queues a job without admission control, as it has been admitted before.
 void TargetPool::enqueue(const JobPtr& job)
 {
     job->number = ++m_lastQueueNumber;
@@ -88,7 +88,7 @@
     m_queue.entries.push_back(makeQueueEntry(*job));
 }
 
-// Ends jobs that the queue has given up, all of them unsent.
+// Fails the jobs of entries that the queue refused or expired. None of them was sent.
 void TargetPool::refuseEntries(const std::vector<decisions::QueueEntry>& entries, const std::string& reason)
 {
     for (auto& it : entries) {
@@ -96,11 +96,11 @@
         m_waitingJobs.erase(it.number);
         auto wait = milliseconds(static_cast<int64_t>(decisions::getTotalWaitMs(m_queue)));
         auto retryAfter = decisions::jitterRetryAfter(std::max(wait, kMinRetryAfter), base::getRandom());
-        finish(job, decisions::makeFailure(ErrorKind::Overloaded, reason.empty() ? fmt::format("{} statements wait before it, {:.0f} ms each{}; come back in {} ms", m_waitingJobs.size(), m_queue.workMs, m_queue.overload.isSustained ? ", for long" : "", retryAfter.count()) : reason));
+        finish(job, decisions::makeFailure(ErrorKind::Overloaded, reason.empty() ? fmt::format("overloaded: {} statements queued at {:.0f} ms each{}; retry after {} ms", m_waitingJobs.size(), m_queue.workMs, m_queue.overload.isSustained ? " for a sustained time" : "", retryAfter.count()) : reason));
     }
 }
 
-// A planned change of primary is under way.
+// Whether the job may write and must wait for a planned change of primary.
 bool TargetPool::isHeld(const Job& job, TimePoint now) const
 {
     auto& request = job.request;
@@ -114,7 +114,7 @@
     return isWrite || request.kind == RequestKind::PrimaryRead || (request.kind == RequestKind::Begin && !request.isReadOnly);
 }
 
-// Whether it could run if it had a connection.
+// Whether the job could be sent now if it had a connection.
 bool TargetPool::canRunOnceConnected(const Job& job, TimePoint now) const
 {
     auto& request = job.request;
@@ -154,7 +154,7 @@
     return job;
 }
 
-// Ends jobs that wait here, all of them unsent. A repetition leaves the answer to the job that it repeats.
+// Fails matching jobs in the queue, none of which was sent. A hedge is removed silently, as its first attempt may still be answered.
 void TargetPool::failWaitingIf(const std::function<bool(const Job&)>& mustFail, const decisions::Error& error)
 {
     std::vector<JobPtr> failed;
@@ -175,14 +175,14 @@
 void TargetPool::dispatch()
 {
     auto now = Clock::now();
-    // The time of a target that leaves can end while operations wait for their turn: looked at where they are sent, not only where they are routed.
+    // A leaving member can stop accepting operations while they are queued, so it is checked here as well as in routing.
     if (!m_acceptsNewOperations)
-        failWaitingIf([](const Job& it) { return it.request.kind != RequestKind::Continue; }, { ErrorKind::TargetUnreachable, "the member leaves and takes no new operations" });
-    // Nobody knows when the replicas will answer: callers are told at once, they may reach a host that knows more.
+        failWaitingIf([](const Job& it) { return it.request.kind != RequestKind::Continue; }, { ErrorKind::TargetUnreachable, "the member is leaving and accepts no new operations" });
+    // The replicas may not answer for long, so callers get an error at once; another host may know the primary's state.
     if (m_logComparison == LogComparison::AnswersMissing)
-        failWaitingIf([](const Job& it) { return needsPrimary(it.request); }, { ErrorKind::NoPrimary, "the member may have lost its log, and its replicas do not answer" });
+        failWaitingIf([](const Job& it) { return needsPrimary(it.request); }, { ErrorKind::NoPrimary, "the primary may have lost its log, and the replicas that could tell do not answer" });
     std::erase_if(m_queue.entries, [&](const decisions::QueueEntry& it) {
-        bool isDone = m_waitingJobs.at(it.number)->isDone(); // repeated, and the first one was answered after all
+        bool isDone = m_waitingJobs.at(it.number)->isDone(); // a hedge whose first attempt has been answered
         if (isDone)
             m_waitingJobs.erase(it.number);
         return isDone;
@@ -194,13 +194,13 @@
         if (!job)
             break;
         if (!decisions::isWorthSending(getScheduling(job->request), now, m_queue.workMs) && job->request.statement.kind != StatementKind::Commit) {
-            finish(job, decisions::makeFailure(ErrorKind::Overloaded, "its turn came too late to be answered in time"));
+            finish(job, decisions::makeFailure(ErrorKind::Overloaded, "queued too long to be answered before the deadline"));
             continue;
         }
         auto session = findSession(*job);
         if (session)
             startJob(job, session);
-        else // its transaction lost its connection while it waited
+        else // its transaction lost its connection while the job was queued
             finish(job, decisions::makeFailure(ErrorKind::TransactionAborted, "the connection of the transaction was lost"));
     }
     openSessions(now);
@@ -211,10 +211,10 @@
     return static_cast<size_t>(std::ranges::count_if(m_queue.entries, [](const decisions::QueueEntry& it) { return !it.scheduling.isContinuation; }));
 }
 
-// As many connections as statements wait for, within the limits.
+// Opens connections for the jobs that wait for one, within the limits.
 void TargetPool::openSessions(TimePoint now)
 {
-    if (m_logComparison != LogComparison::NotNeeded) // the first position that a connection tells is compared with what is known then
+    if (m_logComparison != LogComparison::NotNeeded) // a new connection's first position is compared with the known mark, which the comparison must provide first
         return;
     if (m_limits.isPerAccount) {
         openSessionsByAccount(now);
@@ -229,7 +229,7 @@
 
 void TargetPool::openSessionsByAccount(TimePoint now)
 {
-    // A connection on its way holds a slot of the target: half of them are left to statements.
+    // Each connection being opened occupies a slot of the target; half of the slots are left to statements.
     auto maxOpening = std::max(1U, (m_limits.concurrency - 1) / 2);
     while (m_openingCount < maxOpening && now >= m_nextOpeningAt) {
         auto step = decisions::planOpening(getPooledConnections(), getDemands(now), { m_limits.maxConnections, m_openingCount, maxOpening }, now);
@@ -241,7 +241,7 @@
     }
 }
 
-// Nothing runs on it.
+// Closes an idle connection to make room for another account.
 void TargetPool::evictSession(const SessionPtr& session)
 {
     base::incrementCounter(base::MetricFamily::ConnectionsClosed, { { "member", m_target.member } });
@@ -259,7 +259,7 @@
     return held;
 }
 
-// What waits for a connection, the most urgent first.
+// Returns the accounts whose jobs wait for a connection, the most urgent first.
 std::vector<decisions::AccountDemand> TargetPool::getDemands(TimePoint now) const
 {
     auto entries = m_queue.entries;
@@ -279,7 +279,7 @@
     return demands;
 }
 
-// The free connection that needs the least before it can serve the session.
+// Returns the idle connection that needs the fewest messages to set up the session's state.
 TargetPool::SessionPtr TargetPool::findSession(const Job& job) const
 {
     if (job.request.kind == RequestKind::Continue) {
@@ -330,17 +330,17 @@
             m_observer.onConnectionRefused(m_target, m_sessions.size(), outcome.error->message);
         else
             m_observer.onConnectionFailure(m_target, outcome.error->message);
-        // Without any connection nobody can be served: say so at once, they may try elsewhere.
+        // Without any connection no job can be served; failing at once lets callers try another target.
         if (m_sessions.empty())
             failWaiting(*outcome.error);
         return;
     }
     m_observer.onAnswer(m_target);
-    // A single write would run on an empty log without a word: the first position that is heard is looked at before anything is sent.
+    // A primary that lost its log would accept a single write without an error, so the position in the handshake is checked before statements are sent.
     if (m_observer.isKnownPrimary(m_target) && decisions::hasLostLog(known, outcome.position)) {
         m_observer.onLostLog(m_target, outcome.position);
         session->close();
-        failWaiting({ ErrorKind::NotPrimary, "the member has lost what it held" });
+        failWaiting({ ErrorKind::NotPrimary, "the member has lost its log" });
         return;
     }
     session->lastUsedAt = Clock::now();
@@ -353,7 +353,7 @@
     job->startedAt = Clock::now();
     base::observeHistogram(base::MetricFamily::QueueSeconds, { { "member", m_target.member } }, std::chrono::duration<double>(job->startedAt - job->submittedAt).count());
     bool isOwn = job->request.kind == RequestKind::Continue;
-    base::checkInvariant(!session->isBusy && (session->transaction != 0) == isOwn, "a connection was given away that somebody else holds", m_target.member);
+    base::checkInvariant(!session->isBusy && (session->transaction != 0) == isOwn, "a connection was assigned to a job while another job or transaction holds it", m_target.member);
     session->isBusy = true;
     m_runningJobs.emplace_back(job, session);
     prepareSession(*job, session);
@@ -363,8 +363,8 @@
         runStatement(job, session);
 }
 
-// Sets what the session's statements rely on. Sent along with the statement: a target takes these in order and never refuses them,
-// and if one failed all the same, the connection is not used again.
+// Sets the session's variables and prepared statement on the connection. Pipelined with the statement, as a target does not refuse these
+// messages; if one fails nevertheless, the connection is closed.
 void TargetPool::prepareSession(const Job& job, const SessionPtr& session)
 {
     auto& request = job.request;
@@ -374,7 +374,7 @@
     auto self = shared_from_this();
     auto check = [self, session](const Outcome& outcome) {
         if (outcome.error)
-            self->dropSession(session, "the session could not be set up: " + outcome.error->message);
+            self->dropSession(session, "session setup failed: " + outcome.error->message);
     };
     if (plan.mustReset)
         session->sendStatement(m_codec.formatReset(), check);
@@ -398,17 +398,17 @@
         if (!outcome.error) {
             if (!isReadOnly && !self->applyPrimaryProof(outcome.position, sentAt, known)) {
                 self->detachTransaction(session);
-                self->completeJob(job, session, decisions::makeFailure(ErrorKind::NotPrimary, "the member has lost what it held"));
+                self->completeJob(job, session, decisions::makeFailure(ErrorKind::NotPrimary, "the member has lost its log"));
                 return;
             }
-            if (job->isDone()) // it ran out of time meanwhile; its connection is gone
+            if (job->isDone()) // it timed out meanwhile, and its connection is closed
                 return;
             self->runStatement(job, session);
             return;
         }
         self->detachTransaction(session);
         auto refused = outcome;
-        refused.wasSent = false; // only the BEGIN was
+        refused.wasSent = false; // only the BEGIN was sent
         if (refused.error->kind == ErrorKind::OutcomeUnknown)
             refused.error->kind = ErrorKind::TargetUnreachable;
         self->completeJob(job, session, refused);
@@ -418,8 +418,8 @@
 void TargetPool::runStatement(const JobPtr& job, const SessionPtr& session)
 {
     auto& request = job->request;
-    base::checkInvariant(session->transaction == request.transaction || request.kind == RequestKind::Single || request.kind == RequestKind::PrimaryRead, "a statement was about to run in another transaction than its own", m_target.member);
-    base::checkInvariant(session->state.values == request.values, "a statement was about to run with values that are not its session's", m_target.member);
+    base::checkInvariant(session->transaction == request.transaction || request.kind == RequestKind::Single || request.kind == RequestKind::PrimaryRead, "a statement was about to run in a transaction other than its own", m_target.member);
+    base::checkInvariant(session->state.values == request.values, "a statement was about to run with variables that are not its session's", m_target.member);
     auto atLeast = request.kind == RequestKind::Single ? request.atLeast : Mark {};
     auto bytes = m_codec.formatStatement(request.statement, atLeast, request.shape ? decisions::getPreparedName(*request.shape) : "");
     auto sentAt = Clock::now();
@@ -429,7 +429,7 @@
         bool isCommit = request.statement.kind == StatementKind::Commit;
         if (!outcome.error)
             self->recordWorkTime(*job);
-        // A write and its commit succeed at a target that leads only.
+        // A write outside a transaction succeeds only at a primary.
         if (!outcome.error && request.kind == RequestKind::Single && request.statement.isWrite)
             self->applyPrimaryProof(outcome.position, sentAt, known);
         if (isCommit && !self->canRetryWhenBusy(*job, session, outcome))
@@ -440,7 +440,7 @@
         rollBack(session);
 }
 
-// The connection is free once the target has said that the transaction is over.
+// The connection is released when the target has answered the ROLLBACK.
 void TargetPool::rollBack(const SessionPtr& session)
 {
     session->sendStatement(m_codec.formatRollback(), [self = shared_from_this(), session](const Outcome&) {
@@ -449,7 +449,7 @@
     });
 }
 
-// What a statement took, and with it the operation that it belongs to.
+// Records the time of a statement, and adds it to the cost of its operation.
 void TargetPool::recordWorkTime(const Job& job)
 {
     std::chrono::duration<double, std::milli> took = Clock::now() - job.startedAt;
@@ -460,7 +460,7 @@
         it->second.slotMs += took.count();
 }
 
-// The transaction holds its connection no longer, however it ended.
+// Removes the transaction from its connection, whatever its outcome, and records its cost.
 void TargetPool::detachTransaction(const SessionPtr& session)
 {
     auto it = m_transactions.find(session->transaction);
@@ -472,7 +472,7 @@
     m_transactions.erase(it);
 }
 
-// False: the target leads by its own word only.
+// Applies an answer that only a primary gives. Returns false if the target has lost its log, so the answer is no proof.
 bool TargetPool::applyPrimaryProof(const Mark& position, TimePoint sentAt, const Mark& known)
 {
     if (decisions::hasLostLog(known, position)) {
@@ -514,7 +514,7 @@
     dispatch();
 }
 
-// A target that was busy has run nothing. Inside a transaction there is no other one to ask, and giving up would waste what it did so far.
+// A busy target has not executed the statement. A transaction cannot move to another target, and aborting it would waste its work so far.
 bool TargetPool::canRetryWhenBusy(const Job& job, const SessionPtr& session, const Outcome& outcome) const
 {
     bool wasRefusedAsBusy = outcome.error && outcome.error->kind == ErrorKind::Overloaded && outcome.wasSent;
@@ -522,8 +522,7 @@
     return wasRefusedAsBusy && isInTransaction && !job.isDone() && job.busyCount < decisions::kMaxBusyAttempts && Clock::now() + kBusyRetryDelay < job.request.deadline;
 }
 
-// Only a connection on which no transaction is open may serve another caller: a statement that a target failed to run, be it our
-// own ROLLBACK, can leave one behind.
+// A connection on which a transaction is still open must not serve another caller. A failed statement or ROLLBACK can leave one open.
 void TargetPool::releaseSession(const SessionPtr& session)
 {
     session->isBusy = false;
@@ -547,15 +546,15 @@
         return;
     auto session = it->second.session;
     detachTransaction(session);
-    if (session->isBusy) { // a statement is at the target: only closing ends it
-        dropSession(session, "its transaction was given up");
+    if (session->isBusy) { // a statement is running at the target; closing the connection aborts it
+        dropSession(session, "its transaction was ended while a statement was running");
         return;
     }
     session->isBusy = true;
     rollBack(session);
 }
 
-void TargetPool::dropSession(const SessionPtr& session, const std::string& reason, bool isTrouble)
+void TargetPool::dropSession(const SessionPtr& session, const std::string& reason, bool isFailure)
 {
     auto it = std::ranges::find(m_sessions, session);
     if (it == m_sessions.end())
@@ -565,18 +564,18 @@
     detachTransaction(session);
     bool wasAsked = session->countPending() > 0;
     auto askedAt = session->getOldestPendingAt();
-    // Its jobs end through their answers, or here if they had none yet.
+    // close() fails pending statements and thereby their jobs; jobs without a pending statement are completed below.
     session->close();
     auto running = m_runningJobs;
     for (auto& [job, holder] : running) {
         if (holder == session)
             completeJob(job, session, decisions::makeFailure(ErrorKind::OutcomeUnknown, reason, true));
     }
-    // Others that have answered since show that the target lives. If there are any, one of them is asked at once.
+    // A later answer on another connection shows that the target is alive. Clearing the proof time makes the next sweep request a proof at once.
     bool isAlive = std::ranges::any_of(m_sessions, [&](const SessionPtr& it) { return it->getLastReceivedAt() > askedAt; });
-    if (isTrouble && wasAsked && !isAlive)
+    if (isFailure && wasAsked && !isAlive)
         m_observer.onConnectionFailure(m_target, reason);
-    if (isTrouble && wasAsked)
+    if (isFailure && wasAsked)
         m_primaryProvenAt = {};
     dispatch();
 }
--- a/src/gateway/target_pool.h
+++ b/src/gateway/target_pool.h
@@ -1,9 +1,9 @@
-// The connections from this host to one target, and the queue of statements before them. Whoever wants a statement run at the
-// target, a session of this host or another host, submits an order; orders wait here, not at the target, so that the most urgent one
-// goes next and one that can no longer be met is refused unsent.
+// The connection pool of this host to one target, with the queue of statements that wait for a connection. Sessions of this host and
+// other hosts submit requests. They queue here and not at the target, so that the most urgent one is sent first and one that can no
+// longer meet its deadline is refused without being sent.
 //
 // COMMON MISTAKES
-//   - Sending a statement right behind the BEGIN of its transaction. If the BEGIN is refused, the statement runs outside of it.
+//   - Sending a statement before the BEGIN of its transaction is answered. If the BEGIN is refused, the statement runs outside the transaction.
 #pragma once
 #include "decisions/connections.h"
 #include "decisions/member_queue.h"
@@ -15,49 +15,49 @@
 
 enum class RequestKind {
     Single, // a statement outside a transaction
-    PrimaryRead, // a read wrapped in a transaction of our own: only a target that leads runs it
-    Begin, // begins a transaction and runs its first statement
-    Continue, // the next statement of a transaction, or its commit
+    PrimaryRead, // a read outside a transaction that only a primary may run; the pool wraps it in a read-write transaction
+    Begin, // the first statement of a transaction, preceded by BEGIN
+    Continue, // a later statement of a transaction, or its COMMIT
 };
 
 struct StatementRequest {
     RequestKind kind { RequestKind::Single };
-    std::string account {}; // client account that it runs for; empty: none
-    uint32_t database { 0 }; // hash of its name; what its operations cost is learned by it
+    std::string account {}; // client account of the caller; empty: none
+    uint32_t database { 0 }; // hash of its name; operation costs are learned per database
     decisions::Statement statement {};
-    std::optional<decisions::PreparedShape> shape {}; // of an Execute
+    std::optional<decisions::PreparedShape> shape {}; // Execute: the prepared statement
     decisions::SessionVariables values {};
-    bool isReadOnly { false }; // Begin: the transaction reads only and may run on a replica
-    Mark atLeast {}; // the target's log must hold this; term 0: anything goes
-    int priority { 0 }; // 0 goes first
-    TimePoint objective {}; // an answer by then is worth most
-    TimePoint deadline {}; // an answer after this is worth nothing
-    uint64_t transaction { 0 }; // Begin and Continue: its number, see TargetPool::takeTransactionNumber()
+    bool isReadOnly { false }; // Begin: a read-only transaction, which may run on a replica
+    Mark atLeast {}; // read floor: the target's log must contain this mark; term 0: no floor
+    int priority { 0 }; // 0 is the highest
+    TimePoint objective {}; // latency objective: the answer should arrive by then
+    TimePoint deadline {}; // the request fails after this
+    uint64_t transaction { 0 }; // Begin and Continue: number from TargetPool::takeTransactionNumber()
 };
 
 using RequestCallback = std::function<void(const Outcome& outcome)>;
 
-// What a pool learns that others rest decisions on.
+// Callbacks with which a pool reports what it learns about its target, and queries about the target's group.
 struct PoolObserver {
-    // A target proved that it led after `sentAt`; its log then held `position`.
+    // The target proved that it was primary at some time after `sentAt`, with its log at `position`.
     std::function<void(const TargetAddress&, const Mark& position, TimePoint sentAt)> onPrimaryProven;
-    // What the log of the target's group is known to hold now; asked for before anything is sent to a target that is to lead.
+    // Returns the highest mark known to be in the log of the target's group. Read before a message is sent, and compared with the position in the answer.
     std::function<Mark(const TargetAddress&)> getKnownMark;
-    std::function<bool(const TargetAddress&)> isKnownPrimary; // as far as is known
-    // A target that is to lead holds less than that: it has lost its log, as one that started again with nothing.
+    std::function<bool(const TargetAddress&)> isKnownPrimary; // whether this host believes the target to be primary
+    // A target believed to be primary is at `position`, behind the known mark: it has lost its log, for example by a restart with empty storage.
     std::function<void(const TargetAddress&, const Mark& position)> onLostLog;
-    // A target said that it is a replica.
+    // The target refused a statement because it is a replica.
     std::function<void(const TargetAddress&)> onReplicaReported;
     std::function<void(const TargetAddress&, const Mark& position)> onPosition;
-    // A connection could not be opened, or one that was asked broke or fell silent.
+    // A connection could not be opened, or it failed or timed out while an answer was pending.
     std::function<void(const TargetAddress&, const std::string& reason)> onConnectionFailure;
     std::function<void(const TargetAddress&)> onAnswer;
-    // A target took no further connection while this host has `open`.
+    // The target refused another connection; this host has `open` connections to it.
     std::function<void(const TargetAddress&, size_t open, const std::string& reason)> onConnectionRefused;
 };
 
-// Whether it is known that a target which is to lead still holds its log. What only a leader may run waits while that is found out, and is refused where nobody who could
-// tell answers.
+// State of the comparison that shows whether a target believed to be primary still has its log. Requests that need a primary wait
+// while it is in progress, and are refused when answers of replicas are missing.
 enum class LogComparison {
     NotNeeded,
     InProgress,
@@ -65,15 +65,15 @@
 };
 
 struct PoolLimits {
-    unsigned maxConnections { 4 }; // open at a time
-    unsigned concurrency { 3 }; // statements at the target at a time
-    bool isPerAccount { false }; // a connection serves one client account, and what has none is one of them; else any session
+    unsigned maxConnections { 4 }; // including those being opened
+    unsigned concurrency { 3 }; // maximum number of statements sent to the target at a time
+    bool isPerAccount { false }; // each connection serves one client account (requests without an account count as one), instead of any session
 };
 
 struct PoolLoad {
     unsigned waiting { 0 };
     unsigned running { 0 };
-    double workMs { 10 }; // smoothed time of one statement at the target
+    double workMs { 10 }; // typical time of one statement at the target
     friend bool operator==(const PoolLoad&, const PoolLoad&) = default;
 };
 
@@ -83,27 +83,27 @@
 
     void setLimits(const PoolLimits& limits);
     uint64_t takeTransactionNumber() { return ++m_lastTransaction; }
-    // Every order ends with exactly one call of `done`, never from within submit().
+    // Calls `done` exactly once for each request, never from within submit().
     void submit(StatementRequest request, RequestCallback done);
-    // Rolls a transaction back and gives its connection free. Unknown numbers are ignored.
+    // Rolls a transaction back and releases its connection. Unknown numbers are ignored.
     void endTransaction(uint64_t transaction);
-    // Whether the transaction still holds a connection.
+    // Whether the transaction is open and still has its connection.
     bool hasTransaction(uint64_t transaction) const { return m_transactions.contains(transaction); }
-    // Ends orders whose time is over and connections that fell silent; proves the lead if that is due.
+    // Periodic work: fails overdue requests, closes silent and unused connections, sends keep-alives and due primary proofs.
     void sweep(TimePoint now);
-    // Asks the target whether it leads at least this often while nothing else shows it; 0: never.
+    // Maximum time without a proof that the target is primary before the pool requests one; 0: never requested.
     void setProofInterval(milliseconds interval) { m_proofInterval = interval; }
-    // Asks the target where its log stands at least this often; 0: only to keep connections alive.
+    // Interval of queries for the target's log position; 0: the position is only learned from answers and keep-alives.
     void setPositionInterval(milliseconds interval) { m_positionInterval = interval; }
-    // Whether this host is the one that carries statements to the target; one that does not any more gives its connections back.
+    // Whether this host is a forwarder for the target. If it is not, idle connections are closed sooner, so that the forwarder can open them.
     void setForwarder(bool isForwarder) { m_isForwarder = isForwarder; }
     bool isForwarder() const { return m_isForwarder; }
-    // Whether operations may begin at the target; else those that wait here are given back unsent, and transactions go on.
+    // Whether the target accepts new operations. If it does not, queued ones fail without being sent, and open transactions continue.
     void setAcceptsNewOperations(bool acceptsNew) { m_acceptsNewOperations = acceptsNew; }
     void setLogComparison(LogComparison comparison) { m_logComparison = comparison; }
-    // The target is gone: closes everything; orders in flight end as unknown, waiting ones as unreachable.
+    // Closes all connections. Requests that were sent fail with OutcomeUnknown, queued ones with TargetUnreachable.
     void shutDown(const std::string& reason);
-    // Statements that write wait until then: a planned change of primary is under way.
+    // Keeps writes waiting until the given time, during a planned change of primary.
     void holdWrites(TimePoint until) { m_writesHeldUntil = until; }
 
     const TargetAddress& getTarget() const { return m_target; }
@@ -114,14 +114,14 @@
 private:
     struct Job {
         StatementRequest request;
-        std::shared_ptr<RequestCallback> done; // shared with the job that repeats it; empty inside once it was called
+        std::shared_ptr<RequestCallback> done; // shared with the hedge of this job; holds an empty function once called
         TimePoint submittedAt;
         TimePoint startedAt {};
-        TimePoint retryAt {}; // the target was busy: it is asked again then
+        TimePoint retryAt {}; // earliest time of the next attempt after the target was busy
         unsigned busyCount { 0 };
-        uint64_t number { 0 }; // in the queue
-        bool isHedge { false }; // of a job whose answer may yet come
-        bool isStalled { false }; // its answer seems to be lost: it takes no place among those at the target any more
+        uint64_t number { 0 }; // of its queue entry
+        bool isHedge { false }; // second attempt of a read whose first answer is overdue but may still arrive
+        bool isStalled { false }; // its answer is probably lost, so it no longer counts against the concurrency limit
         bool isDone() const { return !*done; }
     };
     using JobPtr = std::shared_ptr<Job>;
@@ -129,7 +129,7 @@
     struct OpenTransaction {
         SessionPtr session;
         decisions::OperationKind kind;
-        double slotMs { 0 }; // of a place at the target so far
+        double slotMs { 0 }; // slot time used at the target so far, in ms
     };
 
     static decisions::QueueEntry makeQueueEntry(const Job& job);
@@ -165,8 +165,8 @@
     bool applyPrimaryProof(const Mark& position, TimePoint sentAt, const Mark& known);
     void recordWorkTime(const Job& job);
     void detachTransaction(const SessionPtr& session);
-    // `isTrouble`: an answer that is missing counts against the target.
-    void dropSession(const SessionPtr& session, const std::string& reason, bool isTrouble = true);
+    // Closes the connection and removes it. With `isFailure`, a pending answer is reported as a connection failure.
+    void dropSession(const SessionPtr& session, const std::string& reason, bool isFailure = true);
     void provePrimary(TimePoint now);
     void sendKeepAlives(TimePoint now);
     void queryPosition(TimePoint now);
@@ -176,7 +176,7 @@
     unsigned countRunning() const;
     void markStalledJobs(TimePoint now);
     milliseconds getStallTimeout() const;
-    void closeStalledSession(TimePoint now);
+    void closeOldestStalledSession(TimePoint now);
     void failOverdueJobs(TimePoint now);
     void closeSilentSessions(TimePoint now);
 
@@ -187,23 +187,23 @@
     PoolObserver m_observer;
     PoolLimits m_limits;
     decisions::MemberQueue m_queue;
-    std::unordered_map<uint64_t, JobPtr> m_waitingJobs; // by number in the queue
+    std::unordered_map<uint64_t, JobPtr> m_waitingJobs; // by number of the queue entry
     uint64_t m_lastQueueNumber { 0 };
     std::vector<std::pair<JobPtr, SessionPtr>> m_runningJobs;
-    std::vector<SessionPtr> m_sessions; // open
+    std::vector<SessionPtr> m_sessions; // open connections
     unsigned m_openingCount { 0 };
-    std::map<std::string, unsigned> m_openingByAccount; // the same by account
-    std::string m_lastRequestAccount {}; // that ordered something
+    std::map<std::string, unsigned> m_openingByAccount; // the same count by account
+    std::string m_lastRequestAccount {}; // account of the latest request
     std::unordered_map<uint64_t, OpenTransaction> m_transactions;
     uint64_t m_lastTransaction { 0 };
-    TimePoint m_nextOpeningAt {}; // no connection is opened before this
-    bool m_hasOpenFailed { false }; // the last attempt to open one failed
+    TimePoint m_nextOpeningAt {}; // no connection is opened before then
+    bool m_hasOpenFailed { false }; // the last attempt to open a connection failed
     TimePoint m_primaryProvenAt {};
     TimePoint m_writesHeldUntil {};
     milliseconds m_proofInterval { 0 };
     milliseconds m_positionInterval { 0 };
     TimePoint m_positionQueriedAt {};
-    TimePoint m_lastAnswerAt {}; // the last answer to a statement or a proof
+    TimePoint m_lastAnswerAt {}; // time of the last answer to a statement or a proof
     bool m_isDispatching { false };
     bool m_isForwarder { true };
     bool m_acceptsNewOperations { true };
--- a/src/gateway/target_pool_upkeep.cpp
+++ b/src/gateway/target_pool_upkeep.cpp
@@ -1,4 +1,4 @@
-// What a pool does at each sweep: answers that seem lost, limits that have passed, connections that are silent or of no use, proofs of the lead.
+// The periodic work of a target pool: stalled and overdue jobs, silent and unused connections, keep-alives and proofs of the primary.
 #include "gateway/target_pool.h"
 #include <algorithm>
 
@@ -8,17 +8,17 @@
 using decisions::ErrorKind;
 using decisions::StatementKind;
 
-static constexpr milliseconds kKeepAliveInterval { 1000 }; // an idle connection that was quiet for this long is asked something
-static constexpr milliseconds kSilenceTimeout { 300 }; // for questions that need no work at the target
-static constexpr milliseconds kIdleTimeoutAsForwarder { 10000 }; // a connection that was of no use for this long is closed
-static constexpr milliseconds kIdleTimeoutOtherwise { 500 }; // the same where another host carries now, which needs the connections
-static constexpr double kStallFactor = 8; // of the usual time: a statement's answer may be lost; the slowest usual ones take five times
-static constexpr milliseconds kMinStallTimeout { 150 }; // below this a hiccup of the network would count
+static constexpr milliseconds kKeepAliveInterval { 1000 }; // for idle connections
+static constexpr milliseconds kSilenceTimeout { 300 }; // for messages that need no slot of the target
+static constexpr milliseconds kIdleTimeoutAsForwarder { 10000 };
+static constexpr milliseconds kIdleTimeoutOtherwise { 500 }; // the forwarder needs the connections
+static constexpr double kStallFactor = 8; // times the typical time of a statement
+static constexpr milliseconds kMinStallTimeout { 150 }; // tolerates short network delays
 
 void TargetPool::sweep(TimePoint now)
 {
     markStalledJobs(now);
-    closeStalledSession(now);
+    closeOldestStalledSession(now);
     failOverdueJobs(now);
     closeSilentSessions(now);
     provePrimary(now);
@@ -33,35 +33,35 @@
     return std::max(kMinStallTimeout, milliseconds(static_cast<int64_t>(kStallFactor * m_queue.workMs)));
 }
 
-// A few hung statements can hold all connections. While others wait for one, the statement that has hung longest gives its connection up,
-// if that leaves nothing behind at the target: it is run anew, or its transaction, which is rolled back there, is reported as ended.
-// One at each sweep: the next may be answered meanwhile. Without any answer since, twice the time must pass.
-void TargetPool::closeStalledSession(TimePoint now)
+// Prevents stalled statements from occupying all connections. While other jobs wait for one, closes the connection of the oldest stalled
+// statement that can be aborted without an uncertain effect. Closes at most one per sweep, as others may be answered meanwhile. If the
+// target has answered nothing since, the job counts as stalled only after twice the timeout.
+void TargetPool::closeOldestStalledSession(TimePoint now)
 {
     bool isScarce = countIdleSessions() == 0 && m_sessions.size() + m_openingCount >= m_limits.maxConnections;
     if (!isScarce || countWaitingForConnection() == 0)
         return;
-    for (auto& [job, session] : m_runningJobs) { // in the order in which they were started
+    for (auto& [job, session] : m_runningJobs) { // in order of their start
         auto& request = job->request;
         bool isSafeToAbandon = request.statement.kind != StatementKind::Commit && (!request.statement.isWrite || request.kind == RequestKind::Begin || request.kind == RequestKind::Continue);
         bool isOverdue = job->isStalled || now - job->startedAt > 2 * getStallTimeout();
         if (!isSafeToAbandon || !isOverdue)
             continue;
-        dropSession(SessionPtr(session), "its answer seems to be lost and others wait for a connection", false);
+        dropSession(SessionPtr(session), "statement stalled while others wait for a connection", false);
         return;
     }
 }
 
-// A statement that takes several times as long as usual, while later ones were answered, has probably lost its answer. It gives up its
-// place, or a few of these would stop all others until their time is over. A read is run once more; whichever answer comes first counts.
-// Nothing is ended for it: a slow answer is delivered as well.
+// If a statement takes several times the typical time while later ones are answered, its answer is probably lost. It no longer counts
+// against the concurrency limit, so that a few lost answers do not block the queue until they time out. A read outside a transaction is
+// hedged: sent a second time, and the first answer counts.
 void TargetPool::markStalledJobs(TimePoint now)
 {
     auto limit = getStallTimeout();
     auto running = m_runningJobs;
     for (auto& [job, session] : running) {
-        if (job->isStalled && job->isDone()) { // its repetition was answered
-            dropSession(session, "the answer is no longer waited for");
+        if (job->isStalled && job->isDone()) { // its hedge was answered
+            dropSession(session, "its hedged request was answered first");
             continue;
         }
         if (job->isStalled || now - job->startedAt < limit || m_lastAnswerAt < job->startedAt + limit / 2)
@@ -69,7 +69,7 @@
         job->isStalled = true;
         auto& request = job->request;
         bool canHedge = !request.statement.isWrite && (request.kind == RequestKind::Single || request.kind == RequestKind::PrimaryRead);
-        bool isBusy = m_waitingJobs.size() >= m_limits.concurrency; // a repetition would take a turn from somebody who has had none
+        bool isBusy = m_waitingJobs.size() >= m_limits.concurrency; // a hedge would delay statements that have not been sent at all
         if (!canHedge || isBusy)
             continue;
         auto hedge = std::make_shared<Job>(*job);
@@ -81,35 +81,35 @@
 
 void TargetPool::failOverdueJobs(TimePoint now)
 {
-    refuseEntries(decisions::removeExpired(m_queue, now), "no turn came in time");
+    refuseEntries(decisions::removeExpired(m_queue, now), "not sent before its deadline or the queue's wait limit");
     auto running = m_runningJobs;
     for (auto& [job, session] : running) {
         if (now < job->request.deadline)
             continue;
         finish(job, decisions::makeFailure(ErrorKind::StatementTimedOut, "the target did not answer in time", true));
         auto askedAt = session->getOldestPendingAt();
-        dropSession(session, "no answer in time");
-        // Other connections that have been quiet since may have died in the same way.
+        dropSession(session, "no answer before the deadline");
+        // Idle connections without a later answer may have failed in the same way.
         auto sessions = m_sessions;
         for (auto& it : sessions) {
             if (it->isIdle() && it->getLastReceivedAt() < askedAt)
-                dropSession(it, "quiet since a connection to the same target died");
+                dropSession(it, "no answer since another connection to the target timed out");
         }
     }
 }
 
-// Questions of our own need no work at the target: silence means that the connection is dead.
+// Messages of the pool itself need no slot of the target, so a missing answer means that the connection is dead.
 void TargetPool::closeSilentSessions(TimePoint now)
 {
     auto sessions = m_sessions;
     for (auto& it : sessions) {
         bool hasJob = std::ranges::any_of(m_runningJobs, [&](const auto& running) { return running.second == it; });
         if (!hasJob && it->countPending() > 0 && now - it->getOldestPendingAt() > kSilenceTimeout)
-            dropSession(it, "the target is silent");
+            dropSession(it, "the target did not answer a keep-alive or proof");
     }
 }
 
-// A connection on which nothing is under way.
+// Returns an idle connection without pending answers, if any.
 TargetPool::SessionPtr TargetPool::findIdleSession() const
 {
     auto it = std::ranges::find_if(m_sessions, [](const SessionPtr& it) { return it->isIdle() && it->countPending() == 0; });
@@ -126,7 +126,7 @@
             openSession(m_lastRequestAccount);
         return;
     }
-    m_primaryProvenAt = now; // the next question is due an interval after this one, whatever its answer
+    m_primaryProvenAt = now; // the next proof is due one interval later, whatever the answer
     session->isBusy = true;
     auto known = m_observer.getKnownMark(m_target);
     session->sendStatement(m_codec.formatBegin(false, {}), [self = shared_from_this(), session, now, known](const Outcome& outcome) {
@@ -152,7 +152,7 @@
     }
 }
 
-// An empty transaction: its answer tells the position, and it takes no slot of the target.
+// Sends a read-only BEGIN and a ROLLBACK, which return the log position and occupy no slot of the target.
 void TargetPool::sendEmptyTransaction(const SessionPtr& session)
 {
     session->isBusy = true;
--- a/src/gateway/target_session.cpp
+++ b/src/gateway/target_session.cpp
@@ -25,7 +25,7 @@
     m_helloTimer.async_wait([weak = weak_from_this()](boost::system::error_code ec) {
         auto session = weak.lock();
         if (!ec && session && session->m_onOpen)
-            session->fail("no hello in time");
+            session->fail("handshake timed out");
     });
 }
 
@@ -47,8 +47,8 @@
         return;
     }
     if (m_pending.empty()) {
-        // Nothing was asked: an answer here could be taken for the next statement's.
-        fail("unexpected message");
+        // Nothing is pending: this message could be mistaken for the answer to the next statement.
+        fail("unexpected message from the target");
         return;
     }
     if (auto* row = std::get_if<links::RowMessage>(&parsed))
@@ -60,7 +60,7 @@
     else if (auto* ready = std::get_if<links::ReadyMessage>(&parsed))
         finishAnswer(*ready);
     else
-        fail("malformed answer");
+        fail("malformed answer from the target");
 }
 
 void TargetSession::handleHello(const links::TargetMessage& message)
@@ -75,7 +75,7 @@
         return;
     }
     auto* failure = std::get_if<links::FailureMessage>(&message);
-    outcome.error = failure ? failure->error : decisions::Error { ErrorKind::TargetUnreachable, "malformed hello" };
+    outcome.error = failure ? failure->error : decisions::Error { ErrorKind::TargetUnreachable, "malformed handshake answer" };
     m_channel->close();
     auto onOpen = std::move(m_onOpen);
     m_onClosed = nullptr;
--- a/src/gateway/target_session.h
+++ b/src/gateway/target_session.h
@@ -1,4 +1,4 @@
-// One connection to a target: says hello, sends statements and matches answers to them in order.
+// One connection to a target: performs the handshake, pipelines statements and matches answers to them in order.
 #pragma once
 #include "links/channel.h"
 #include "links/statement_codec.h"
@@ -11,9 +11,9 @@
 using decisions::milliseconds;
 using decisions::Outcome;
 
-// A member of a database group as a target for connections.
+// Identity and address of a member of a database group, as the target of connections.
 struct TargetAddress {
-    std::string member {}; // its unique id
+    std::string member {}; // unique id of the member
     std::string group {};
     std::string address {}; // ip:port
     friend bool operator==(const TargetAddress&, const TargetAddress&) = default;
@@ -21,31 +21,31 @@
 
 class TargetSession : public std::enable_shared_from_this<TargetSession> {
 public:
-    // `position` of the outcome is the target's log position behind this answer.
+    // `position` of the outcome is the target's log position when it answered.
     using OutcomeCallback = std::function<void(const Outcome& outcome)>;
 
     TargetSession(boost::asio::any_io_executor executor, const links::StatementCodec& codec);
 
-    // Connects and says hello. The answer says whether it may be used; `onClosed` comes once, for any later end.
+    // Connects and performs the handshake; without an answer within `timeout`, `onOpen` gets an error. After a successful handshake, `onClosed` is
+    // called once when the connection fails, but not after close().
     void open(const TargetAddress& target, const std::string& clientName, milliseconds timeout, OutcomeCallback onOpen, std::function<void(const std::string& reason)> onClosed);
-    // Sends a statement; its answer comes in order. When the connection ends first, the outcome is unknown.
+    // Sends an encoded statement. Answers arrive in the order of sending. If the connection ends first, the outcome is OutcomeUnknown.
     void sendStatement(std::string_view bytes, OutcomeCallback onAnswer);
     void close();
 
     bool isOpen() const { return m_isOpen; }
-    // What the target said last of where the connection stands.
+    // Transaction state of the connection, as of the target's last answer.
     decisions::SessionState getTargetState() const { return m_targetState; }
     size_t countPending() const { return m_pending.size(); }
     TimePoint getLastReceivedAt() const { return m_lastReceivedAt; }
-    TimePoint getOldestPendingAt() const { return m_oldestPendingAt; } // when the oldest unanswered question was sent
+    TimePoint getOldestPendingAt() const { return m_oldestPendingAt; } // when the oldest unanswered statement was sent
 
-    std::string account {}; // whose it is; empty: this host's own
-    decisions::ConnectionState state {}; // what earlier sessions left on it
-    uint64_t transaction { 0 }; // that holds it; 0: none
-    bool isBusy { false }; // a job runs on it
-    TimePoint lastUsedAt {}; // the last time a job ended on it
-    unsigned servedJobs { 0 }; // jobs
-    // Whether a job may be given to it.
+    std::string account {}; // client account that it belongs to; empty: none
+    decisions::ConnectionState state {}; // variables and prepared statements left by earlier sessions
+    uint64_t transaction { 0 }; // number of the transaction that holds it; 0: none
+    bool isBusy { false }; // a statement or a question of the pool runs on it
+    TimePoint lastUsedAt {}; // when the last job on it ended, or when it was opened
+    unsigned servedJobs { 0 };
     bool isIdle() const { return !isBusy && transaction == 0; }
 
 private:
@@ -60,11 +60,11 @@
 
     const links::StatementCodec& m_codec;
     std::shared_ptr<links::Channel> m_channel;
-    boost::asio::steady_timer m_helloTimer; // a target may take the connection and never say anything
+    boost::asio::steady_timer m_helloTimer; // a target may accept the connection and never answer
     std::deque<Pending> m_pending;
     OutcomeCallback m_onOpen;
     std::function<void(const std::string&)> m_onClosed;
-    Outcome m_outcome; // of the answer that is being read
+    Outcome m_outcome; // built up from the messages of the current answer
     TimePoint m_lastReceivedAt {};
     TimePoint m_oldestPendingAt {};
     decisions::SessionState m_targetState { decisions::SessionState::Idle };
