--- a/examples/gateway_demo.cpp
+++ b/examples/gateway_demo.cpp
@@ -14,7 +14,7 @@
 int main()
 {
     GatewayRig rig;
-    rig.beginHosts();
+    rig.startHosts();
     LineCaller officer(rig.getCallerAddress(0), "db0-own");
     show("write through h0", officer.ask("WRITE loan-17 sanctioned"));
     show("read through h0, by a replica if it has it", officer.ask("READ loan-17"));
--- a/tests/gateway/accounts_test.cpp
+++ b/tests/gateway/accounts_test.cpp
@@ -11,9 +11,9 @@
 
 const std::vector<RigAccount> kAccounts { { "mill", { "key-mill-1", "key-mill-2" } }, { "shop", { "key-shop-1" } } };
 
-RigShape makeShape(std::vector<RigAccount> accounts = kAccounts)
+RigOptions makeShape(std::vector<RigAccount> accounts = kAccounts)
 {
-    RigShape shape;
+    RigOptions shape;
     shape.accounts = std::move(accounts);
     return shape;
 }
@@ -45,7 +45,7 @@
 BOOST_AUTO_TEST_CASE(members_hear_the_account_of_each_statement_and_never_a_key)
 {
     GatewayRig rig(makeShape());
-    rig.beginHosts();
+    rig.startHosts();
     for (unsigned i = 0; i < 3; ++i) {
         LineCaller mill(rig.getCallerAddress(i), "db0-own", "key-mill-2");
         LineCaller shop(rig.getCallerAddress(i), "db0-own", "key-shop-1");
@@ -60,9 +60,9 @@
         BOOST_TEST(getAccountOf(rig, mill.getLastId()) == "mill");
         BOOST_TEST(mill.ask("COMMIT").isOk());
     }
-    BOOST_TEST(LineCaller(rig.getCallerAddress(0), "db0-own", "key-of-a-stranger").getHello().hasCode("UNAUTH"));
-    BOOST_TEST(LineCaller(rig.getCallerAddress(0), "no-such", "key-of-a-stranger").getHello().hasCode("UNAUTH"));
-    BOOST_TEST(LineCaller(rig.getCallerAddress(0), "no-such", "key-shop-1").getHello().hasCode("NODB"));
+    BOOST_TEST(LineCaller(rig.getCallerAddress(0), "db0-own", "key-of-a-stranger").getHandshakeAnswer().hasCode("UNAUTH"));
+    BOOST_TEST(LineCaller(rig.getCallerAddress(0), "no-such", "key-of-a-stranger").getHandshakeAnswer().hasCode("UNAUTH"));
+    BOOST_TEST(LineCaller(rig.getCallerAddress(0), "no-such", "key-shop-1").getHandshakeAnswer().hasCode("NODB"));
     auto output = getOutput(rig);
     for (auto* key : { "key-mill-1", "key-mill-2", "key-shop-1", "key-of-a-stranger" })
         BOOST_TEST(output.find(key) == std::string::npos, key);
@@ -73,7 +73,7 @@
     auto shape = makeShape();
     shape.publicDatabase = "db0-bounded";
     GatewayRig rig(shape);
-    rig.beginHosts();
+    rig.startHosts();
     LineCaller stranger(rig.getCallerAddress(1), "db0-bounded", "anybody");
     BOOST_TEST(stranger.ask("READ a").isOk());
     LineCaller mill(rig.getCallerAddress(1), "db0-bounded", "key-mill-1");
@@ -85,20 +85,20 @@
 BOOST_AUTO_TEST_CASE(a_key_that_is_taken_away_ends_its_sessions)
 {
     GatewayRig rig(makeShape());
-    rig.beginHosts();
+    rig.startHosts();
     LineCaller resting(rig.getCallerAddress(1), "db0-own", "key-mill-1");
     LineCaller inTransaction(rig.getCallerAddress(1), "db0-own", "key-mill-1");
     LineCaller other(rig.getCallerAddress(1), "db0-own", "key-mill-2");
     BOOST_TEST(inTransaction.ask("BEGIN").isOk());
     BOOST_TEST(inTransaction.ask("WRITE taken 1").isOk());
     rig.configureAccounts(2, { { "mill", { "key-mill-2" } }, { "shop", { "key-shop-1" } } });
-    BOOST_REQUIRE(rig.waitConfigured(1, 2));
+    BOOST_REQUIRE(rig.waitUntilConfigured(1, 2));
     BOOST_TEST(resting.isClosed(milliseconds(1000)));
     BOOST_TEST(inTransaction.isClosed(milliseconds(1000)));
-    BOOST_TEST(LineCaller(rig.getCallerAddress(1), "db0-own", "key-mill-1").getHello().hasCode("UNAUTH"));
+    BOOST_TEST(LineCaller(rig.getCallerAddress(1), "db0-own", "key-mill-1").getHandshakeAnswer().hasCode("UNAUTH"));
     BOOST_TEST(other.ask("READ taken").rows == std::vector<std::string>({ "" }), boost::test_tools::per_element());
     rig.configureAccounts(3, { { "shop", { "key-shop-1" } } }); // the account is gone altogether
-    BOOST_REQUIRE(rig.waitConfigured(1, 3));
+    BOOST_REQUIRE(rig.waitUntilConfigured(1, 3));
     BOOST_TEST(other.isClosed(milliseconds(1000)));
 }
 
@@ -106,14 +106,14 @@
 BOOST_AUTO_TEST_CASE(a_key_that_moves_to_another_account_counts_for_it)
 {
     GatewayRig rig(makeShape());
-    rig.beginHosts();
+    rig.startHosts();
     LineCaller moving(rig.getCallerAddress(0), "db0-own", "key-mill-1");
     LineCaller inTransaction(rig.getCallerAddress(0), "db0-own", "key-mill-1");
     BOOST_TEST(moving.ask("READ a").isOk());
     BOOST_TEST(inTransaction.ask("BEGIN").isOk());
     BOOST_TEST(inTransaction.ask("WRITE moved 1").isOk());
     rig.configureAccounts(2, { { "mill", { "key-mill-2" } }, { "shop", { "key-shop-1", "key-mill-1" } } });
-    BOOST_REQUIRE(rig.waitConfigured(0, 2));
+    BOOST_REQUIRE(rig.waitUntilConfigured(0, 2));
     BOOST_TEST(moving.ask("READ moved").rows == std::vector<std::string>({ "" }), boost::test_tools::per_element());
     BOOST_TEST(getAccountOf(rig, moving.getLastId()) == "shop");
     BOOST_TEST(inTransaction.isClosed(milliseconds(1000)));
@@ -125,17 +125,17 @@
     shape.hasProxies = true;
     shape.hosts = 21; // seven a data centre: relays
     GatewayRig rig(shape);
-    rig.beginHosts();
+    rig.startHosts();
     std::this_thread::sleep_for(milliseconds(1500)); // relays are chosen
     unsigned cut = 20;
     LineCaller resting(rig.getCallerAddress(cut), "db0-own", "key-mill-1");
     BOOST_TEST(resting.ask("READ a").isOk());
     rig.setStoreCut(cut, true);
     rig.configureAccounts(2, { { "mill", { "key-mill-2", "key-mill-3" } }, { "shop", { "key-shop-1" } } });
-    BOOST_TEST(rig.waitConfigured(cut, 2, milliseconds(5000)));
+    BOOST_TEST(rig.waitUntilConfigured(cut, 2, milliseconds(5000)));
     BOOST_TEST(resting.isClosed(milliseconds(1000)));
-    BOOST_TEST(LineCaller(rig.getCallerAddress(cut), "db0-own", "key-mill-1").getHello().hasCode("UNAUTH"));
-    BOOST_TEST(LineCaller(rig.getCallerAddress(cut), "db0-own", "key-mill-3").getHello().state == "I");
+    BOOST_TEST(LineCaller(rig.getCallerAddress(cut), "db0-own", "key-mill-1").getHandshakeAnswer().hasCode("UNAUTH"));
+    BOOST_TEST(LineCaller(rig.getCallerAddress(cut), "db0-own", "key-mill-3").getHandshakeAnswer().state == "I");
 }
 
 // Twice as many accounts as a carrier has connections: all are served, each on its own, and the member's limit holds.
@@ -147,7 +147,7 @@
     auto shape = makeShape(accounts);
     shape.connections = 12;
     GatewayRig rig(shape);
-    rig.beginHosts();
+    rig.startHosts();
     std::vector<std::unique_ptr<LineCaller>> callers;
     for (int i = 0; i < 20; ++i)
         callers.push_back(std::make_unique<LineCaller>(rig.getCallerAddress(static_cast<unsigned>(i) % 3), "db0-primary", fmt::format("key{}", i)));
@@ -173,7 +173,7 @@
     shape.connections = 8; // three for the host that carries
     shape.publicDatabase = "db0-primary";
     GatewayRig rig(shape);
-    rig.beginHosts();
+    rig.startHosts();
     LineCaller stranger(rig.getCallerAddress(0), "db0-primary", "anybody");
     for (int round = 0; round < 24; ++round) {
         LineCaller caller(rig.getCallerAddress(0), "db0-primary", fmt::format("key{}", round % 8));
@@ -192,7 +192,7 @@
 {
     auto shape = makeShape({ { "mill", { "key-mill" }, 10, 10 }, { "shop", { "key-shop" } } });
     GatewayRig rig(shape);
-    rig.beginHosts();
+    rig.startHosts();
     std::vector<std::unique_ptr<LineCaller>> callers;
     std::vector<std::unique_ptr<LineCaller>> others;
     for (unsigned i = 0; i < 3; ++i) {
@@ -225,7 +225,7 @@
 {
     auto shape = makeShape({ { "mill", { "key-mill" }, 20, 10 }, { "shop", { "key-shop" }, 400, 400 } });
     GatewayRig rig(shape);
-    rig.beginHosts();
+    rig.startHosts();
     LineCaller mill(rig.getCallerAddress(2), "db0-own", "key-mill");
     LineCaller shop(rig.getCallerAddress(2), "db0-own", "key-shop");
     std::this_thread::sleep_for(milliseconds(5000));
@@ -235,7 +235,7 @@
     for (int round = 0; std::chrono::steady_clock::now() < end; ++round) {
         if (round % 100 == 50) {
             rig.getHost(static_cast<unsigned>(round / 100) % 2).kill();
-            rig.beginHost(static_cast<unsigned>(round / 100) % 2);
+            rig.startHost(static_cast<unsigned>(round / 100) % 2);
         }
         served += mill.ask("READ a").isOk() ? 1 : 0;
         // Members out of reach are another matter: only what the quota refuses is counted.
--- a/tests/gateway/failover_test.cpp
+++ b/tests/gateway/failover_test.cpp
@@ -26,7 +26,7 @@
 BOOST_AUTO_TEST_CASE(a_dead_primary_is_replaced_by_the_replica_that_holds_most)
 {
     GatewayRig rig;
-    rig.beginHosts();
+    rig.startHosts();
     BOOST_TEST(canWrite(rig, 0));
     rig.call([&] { rig.getGroup().getFaults("g0-b").isDeaf = true; });
     BOOST_TEST(canWrite(rig, 0));
@@ -42,7 +42,7 @@
 BOOST_AUTO_TEST_CASE(a_dark_primary_is_replaced_also_while_the_store_is_away)
 {
     GatewayRig rig;
-    rig.beginHosts();
+    rig.startHosts();
     BOOST_TEST(canWrite(rig, 0));
     rig.call([&] {
         rig.getStore().faults.isSilent = true;
@@ -56,7 +56,7 @@
 BOOST_AUTO_TEST_CASE(tokens_rise_with_each_decision_and_holder_and_are_never_shared)
 {
     GatewayRig rig;
-    rig.beginHosts();
+    rig.startHosts();
     for (int round = 0; round < 3; ++round) {
         auto primary = rig.call([&] { return rig.getGroup().getPrimary(); });
         auto term = rig.call([&] { return rig.getGroup().getTerm(); });
@@ -70,7 +70,7 @@
         auto index = static_cast<unsigned>(holder.back() - '0');
         rig.getHost(index).kill();
         std::this_thread::sleep_for(milliseconds(1500));
-        rig.beginHost(index);
+        rig.startHost(index);
         rig.waitReady(index);
         std::this_thread::sleep_for(milliseconds(1500));
     }
@@ -88,7 +88,7 @@
 BOOST_AUTO_TEST_CASE(a_leaving_primary_is_handed_over_and_no_commit_is_lost)
 {
     GatewayRig rig;
-    rig.beginHosts();
+    rig.startHosts();
     rig.call([&] {
         for (auto& id : rig.getGroup().getIds())
             rig.getGroup().getFaults(id).lag = milliseconds(80);
@@ -112,7 +112,7 @@
 BOOST_AUTO_TEST_CASE(an_order_without_an_answer_is_repeated_as_it_was)
 {
     GatewayRig rig;
-    rig.beginHosts();
+    rig.startHosts();
     rig.call([&] {
         rig.getStore().faults.losesPromotions = true;
         rig.getGroup().kill("g0-a");
@@ -130,7 +130,7 @@
 BOOST_AUTO_TEST_CASE(a_slow_primary_is_not_replaced)
 {
     GatewayRig rig;
-    rig.beginHosts();
+    rig.startHosts();
     rig.call([&] { rig.getGroup().getFaults("g0-a").work = milliseconds(400); });
     std::vector<std::unique_ptr<LineCaller>> callers;
     for (int i = 0; i < 12; ++i)
@@ -147,7 +147,7 @@
 BOOST_AUTO_TEST_CASE(a_holder_that_freezes_is_replaced_by_a_deputy_and_does_no_harm_when_it_wakes)
 {
     GatewayRig rig;
-    rig.beginHosts();
+    rig.startHosts();
     BOOST_TEST(canWrite(rig, 0));
     auto holder = rig.findHolder();
     rig.getHost(holder).signal(SIGSTOP);
@@ -166,7 +166,7 @@
 BOOST_AUTO_TEST_CASE(a_host_that_has_lost_most_others_replaces_no_primary_until_they_count_as_gone)
 {
     GatewayRig rig;
-    rig.beginHosts();
+    rig.startHosts();
     BOOST_TEST(canWrite(rig, 0));
     BOOST_TEST(waitUntil(milliseconds(4000), [&] { return rig.countEvents("host-regained") >= 6; }));
     rig.getHost(1).signal(SIGSTOP);
@@ -189,7 +189,7 @@
 BOOST_AUTO_TEST_CASE(a_primary_that_starts_again_with_nothing_does_not_lead)
 {
     GatewayRig rig;
-    rig.beginHosts();
+    rig.startHosts();
     LineCaller writer(rig.getCallerAddress(0), "db0-primary");
     for (int i = 0; i < 20; ++i)
         BOOST_TEST(writer.ask(fmt::format("WRITE item{} 1", i)).isOk());
@@ -213,7 +213,7 @@
 BOOST_AUTO_TEST_CASE(a_replica_that_starts_again_with_nothing_is_read_once_it_has_shown_what_it_holds)
 {
     GatewayRig rig;
-    rig.beginHosts();
+    rig.startHosts();
     LineCaller writer(rig.getCallerAddress(1), "db0-own");
     for (int i = 0; i < 10; ++i)
         BOOST_TEST(writer.ask(fmt::format("WRITE item{} 1", i)).isOk());
@@ -233,7 +233,7 @@
 BOOST_AUTO_TEST_CASE(a_host_that_starts_does_not_believe_a_primary_that_holds_less_than_its_replicas)
 {
     GatewayRig rig;
-    rig.beginHosts();
+    rig.startHosts();
     LineCaller writer(rig.getCallerAddress(1), "db0-primary");
     for (int i = 0; i < 10; ++i)
         BOOST_TEST(writer.ask(fmt::format("WRITE item{} 1", i)).isOk());
@@ -244,7 +244,7 @@
         rig.getGroup().beginEmpty("g0-a");
         rig.getStore().listMembers();
     });
-    rig.beginHost(0);
+    rig.startHost(0);
     BOOST_REQUIRE(rig.waitReady(0));
     auto answer = LineCaller(rig.getCallerAddress(0), "db0-primary").ask("READ item3");
     BOOST_TEST((!answer.isOk() || answer.rows == std::vector<std::string> { "1" }));
--- a/tests/gateway/input_test.cpp
+++ b/tests/gateway/input_test.cpp
@@ -20,10 +20,10 @@
 
 BOOST_AUTO_TEST_CASE(broken_messages_end_the_connection_and_run_nothing)
 {
-    RigShape shape;
-    shape.hosts = 1;
-    GatewayRig rig(shape);
-    rig.beginHosts();
+    RigOptions options;
+    options.hosts = 1;
+    GatewayRig rig(options);
+    rig.startHosts();
     auto before = rig.call([&] { return rig.getGroup().getRan().size(); });
     for (auto& bytes : std::vector<std::string> { "GET / HTTP/1.1\r\n\r\n", "QUERY\r\n", "QUERY a\r\n", "QUERY - READ x\r\n", "READ x\n", "\r\n", "\n", std::string("\0\1\2\r\n", 5), "CONNECT\r\n", "QUERY a READ x\r\n" }) {
         LineCaller caller(rig.getCallerAddress(0), "");
@@ -41,10 +41,10 @@
 
 BOOST_AUTO_TEST_CASE(a_message_of_almost_a_megabyte_is_served)
 {
-    RigShape shape;
-    shape.hosts = 2;
-    GatewayRig rig(shape);
-    rig.beginHosts();
+    RigOptions options;
+    options.hosts = 2;
+    GatewayRig rig(options);
+    rig.startHosts();
     std::string data(1000 * 1000, 'y');
     for (unsigned i = 0; i < 2; ++i) {
         LineCaller caller(rig.getCallerAddress(i), "db0-primary");
@@ -57,10 +57,10 @@
 {
     auto sessions = allowDescriptors(3000);
     BOOST_REQUIRE(sessions >= 900u);
-    RigShape shape;
-    shape.hosts = 1;
-    GatewayRig rig(shape);
-    rig.beginHosts();
+    RigOptions options;
+    options.hosts = 1;
+    GatewayRig rig(options);
+    rig.startHosts();
     auto before = getResidentKb(rig.getHost(0).getId());
     std::vector<std::unique_ptr<LineCaller>> idle;
     for (unsigned i = 0; i < sessions; ++i) {
--- a/tests/gateway/leaving_test.cpp
+++ b/tests/gateway/leaving_test.cpp
@@ -21,9 +21,9 @@
 constexpr milliseconds kDrainTime { 7000 }; // default of the setting
 constexpr milliseconds kHandoverLimit { 5000 }; // a handover, whoever has to do it; well before the drain time ends
 
-RigShape makeShape()
+RigOptions makeShape()
 {
-    RigShape shape;
+    RigOptions shape;
     shape.hasProxies = true;
     shape.hasOrdersApart = true;
     return shape;
@@ -68,7 +68,7 @@
 BOOST_AUTO_TEST_CASE(a_leaving_primary_is_handed_over_while_the_host_in_charge_has_lost_the_store)
 {
     GatewayRig rig(makeShape());
-    rig.beginHosts();
+    rig.startHosts();
     auto holder = rig.findHolder();
     rig.setStoreCut(holder, true);
     std::this_thread::sleep_for(milliseconds(300));
@@ -83,7 +83,7 @@
 BOOST_AUTO_TEST_CASE(a_leaving_primary_is_handed_over_by_a_deputy_when_orders_of_the_host_in_charge_are_not_answered)
 {
     GatewayRig rig(makeShape());
-    rig.beginHosts();
+    rig.startHosts();
     auto holder = rig.findHolder();
     rig.call([&] {
         rig.getStore().faults.unheardHolders.insert(fmt::format("h{}", holder));
@@ -109,7 +109,7 @@
 BOOST_AUTO_TEST_CASE(a_leaving_primary_gets_no_new_operations_after_its_time_whatever_holds_the_handover_up)
 {
     GatewayRig rig(makeShape());
-    rig.beginHosts();
+    rig.startHosts();
     LineCaller late(rig.getCallerAddress(0), "db0-primary");
     rig.call([&] {
         rig.getStore().faults.refusesPromotions = true;
@@ -132,7 +132,7 @@
 BOOST_AUTO_TEST_CASE(a_primary_that_is_not_listed_any_more_gets_no_new_operations_after_its_time)
 {
     GatewayRig rig(makeShape());
-    rig.beginHosts();
+    rig.startHosts();
     rig.call([&] {
         rig.getStore().faults.refusesPromotions = true;
         rig.getStore().remove("servers/g0-a");
@@ -150,7 +150,7 @@
 {
     GatewayRig rig(makeShape());
     rig.call([&] { rig.getStore().remove("servers/g0-c"); });
-    rig.beginHosts();
+    rig.startHosts();
     rig.setStoreCut(2, true); // in the new member's data centre, so the first to carry to it
     rig.call([&] { rig.getStore().listMembers(); });
     BOOST_TEST(waitUntil(milliseconds(2000), [&] { return rig.getLog(0).find("\"member\":\"g0-c\"") != std::string::npos && rig.getLog(1).find("\"member\":\"g0-c\"") != std::string::npos; }));
@@ -167,7 +167,7 @@
 {
     GatewayRig rig(makeShape());
     rig.call([&] { rig.getStore().remove("servers/g0-c"); });
-    rig.beginHosts();
+    rig.startHosts();
     rig.setStoreCut(2, true);
     auto isTold = [&](const std::string& what) {
         return waitUntil(milliseconds(6000), [&] {
--- a/tests/gateway/path_test.cpp
+++ b/tests/gateway/path_test.cpp
@@ -11,10 +11,10 @@
 BOOST_AUTO_TEST_CASE(a_session_reads_writes_and_commits_through_any_host)
 {
     GatewayRig rig;
-    rig.beginHosts();
+    rig.startHosts();
     for (unsigned i = 0; i < 3; ++i) {
         LineCaller caller(rig.getCallerAddress(i), "db0-own");
-        BOOST_TEST(caller.getHello().state == "I");
+        BOOST_TEST(caller.getHandshakeAnswer().state == "I");
         auto item = fmt::format("item{}", i);
         BOOST_TEST(caller.ask("WRITE " + item + " first").isOk());
         auto read = caller.ask("READ " + item);
@@ -31,14 +31,14 @@
         BOOST_TEST(caller.ask("ROLLBACK").isOk());
         BOOST_TEST(caller.ask("READ " + item).rows.at(0) == "second");
     }
-    BOOST_TEST(LineCaller(rig.getCallerAddress(0), "no-such").getHello().hasCode("NODB"));
+    BOOST_TEST(LineCaller(rig.getCallerAddress(0), "no-such").getHandshakeAnswer().hasCode("NODB"));
 }
 
 // Found at the bench with a primary that turned away two in five: its callers were told so at the first one.
 BOOST_AUTO_TEST_CASE(a_primary_that_turns_some_away_is_asked_again)
 {
     GatewayRig rig;
-    rig.beginHosts();
+    rig.startHosts();
     auto turnAway = [&](int n) { rig.call([&] { rig.getGroup().getFaults(rig.getGroup().getPrimary()).turnsAway = n; }); };
     for (unsigned i = 0; i < 3; ++i) {
         LineCaller caller(rig.getCallerAddress(i), "db0-primary");
@@ -63,10 +63,10 @@
 // Found at the bench with a primary at which two of five statements hung: these held all connections until their time was over.
 BOOST_AUTO_TEST_CASE(statements_that_hang_do_not_keep_all_connections)
 {
-    RigShape shape;
+    RigOptions shape;
     shape.connections = 8; // three for the host that carries
     GatewayRig rig(shape);
-    rig.beginHosts();
+    rig.startHosts();
     rig.configure(2, 4000);
     BOOST_TEST(waitUntil(milliseconds(3000), [&] { return rig.getMetrics(2).find("alderward_configuration_version 2") != std::string::npos; }));
     rig.call([&] { rig.getGroup().getFaults(rig.getGroup().getPrimary()).silentAnswers = 3; });
@@ -85,7 +85,7 @@
 BOOST_AUTO_TEST_CASE(statements_run_with_the_values_and_shapes_of_their_own_session)
 {
     GatewayRig rig;
-    rig.beginHosts();
+    rig.startHosts();
     std::map<std::string, std::pair<std::string, std::string>> expected; // id to value and text
     std::vector<std::unique_ptr<LineCaller>> callers;
     for (unsigned i = 0; i < 6; ++i) {
@@ -117,7 +117,7 @@
 BOOST_AUTO_TEST_CASE(reads_of_a_stated_age_go_to_replicas_and_never_miss_the_sessions_own_commit)
 {
     GatewayRig rig;
-    rig.beginHosts();
+    rig.startHosts();
     rig.call([&] {
         for (auto& id : rig.getGroup().getIds())
             rig.getGroup().getFaults(id).lag = milliseconds(300);
@@ -141,7 +141,7 @@
 BOOST_AUTO_TEST_CASE(replicas_that_are_far_behind_are_asked_by_no_read_until_they_have_caught_up)
 {
     GatewayRig rig;
-    rig.beginHosts();
+    rig.startHosts();
     auto& group = rig.getGroup();
     auto setLag = [&](milliseconds lag) {
         rig.call([&] {
@@ -185,7 +185,7 @@
 BOOST_AUTO_TEST_CASE(a_connection_on_which_a_rollback_failed_serves_nobody_else)
 {
     GatewayRig rig;
-    rig.beginHosts();
+    rig.startHosts();
     rig.call([&] { rig.getGroup().getFaults("g0-a").failsRollback = true; });
     LineCaller reader(rig.getCallerAddress(0), "db0-primary");
     LineCaller writer(rig.getCallerAddress(0), "db0-primary");
@@ -201,7 +201,7 @@
 BOOST_AUTO_TEST_CASE(a_write_whose_answer_is_lost_is_in_doubt_and_never_sent_again)
 {
     GatewayRig rig;
-    rig.beginHosts();
+    rig.startHosts();
     for (bool isTransaction : { false, true }) {
         LineCaller caller(rig.getCallerAddress(1), "db0-primary");
         auto item = isTransaction ? "in-transaction" : "alone";
@@ -221,7 +221,7 @@
 BOOST_AUTO_TEST_CASE(a_read_whose_answer_is_lost_is_asked_again_and_a_transaction_is_aborted_with_nothing_kept)
 {
     GatewayRig rig;
-    rig.beginHosts();
+    rig.startHosts();
     LineCaller reader(rig.getCallerAddress(0), "db0-primary");
     rig.call([&] { rig.getGroup().getFaults("g0-a").losesAnswers = 1; });
     BOOST_TEST(reader.ask("READ x").isOk());
@@ -240,7 +240,7 @@
 BOOST_AUTO_TEST_CASE(a_caller_that_leaves_inside_a_transaction_holds_no_connection)
 {
     GatewayRig rig;
-    rig.beginHosts();
+    rig.startHosts();
     for (int i = 0; i < 60; ++i) {
         LineCaller caller(rig.getCallerAddress(i % 3), "db0-primary");
         caller.ask("BEGIN");
@@ -252,7 +252,7 @@
 BOOST_AUTO_TEST_CASE(a_transaction_that_rests_for_too_long_is_ended)
 {
     GatewayRig rig;
-    rig.beginHosts();
+    rig.startHosts();
     LineCaller caller(rig.getCallerAddress(0), "db0-primary");
     caller.ask("BEGIN");
     BOOST_TEST(caller.ask("WRITE rested 1").isOk());
@@ -263,10 +263,10 @@
 
 BOOST_AUTO_TEST_CASE(the_members_connection_limit_holds_over_all_hosts)
 {
-    RigShape shape;
+    RigOptions shape;
     shape.connections = 10;
     GatewayRig rig(shape);
-    rig.beginHosts();
+    rig.startHosts();
     std::vector<std::unique_ptr<LineCaller>> callers;
     for (int i = 0; i < 45; ++i)
         callers.push_back(std::make_unique<LineCaller>(rig.getCallerAddress(i % 3), i % 2 == 0 ? "db0-primary" : "db0-bounded"));
--- a/tests/gateway/platform_test.cpp
+++ b/tests/gateway/platform_test.cpp
@@ -51,7 +51,7 @@
 BOOST_AUTO_TEST_CASE(a_listed_host_that_swallows_connections_is_passed_over_at_once)
 {
     GatewayRig rig;
-    rig.beginHosts();
+    rig.startHosts();
     std::string name = "x";
     while (alderward::decisions::getHostWeight("g0-a", name) < alderward::decisions::getHostWeight("g0-a", "h0"))
         name += "x"; // until it is the one that carries to the primary
@@ -69,42 +69,42 @@
 BOOST_AUTO_TEST_CASE(a_configuration_is_in_force_everywhere_and_never_goes_back)
 {
     GatewayRig rig;
-    rig.beginHosts();
+    rig.startHosts();
     rig.configure(5, 1500, "added");
     for (unsigned i = 0; i < 3; ++i)
-        BOOST_TEST(waitUntil(milliseconds(3000), [&] { return LineCaller(rig.getCallerAddress(i), "added").getHello().state == "I"; }));
+        BOOST_TEST(waitUntil(milliseconds(3000), [&] { return LineCaller(rig.getCallerAddress(i), "added").getHandshakeAnswer().state == "I"; }));
     rig.configure(4); // an old answer
     std::this_thread::sleep_for(milliseconds(600));
     for (unsigned i = 0; i < 3; ++i)
-        BOOST_TEST(LineCaller(rig.getCallerAddress(i), "added").getHello().state == "I");
+        BOOST_TEST(LineCaller(rig.getCallerAddress(i), "added").getHandshakeAnswer().state == "I");
 }
 
 BOOST_AUTO_TEST_CASE(changes_come_through_lost_history_and_silent_watches)
 {
     GatewayRig rig;
-    rig.beginHosts();
+    rig.startHosts();
     rig.call([&] { rig.getStore().compact(); });
     rig.configure(6, 1500, "after-history");
     for (unsigned i = 0; i < 3; ++i)
-        BOOST_TEST(waitUntil(milliseconds(4000), [&] { return LineCaller(rig.getCallerAddress(i), "after-history").getHello().state == "I"; }));
+        BOOST_TEST(waitUntil(milliseconds(4000), [&] { return LineCaller(rig.getCallerAddress(i), "after-history").getHandshakeAnswer().state == "I"; }));
     rig.call([&] { rig.getStore().faults.silentWatches = true; });
     rig.configure(7, 1500, "after-silence");
     std::this_thread::sleep_for(milliseconds(1000));
     rig.call([&] { rig.getStore().faults.silentWatches = false; });
     for (unsigned i = 0; i < 3; ++i)
-        BOOST_TEST(waitUntil(milliseconds(5000), [&] { return LineCaller(rig.getCallerAddress(i), "after-silence").getHello().state == "I"; }));
+        BOOST_TEST(waitUntil(milliseconds(5000), [&] { return LineCaller(rig.getCallerAddress(i), "after-silence").getHandshakeAnswer().state == "I"; }));
 }
 
 // Found at the bench: callers that reached a host before it had its configuration were told that their database does not exist.
 BOOST_AUTO_TEST_CASE(a_host_without_configuration_is_not_ready_and_denies_no_database)
 {
-    RigShape shape;
+    RigOptions shape;
     shape.hosts = 1;
     GatewayRig rig(shape);
     rig.call([&] { rig.getStore().faults.status = 503; });
-    rig.beginHost(0);
-    BOOST_TEST(waitUntil(milliseconds(3000), [&] { return !LineCaller(rig.getCallerAddress(0), "db0-primary").getHello().result.empty(); }));
-    auto hello = LineCaller(rig.getCallerAddress(0), "db0-primary").getHello();
+    rig.startHost(0);
+    BOOST_TEST(waitUntil(milliseconds(3000), [&] { return !LineCaller(rig.getCallerAddress(0), "db0-primary").getHandshakeAnswer().result.empty(); }));
+    auto hello = LineCaller(rig.getCallerAddress(0), "db0-primary").getHandshakeAnswer();
     BOOST_TEST(hello.hasCode("BUSY"), hello.result);
     BOOST_TEST(!rig.isReady(0));
     rig.call([&] { rig.getStore().faults.status = 0; });
@@ -115,15 +115,15 @@
 // 1.1 s after that; their callers had been refused. Before, this caller was refused.
 BOOST_AUTO_TEST_CASE(a_caller_of_a_host_that_starts_is_taken_soon_after_the_store_answers)
 {
-    RigShape shape;
+    RigOptions shape;
     shape.hosts = 1;
     GatewayRig rig(shape);
     rig.call([&] { rig.getStore().faults.isSilent = true; });
-    rig.beginHost(0);
+    rig.startHost(0);
     auto hello = std::async(std::launch::async, [&] {
         LineAnswer answer;
         waitUntil(milliseconds(1000), [&] {
-            answer = LineCaller(rig.getCallerAddress(0), "db0-primary").getHello();
+            answer = LineCaller(rig.getCallerAddress(0), "db0-primary").getHandshakeAnswer();
             return !answer.result.empty();
         });
         return std::pair(answer, std::chrono::steady_clock::now());
@@ -143,7 +143,7 @@
     GatewayRig rig;
     rig.call([&] { rig.getStore().faults.refusedKeys.insert("op/config"); });
     for (unsigned i = 0; i < 3; ++i)
-        rig.beginHost(i);
+        rig.startHost(i);
     std::this_thread::sleep_for(milliseconds(800)); // members and hosts are known, primaries are asked
     rig.call([&] { rig.getStore().faults.refusedKeys.clear(); });
     for (unsigned i = 0; i < 3; ++i)
@@ -158,10 +158,10 @@
 
 BOOST_AUTO_TEST_CASE(serving_goes_on_while_the_store_is_away_and_entries_come_back)
 {
-    RigShape shape;
+    RigOptions shape;
     shape.extraSettings = ""; // default lease
     GatewayRig rig(shape);
-    rig.beginHosts();
+    rig.startHosts();
     rig.call([&] { rig.getStore().faults.isSilent = true; });
     std::this_thread::sleep_for(milliseconds(1500));
     for (unsigned i = 0; i < 3; ++i) {
@@ -180,10 +180,10 @@
 // Found at the bench: a host that no longer carries to a member kept its connections, and the new carrier could open none.
 BOOST_AUTO_TEST_CASE(connections_are_given_back_when_another_host_carries)
 {
-    RigShape shape;
+    RigOptions shape;
     shape.connections = 12;
     GatewayRig rig(shape);
-    rig.beginHost(0); // alone: it carries to all members
+    rig.startHost(0); // alone: it carries to all members
     BOOST_TEST(rig.waitReady(0));
     LineCaller(rig.getCallerAddress(0), "db0-primary").ask("READ x"); // a first floor
     rig.call([&] {
@@ -206,8 +206,8 @@
     auto open = [&](const std::string& id) { return rig.call([&] { return rig.getGroup().getConnections(id); }); };
     BOOST_TEST(open("g0-b") + open("g0-c") >= 6u);
     // h1 and h2 are in the data centres of g0-b and g0-c.
-    rig.beginHost(1);
-    rig.beginHost(2);
+    rig.startHost(1);
+    rig.startHost(2);
     BOOST_TEST(rig.waitReady(1));
     BOOST_TEST(rig.waitReady(2));
     LineCaller other(rig.getCallerAddress(1), "db0-bounded");
@@ -219,11 +219,11 @@
 BOOST_AUTO_TEST_CASE(a_restarted_host_serves_at_once_and_its_peers_find_it)
 {
     GatewayRig rig;
-    rig.beginHosts();
+    rig.startHosts();
     rig.getHost(0).kill();
     LineCaller meanwhile(rig.getCallerAddress(1), "db0-primary");
     BOOST_TEST(waitUntil(milliseconds(4000), [&] { return meanwhile.ask("READ x").isOk(); }));
-    rig.beginHost(0);
+    rig.startHost(0);
     BOOST_TEST(rig.waitReady(0));
     LineCaller caller(rig.getCallerAddress(0), "db0-primary");
     BOOST_TEST(caller.ask("READ x").isOk());
@@ -237,12 +237,12 @@
 BOOST_AUTO_TEST_CASE(a_starting_host_connects_to_no_member_that_another_host_carries_to)
 {
     GatewayRig rig;
-    rig.beginHosts();
+    rig.startHosts();
     auto carrier = rig.call([&] { return rig.getGroup().getPrimary(); });
     BOOST_REQUIRE(carrier == "g0-a"); // in the data centre of the first host
     rig.getHost(1).kill();
     rig.call([&] { rig.getStore().faults.delay = milliseconds(150); });
-    rig.beginHost(1);
+    rig.startHost(1);
     BOOST_REQUIRE(rig.waitReady(1));
     std::this_thread::sleep_for(milliseconds(300));
     BOOST_TEST(rig.getMetrics(1).find("alderward_connections_opened_total{member=\"g0-a\"") == std::string::npos);
@@ -252,10 +252,10 @@
 // it had lost the store; whoever went by that left it in charge. Before: no such line in 6 s.
 BOOST_AUTO_TEST_CASE(a_host_without_the_store_says_so_also_while_it_hears_of_changes)
 {
-    RigShape shape;
+    RigOptions shape;
     shape.hasProxies = true;
     GatewayRig rig(shape);
-    rig.beginHosts();
+    rig.startHosts();
     rig.setStoreCut(1, true);
     bool isLeaving = false;
     BOOST_TEST(waitUntil(milliseconds(6000), [&] {
@@ -273,7 +273,7 @@
 BOOST_AUTO_TEST_CASE(entries_of_other_writers_harm_nobody_and_name_no_member_to_use)
 {
     GatewayRig rig;
-    rig.beginHosts();
+    rig.startHosts();
     auto put = [&](const std::string& key, const std::string& value) { rig.call([&] { rig.getStore().put(key, value); }); };
     const std::string good = R"("Service":"g0","Zone":"dc-a","Version":"v1","Slots":4,"State":"ready","ColdLeftMs":0,"DbRole":"primary","Sequence":1)";
     int n = 0;
@@ -318,7 +318,7 @@
 BOOST_AUTO_TEST_CASE(a_planned_stop_cuts_nothing_and_gives_transactions_half_of_the_time)
 {
     GatewayRig rig;
-    rig.beginHosts();
+    rig.startHosts();
     LineCaller idle(rig.getCallerAddress(0), "db0-primary");
     LineCaller open(rig.getCallerAddress(0), "db0-primary");
     LineCaller resting(rig.getCallerAddress(0), "db0-primary");
@@ -342,10 +342,10 @@
 
 BOOST_AUTO_TEST_CASE(settings_are_read_again_on_a_signal_and_on_a_silent_change)
 {
-    RigShape shape;
+    RigOptions shape;
     shape.hosts = 1;
     GatewayRig rig(shape);
-    rig.beginHosts();
+    rig.startHosts();
     rig.getHost(0).signal(SIGHUP);
     BOOST_TEST(waitUntil(milliseconds(2000), [&] { return rig.countEvents("settings-read") == 1; }));
     std::FILE* file = std::fopen(rig.getSettingsPath(0).c_str(), "a");
@@ -358,16 +358,16 @@
 // Standard output is a pipe that nobody reads: lines are lost, requests are not.
 BOOST_AUTO_TEST_CASE(a_reader_of_the_log_that_is_stuck_costs_no_request)
 {
-    RigShape shape;
+    RigOptions shape;
     shape.hosts = 1;
     shape.extraSettings = "buffer_kb = 16\n";
     GatewayRig rig(shape);
-    rig.beginHosts();
+    rig.startHosts();
     rig.getHost(0).kill();
     std::string pipe = rig.getLogPath(0) + ".pipe";
     BOOST_REQUIRE(::mkfifo(pipe.c_str(), 0600) == 0);
     int reader = ::open(pipe.c_str(), O_RDWR); // holds it open and never reads
-    Process host({ rig.getDaemon(), "--settings", rig.getSettingsPath(0) }, pipe);
+    Process host({ rig.getDaemonPath(), "--settings", rig.getSettingsPath(0) }, pipe);
     BOOST_TEST(rig.waitReady(0));
     LineCaller caller(rig.getCallerAddress(0), "db0-primary");
     for (int i = 0; i < 1500; ++i)
--- a/tests/gateway/relays_test.cpp
+++ b/tests/gateway/relays_test.cpp
@@ -18,9 +18,9 @@
 constexpr double kFreshSeconds = 1.5; // as the bounded route of the rig allows
 constexpr milliseconds kReplaceLimit { 4000 }; // silence is noticed after 0.7 s; then others are connected to, on a busy machine
 
-RigShape makeShape()
+RigOptions makeShape()
 {
-    RigShape shape;
+    RigOptions shape;
     shape.hosts = kHosts;
     return shape;
 }
@@ -96,7 +96,7 @@
 BOOST_AUTO_TEST_CASE(hosts_agree_on_two_relays_a_data_centre_and_hear_floors_through_them)
 {
     GatewayRig rig(makeShape());
-    rig.beginHosts();
+    rig.startHosts();
     auto relays = std::vector<unsigned>();
     BOOST_TEST(waitUntil(milliseconds(5000), [&] {
         relays = findRelays(rig, 0);
@@ -115,7 +115,7 @@
 BOOST_AUTO_TEST_CASE(relays_that_freeze_or_die_are_replaced_before_floors_are_too_old_for_long)
 {
     GatewayRig rig(makeShape());
-    rig.beginHosts();
+    rig.startHosts();
     BOOST_REQUIRE(waitUntil(milliseconds(5000), [&] { return findRelays(rig, 0).size() == 2; }));
     auto relays = findRelays(rig, 0);
     auto others = getOthersOfDataCentre(relays);
@@ -142,7 +142,7 @@
 BOOST_AUTO_TEST_CASE(a_change_in_the_store_reaches_all_hosts_and_is_asked_for_by_a_few)
 {
     GatewayRig rig(makeShape());
-    rig.beginHosts();
+    rig.startHosts();
     BOOST_REQUIRE(waitUntil(milliseconds(5000), [&] { return findRelays(rig, 0).size() == 2; }));
     std::this_thread::sleep_for(milliseconds(3000)); // hosts that came ask no more
     auto before = rig.call([&] { return rig.getStore().getWatches(); });
@@ -163,7 +163,7 @@
     auto shape = makeShape();
     shape.hasProxies = true;
     GatewayRig rig(shape);
-    rig.beginHosts();
+    rig.startHosts();
     BOOST_REQUIRE(LineCaller(rig.getCallerAddress(1), "db0-primary").ask("WRITE x 1").isOk());
     rig.call([&] {
         for (unsigned i = 0; i < kHosts; i += 3)
@@ -185,7 +185,7 @@
     auto shape = makeShape();
     shape.hasProxies = true;
     GatewayRig rig(shape);
-    rig.beginHosts();
+    rig.startHosts();
     BOOST_REQUIRE(waitUntil(milliseconds(5000), [&] { return findRelays(rig, 0).size() == 2; }));
     auto relays = findRelays(rig, 0);
     auto others = getOthersOfDataCentre(relays);
@@ -205,7 +205,7 @@
 BOOST_AUTO_TEST_CASE(a_store_that_is_gone_for_all_is_looked_for_by_relays)
 {
     GatewayRig rig(makeShape());
-    rig.beginHosts();
+    rig.startHosts();
     BOOST_REQUIRE(waitUntil(milliseconds(5000), [&] { return findRelays(rig, 0).size() == 2; }));
     std::this_thread::sleep_for(milliseconds(3000));
     auto before = rig.call([&] {
@@ -232,7 +232,7 @@
     auto shape = makeShape();
     shape.hasProxies = true;
     GatewayRig rig(shape);
-    rig.beginHosts();
+    rig.startHosts();
     BOOST_REQUIRE(waitUntil(milliseconds(5000), [&] { return findRelays(rig, 0).size() == 2; }));
     std::this_thread::sleep_for(milliseconds(3000));
     auto others = getOthersOfDataCentre(findRelays(rig, 0));
--- a/tests/gateway/soak_test.cpp
+++ b/tests/gateway/soak_test.cpp
@@ -166,7 +166,7 @@
         m_caller = std::make_unique<LineCaller>(m_rig.getCallerAddress(m_random() % kHosts), fmt::format("db{}-{}", m_group, m_kind));
         ++m_session;
         m_sessionValue = fmt::format("v{}-{}", m_number, m_session);
-        if (m_caller->getHello().state != "I" || !m_caller->ask("SET mark " + m_sessionValue).isOk())
+        if (m_caller->getHandshakeAnswer().state != "I" || !m_caller->ask("SET mark " + m_sessionValue).isOk())
             m_caller.reset();
     }
 
@@ -356,7 +356,7 @@
         auto code = m_rig.getHost(index).wait(milliseconds(8000));
         if (!code || (mustEndWell && *code != 0))
             m_complaints.push_back(fmt::format("host {} did not end its planned stop: {}", index, code ? *code : -1));
-        m_rig.beginHost(index);
+        m_rig.startHost(index);
         m_begunAt[index] = Clock::now();
         m_absent.erase(index);
     }
@@ -532,12 +532,12 @@
 
 void runSoak(unsigned seed, milliseconds length)
 {
-    RigShape shape;
+    RigOptions shape;
     shape.hosts = kHosts;
     shape.groups = kGroups;
     shape.hasProxies = true;
     GatewayRig rig(shape);
-    rig.beginHosts();
+    rig.startHosts();
     std::vector<History> histories(kCallers);
     FaultLoop faults(rig);
     {
--- a/tests/gateway/starting_test.cpp
+++ b/tests/gateway/starting_test.cpp
@@ -51,7 +51,7 @@
 BOOST_AUTO_TEST_CASE(a_primary_that_started_again_is_not_believed_while_no_replica_answers)
 {
     GatewayRig rig;
-    rig.beginHosts();
+    rig.startHosts();
     writeItems(rig);
     killHosts(rig);
     setDark(rig, true);
@@ -59,7 +59,7 @@
         rig.getGroup().beginEmpty("g0-a");
         rig.getStore().listMembers();
     });
-    rig.beginHost(0);
+    rig.startHost(0);
     BOOST_REQUIRE(rig.waitReady(0));
     auto until = Clock::now() + milliseconds(4000);
     while (Clock::now() < until) {
@@ -79,7 +79,7 @@
 {
     GatewayRig rig;
     setDark(rig, true);
-    rig.beginHost(0);
+    rig.startHost(0);
     BOOST_REQUIRE(rig.waitReady(0));
     BOOST_TEST(waitUntil(kServedWithin, [&] { return LineCaller(rig.getCallerAddress(0), "db0-primary").ask("WRITE x 1").isOk(); }));
 }
@@ -87,11 +87,11 @@
 BOOST_AUTO_TEST_CASE(a_primary_that_did_not_start_again_is_served_by_while_no_replica_answers)
 {
     GatewayRig rig;
-    rig.beginHosts();
+    rig.startHosts();
     writeItems(rig);
     killHosts(rig);
     setDark(rig, true);
-    rig.beginHost(0);
+    rig.startHost(0);
     BOOST_REQUIRE(rig.waitReady(0));
     BOOST_TEST(waitUntil(kServedWithin, [&] { return isRight(readItem(rig)); }));
 }
@@ -100,7 +100,7 @@
 BOOST_AUTO_TEST_CASE(a_primary_that_came_back_with_its_log_is_served_by_with_one_replica_of_two)
 {
     GatewayRig rig;
-    rig.beginHosts();
+    rig.startHosts();
     writeItems(rig);
     killHosts(rig);
     rig.call([&] {
@@ -109,7 +109,7 @@
         rig.getGroup().begin("g0-a");
         rig.getStore().listMembers();
     });
-    rig.beginHost(0);
+    rig.startHost(0);
     BOOST_REQUIRE(rig.waitReady(0));
     BOOST_TEST(waitUntil(kServedWithin, [&] { return isRight(readItem(rig)); }));
 }
--- a/tests/gateway/terms_test.cpp
+++ b/tests/gateway/terms_test.cpp
@@ -59,7 +59,7 @@
 BOOST_AUTO_TEST_CASE(a_leaving_that_is_taken_back_during_the_handover_orders_nothing)
 {
     GatewayRig rig;
-    rig.beginHosts();
+    rig.startHosts();
     rig.call([&] {
         rig.getGroup().getFaults("g0-b").isDeaf = true;
         rig.getGroup().getFaults("g0-c").isDeaf = true;
@@ -79,7 +79,7 @@
 BOOST_AUTO_TEST_CASE(a_leaving_that_is_taken_back_while_the_order_is_unanswered_replaces_nobody)
 {
     GatewayRig rig;
-    rig.beginHosts();
+    rig.startHosts();
     BOOST_TEST(canWrite(rig, 0));
     rig.call([&] {
         rig.getStore().faults.unheardHolders = { "h0", "h1", "h2" };
@@ -99,7 +99,7 @@
 BOOST_AUTO_TEST_CASE(an_order_that_is_repeated_after_its_first_answer_was_lost_raises_the_term_once)
 {
     GatewayRig rig;
-    rig.beginHosts();
+    rig.startHosts();
     BOOST_TEST(canWrite(rig, 0));
     rig.call([&] {
         rig.getStore().faults.losesPromotions = true;
@@ -117,7 +117,7 @@
 BOOST_AUTO_TEST_CASE(a_member_that_is_ordered_again_before_the_first_order_took_effect_leads_one_term_later)
 {
     GatewayRig rig;
-    rig.beginHosts();
+    rig.startHosts();
     BOOST_TEST(canWrite(rig, 0));
     rig.call([&] {
         rig.getStore().faults.promotionsTake = milliseconds(2600);
@@ -132,7 +132,7 @@
 BOOST_AUTO_TEST_CASE(a_term_that_no_member_has_shown_gives_way_to_the_one_that_the_primary_shows)
 {
     GatewayRig rig;
-    rig.beginHosts();
+    rig.startHosts();
     BOOST_TEST(canWrite(rig, 0));
     for (unsigned i = 0; i < kHosts; ++i)
         rig.tellLead(i, "g0", "g0-a", 3);
@@ -151,7 +151,7 @@
         rig.getGroup().getFaults("g0-b").isDeaf = true;
         rig.getGroup().getFaults("g0-c").isDeaf = true;
     });
-    rig.beginHosts();
+    rig.startHosts();
     LineCaller writer(rig.getCallerAddress(0), "db0-primary");
     for (int i = 0; i < 10; ++i)
         BOOST_TEST(writer.ask(fmt::format("WRITE item{} 1", i)).isOk());
@@ -170,8 +170,8 @@
 // The second half of the story at the top: the carrier alone has denied the lead. It hears of the start later than the others, which take its word meanwhile.
 BOOST_AUTO_TEST_CASE(the_only_carrier_believes_its_primary_again_after_it_denied_a_lead_of_a_term_that_was_too_high)
 {
-    GatewayRig rig(RigShape { .hasProxies = true });
-    rig.beginHosts();
+    GatewayRig rig(RigOptions { .hasProxies = true });
+    rig.startHosts();
     BOOST_TEST(canWrite(rig, 0));
     for (unsigned i = 0; i < kHosts; ++i)
         rig.tellLead(i, "g0", "g0-a", 3);
--- a/tests/harness/gateway_rig.cpp
+++ b/tests/harness/gateway_rig.cpp
@@ -19,33 +19,33 @@
 
 using Clock = std::chrono::steady_clock;
 
-static constexpr unsigned kProxiesOfHost = 3; // before the store, its callers' address, its address for other hosts
+static constexpr unsigned kProxiesPerHost = 3; // before the store, its callers' address, its address for other hosts
 
-GatewayRig::GatewayRig(RigShape shape)
-    : m_shape(shape)
-    , m_guard(boost::asio::make_work_guard(m_context))
+GatewayRig::GatewayRig(RigOptions options)
+    : m_options(options)
+    , m_workGuard(boost::asio::make_work_guard(m_context))
 {
     static std::atomic<int> number { 0 };
     m_folder = fmt::format("{}/alderward-rig-{}-{}", std::filesystem::temp_directory_path().string(), getpid(), ++number);
     std::filesystem::create_directories(m_folder);
-    auto own = 1 + 3 * m_shape.groups + 4 * m_shape.hosts;
-    m_ports = findPorts(own + (m_shape.hasProxies ? 3 * m_shape.groups + kProxiesOfHost * m_shape.hosts : 0));
+    auto own = 1 + 3 * m_options.groups + 4 * m_options.hosts;
+    m_ports = findPorts(own + (m_options.hasProxies ? 3 * m_options.groups + kProxiesPerHost * m_options.hosts : 0));
     size_t next = 1;
     std::vector<standins::LineGroup*> groups;
-    for (unsigned i = 0; i < m_shape.groups; ++i) {
+    for (unsigned i = 0; i < m_options.groups; ++i) {
         std::vector<std::string> ids { fmt::format("g{}-a", i), fmt::format("g{}-b", i), fmt::format("g{}-c", i) };
         std::vector<unsigned short> ports { m_ports[next], m_ports[next + 1], m_ports[next + 2] };
         next += 3;
-        m_groups.push_back(std::make_unique<standins::LineGroup>(m_context, fmt::format("g{}", i), ids, ports, m_shape.slots, m_shape.connections));
+        m_groups.push_back(std::make_unique<standins::LineGroup>(m_context, fmt::format("g{}", i), ids, ports, m_options.slots, m_options.connections));
         groups.push_back(m_groups.back().get());
     }
     m_store = std::make_unique<standins::KvStore>(m_context, m_ports[0], groups);
-    m_hosts.resize(m_shape.hosts);
-    for (unsigned i = 0; i < m_shape.hosts; ++i) {
+    m_hosts.resize(m_options.hosts);
+    for (unsigned i = 0; i < m_options.hosts; ++i) {
         m_storeAddresses.push_back(m_store->getAddress());
         m_callerAddresses.push_back(getHostAddress(i, 0));
     }
-    if (m_shape.hasProxies)
+    if (m_options.hasProxies)
         addProxies(own);
     m_thread = std::thread([this] { m_context.run(); });
     call([&] { m_store->listMembers(); });
@@ -61,7 +61,7 @@
 void GatewayRig::addProxies(size_t firstPort)
 {
     auto port = firstPort;
-    for (unsigned i = 0; i < m_shape.hosts; ++i) {
+    for (unsigned i = 0; i < m_options.hosts; ++i) {
         m_storeAddresses[i] = addProxy(m_ports[port++], m_store->getAddress());
         m_callerAddresses[i] = addProxy(m_ports[port++], getHostAddress(i, 0));
         m_store->advertised[getHostAddress(i, 1)] = addProxy(m_ports[port++], getHostAddress(i, 1));
@@ -75,13 +75,13 @@
 // Services: 0 callers, 1 other hosts, 2 readiness, 3 metrics.
 std::string GatewayRig::getHostAddress(unsigned index, unsigned service) const
 {
-    return fmt::format("127.0.0.1:{}", m_ports[1 + 3 * m_shape.groups + 4 * index + service]);
+    return fmt::format("127.0.0.1:{}", m_ports[1 + 3 * m_options.groups + 4 * index + service]);
 }
 
 GatewayRig::~GatewayRig()
 {
     m_hosts.clear();
-    m_guard.reset();
+    m_workGuard.reset();
     m_context.stop();
     m_thread.join();
     std::error_code ec;
@@ -93,11 +93,11 @@
 {
     boost::json::array routes;
     boost::json::array services;
-    for (unsigned i = 0; i < m_shape.groups; ++i) {
+    for (unsigned i = 0; i < m_options.groups; ++i) {
         auto group = fmt::format("g{}", i);
         auto add = [&](const std::string& database, const std::string& kind, int staleness) {
             boost::json::object route { { "Name", "r-" + database }, { "Host", database }, { "Prefix", "/" }, { "RouteType", kind }, { "TimeoutMs", timeoutMs }, { "SloMs", 500 }, { "Priority", 1 }, { "Service", group }, { "MaxStalenessMs", staleness } };
-            if (database == m_shape.publicDatabase)
+            if (database == m_options.publicDatabase)
                 route["Public"] = true;
             routes.push_back(std::move(route));
         };
@@ -106,12 +106,12 @@
         add(fmt::format("db{}-own", i), "read_your_writes", 2500);
         if (!extraDatabase.empty())
             add(extraDatabase, "primary", 0);
-        services.push_back({ { "Name", group }, { "MaxConns", m_shape.connections }, { "SyncReplicas", 0 } });
+        services.push_back({ { "Name", group }, { "MaxConns", m_options.connections }, { "SyncReplicas", 0 } });
     }
     boost::json::object config { { "Version", version }, { "Routes", routes }, { "Services", services }, { "Limits", { { "TxIdleMs", 3000 } } } };
-    if (!m_shape.accounts.empty()) {
+    if (!m_options.accounts.empty()) {
         boost::json::array accounts;
-        for (auto& it : m_shape.accounts)
+        for (auto& it : m_options.accounts)
             accounts.push_back({ { "Name", it.name }, { "ApiKeys", boost::json::array(it.keys.begin(), it.keys.end()) }, { "Priority", 1 }, { "RatePerS", it.perSecond }, { "Burst", it.burst } });
         config["Tenants"] = std::move(accounts);
     }
@@ -120,16 +120,16 @@
 
 void GatewayRig::configureAccounts(uint64_t version, std::vector<RigAccount> accounts)
 {
-    m_shape.accounts = std::move(accounts);
+    m_options.accounts = std::move(accounts);
     configure(version);
 }
 
-bool GatewayRig::waitConfigured(unsigned index, uint64_t version, milliseconds limit)
+bool GatewayRig::waitUntilConfigured(unsigned index, uint64_t version, milliseconds limit)
 {
     return waitUntil(limit, [&] { return getMetrics(index).find(fmt::format("alderward_configuration_version {}", version)) != std::string::npos; });
 }
 
-std::string GatewayRig::getDaemon() const { return std::string(std::getenv("ALDERWARD_BINARIES")) + "/alderward"; }
+std::string GatewayRig::getDaemonPath() const { return std::string(std::getenv("ALDERWARD_BINARIES")) + "/alderward"; }
 std::string GatewayRig::getLogPath(unsigned index) const { return fmt::format("{}/h{}.log", m_folder, index); }
 std::string GatewayRig::getSettingsPath(unsigned index) const { return fmt::format("{}/h{}.ini", m_folder, index); }
 
@@ -138,18 +138,18 @@
     return m_callerAddresses.at(index);
 }
 
-void GatewayRig::beginHost(unsigned index)
+void GatewayRig::startHost(unsigned index)
 {
     std::ofstream file(getSettingsPath(index));
     file << fmt::format("[gateway]\nname = h{}\ndata_centre = dc-{}\ncaller_address = {}\npeer_address = {}\nready_address = {}\nmetrics_address = {}\n", index, static_cast<char>('a' + index % 3), getHostAddress(index, 0), getHostAddress(index, 1), getHostAddress(index, 2), getHostAddress(index, 3));
-    file << fmt::format("[platform]\nstore_address = {}\norders_address = {}\n[stop]\ngrace_ms = {}\n[log]\nlines_per_second = 10000\n{}", m_storeAddresses[index], m_shape.hasOrdersApart ? m_store->getAddress() : m_storeAddresses[index], m_shape.graceMs, m_shape.extraSettings);
+    file << fmt::format("[platform]\nstore_address = {}\norders_address = {}\n[stop]\ngrace_ms = {}\n[log]\nlines_per_second = 10000\n{}", m_storeAddresses[index], m_options.hasOrdersApart ? m_store->getAddress() : m_storeAddresses[index], m_options.graceMs, m_options.extraSettings);
     file.close();
-    m_hosts[index] = std::make_unique<Process>(std::vector<std::string> { getDaemon(), "--settings", getSettingsPath(index) }, getLogPath(index));
+    m_hosts[index] = std::make_unique<Process>(std::vector<std::string> { getDaemonPath(), "--settings", getSettingsPath(index) }, getLogPath(index));
 }
 
 void GatewayRig::setStoreCut(unsigned host, bool isCut)
 {
-    auto* proxy = m_proxies.at(host * kProxiesOfHost).get(); // the first of its proxies
+    auto* proxy = m_proxies.at(host * kProxiesPerHost).get(); // the first of its proxies
     call([proxy, isCut] {
         proxy->faults.swallowsThere = isCut;
         proxy->faults.swallowsBack = isCut;
@@ -193,9 +193,9 @@
     return client.getText("/metrics");
 }
 
-std::string GatewayRig::getKey() const
+std::string GatewayRig::getSessionKey() const
 {
-    return m_shape.accounts.empty() ? "caller" : m_shape.accounts.front().keys.front();
+    return m_options.accounts.empty() ? "caller" : m_options.accounts.front().keys.front();
 }
 
 bool GatewayRig::waitReady(unsigned index, milliseconds limit)
@@ -203,15 +203,15 @@
     return waitUntil(limit, [&] { return isReady(index); });
 }
 
-void GatewayRig::beginHosts()
+void GatewayRig::startHosts()
 {
-    for (unsigned i = 0; i < m_shape.hosts; ++i)
-        beginHost(i);
-    for (unsigned i = 0; i < m_shape.hosts; ++i) {
+    for (unsigned i = 0; i < m_options.hosts; ++i)
+        startHost(i);
+    for (unsigned i = 0; i < m_options.hosts; ++i) {
         waitReady(i);
         // Each host has a floor of each group once a bounded read was served by it.
-        for (unsigned group = 0; group < m_shape.groups; ++group)
-            LineCaller(getCallerAddress(i), fmt::format("db{}-bounded", group), getKey()).ask("READ warm");
+        for (unsigned group = 0; group < m_options.groups; ++group)
+            LineCaller(getCallerAddress(i), fmt::format("db{}-bounded", group), getSessionKey()).ask("READ warm");
     }
     waitUntil(milliseconds(3000), [&] { return call([&] { return m_store->has("alderward/succession/g0"); }); });
 }
@@ -228,7 +228,7 @@
 {
     size_t n = 0;
     auto needle = "\"event\":\"" + event + "\"";
-    for (unsigned i = 0; i < m_shape.hosts; ++i) {
+    for (unsigned i = 0; i < m_options.hosts; ++i) {
         auto log = getLog(i);
         for (auto at = log.find(needle); at != std::string::npos; at = log.find(needle, at + 1))
             ++n;
@@ -248,7 +248,7 @@
     if (database.empty())
         return;
     sendRaw("CONNECT " + database + " " + key + "\r\n");
-    m_hello = receive(milliseconds(3000));
+    m_handshakeAnswer = receive(milliseconds(3000));
 }
 
 LineCaller::~LineCaller() { close(); }
--- a/tests/harness/gateway_rig.h
+++ b/tests/harness/gateway_rig.h
@@ -19,7 +19,7 @@
     double burst { 1000 };
 };
 
-struct RigShape {
+struct RigOptions {
     unsigned hosts { 3 };
     unsigned groups { 1 }; // of three members each, one a data centre
     unsigned slots { 4 };
@@ -34,11 +34,11 @@
 
 class GatewayRig {
 public:
-    explicit GatewayRig(RigShape shape = {});
+    explicit GatewayRig(RigOptions options = {});
     ~GatewayRig();
 
-    void beginHosts(); // all, and waits until they are ready and every group's primary is proven
-    void beginHost(unsigned index);
+    void startHosts(); // all, and waits until they are ready and every group's primary is proven
+    void startHost(unsigned index);
     bool waitReady(unsigned index, milliseconds limit = milliseconds(5000));
     bool isReady(unsigned index);
     Process& getHost(unsigned index) { return *m_hosts.at(index); }
@@ -47,7 +47,7 @@
     std::string getLog(unsigned index) const; // standard output so far
     std::string getLogPath(unsigned index) const;
     std::string getSettingsPath(unsigned index) const;
-    std::string getDaemon() const;
+    std::string getDaemonPath() const;
     size_t countEvents(const std::string& event) const; // lines of all hosts
 
     // Runs on the stand-ins' thread and waits for it.
@@ -75,18 +75,18 @@
     // The same with other client accounts.
     void configureAccounts(uint64_t version, std::vector<RigAccount> accounts);
     // Waits until the host has it in force.
-    bool waitConfigured(unsigned index, uint64_t version, milliseconds limit = milliseconds(3000));
+    bool waitUntilConfigured(unsigned index, uint64_t version, milliseconds limit = milliseconds(3000));
 
 private:
     std::string getHostAddress(unsigned index, unsigned service) const;
     std::string addProxy(unsigned short port, const std::string& address);
     void addProxies(size_t firstPort);
-    std::string getKey() const; // that opens sessions
+    std::string getSessionKey() const; // that opens sessions
 
-    RigShape m_shape;
+    RigOptions m_options;
     std::string m_folder;
     boost::asio::io_context m_context { 1 };
-    boost::asio::executor_work_guard<boost::asio::io_context::executor_type> m_guard;
+    boost::asio::executor_work_guard<boost::asio::io_context::executor_type> m_workGuard;
     std::vector<unsigned short> m_ports;
     std::vector<std::unique_ptr<standins::LineGroup>> m_groups;
     std::unique_ptr<standins::KvStore> m_store;
@@ -113,7 +113,7 @@
     LineAnswer ask(const std::string& text, milliseconds limit = milliseconds(5000));
     void send(const std::string& text); // without waiting
     LineAnswer receive(milliseconds limit = milliseconds(5000));
-    const LineAnswer& getHello() const { return m_hello; }
+    const LineAnswer& getHandshakeAnswer() const { return m_handshakeAnswer; }
     const std::string& getLastId() const { return m_lastId; }
     // Whether the far side has closed; waits up to the limit.
     bool isClosed(milliseconds limit);
@@ -126,7 +126,7 @@
     int m_socket { -1 };
     std::string m_buf;
     std::string m_lastId;
-    LineAnswer m_hello;
+    LineAnswer m_handshakeAnswer;
 };
 
 }
