--- a/tests/gateway/accounts_test.cpp
+++ b/tests/gateway/accounts_test.cpp
@@ -130,7 +130,7 @@
     unsigned cut = 20;
     LineCaller resting(rig.getCallerAddress(cut), "db0-own", "key-mill-1");
     BOOST_TEST(resting.ask("READ a").isOk());
-    rig.setStoreCut(cut, true);
+    rig.setStoreIsolated(cut, true);
     rig.configureAccounts(2, { { "mill", { "key-mill-2", "key-mill-3" } }, { "shop", { "key-shop-1" } } });
     BOOST_TEST(rig.waitUntilConfigured(cut, 2, milliseconds(5000)));
     BOOST_TEST(resting.isClosed(milliseconds(1000)));
--- a/tests/gateway/failover_test.cpp
+++ b/tests/gateway/failover_test.cpp
@@ -149,7 +149,7 @@
     GatewayRig rig;
     rig.startHosts();
     BOOST_TEST(canWrite(rig, 0));
-    auto holder = rig.findHolder();
+    auto holder = rig.findFirstCoordinator();
     rig.getHost(holder).signal(SIGSTOP);
     rig.call([&] { rig.getGroup().kill("g0-a"); });
     auto other = (holder + 1) % 3;
--- a/tests/gateway/leaving_test.cpp
+++ b/tests/gateway/leaving_test.cpp
@@ -25,7 +25,7 @@
 {
     RigOptions shape;
     shape.hasProxies = true;
-    shape.hasOrdersApart = true;
+    shape.hasDirectOrders = true;
     return shape;
 }
 
@@ -69,22 +69,22 @@
 {
     GatewayRig rig(makeShape());
     rig.startHosts();
-    auto holder = rig.findHolder();
-    rig.setStoreCut(holder, true);
+    auto holder = rig.findFirstCoordinator();
+    rig.setStoreIsolated(holder, true);
     std::this_thread::sleep_for(milliseconds(300));
     rig.call([&] { rig.getStore().setLeaving("g0-a", true); });
     BOOST_TEST(waitUntil(kHandoverLimit, [&] { return isHandedOver(rig); }));
     for (unsigned i = 0; i < 3; ++i)
         BOOST_TEST(waitUntil(milliseconds(2000), [&] { return canWrite(rig, i); }));
     BOOST_TEST(rig.call([&] { return rig.getGroup().getTerm(); }) == 2u);
-    rig.setStoreCut(holder, false);
+    rig.setStoreIsolated(holder, false);
 }
 
 BOOST_AUTO_TEST_CASE(a_leaving_primary_is_handed_over_by_a_deputy_when_orders_of_the_host_in_charge_are_not_answered)
 {
     GatewayRig rig(makeShape());
     rig.startHosts();
-    auto holder = rig.findHolder();
+    auto holder = rig.findFirstCoordinator();
     rig.call([&] {
         rig.getStore().faults.unheardHolders.insert(fmt::format("h{}", holder));
         rig.getStore().setLeaving("g0-a", true);
@@ -151,7 +151,7 @@
     GatewayRig rig(makeShape());
     rig.call([&] { rig.getStore().remove("servers/g0-c"); });
     rig.startHosts();
-    rig.setStoreCut(2, true); // in the new member's data centre, so the first to carry to it
+    rig.setStoreIsolated(2, true); // in the new member's data centre, so the first to carry to it
     rig.call([&] { rig.getStore().listMembers(); });
     BOOST_TEST(waitUntil(milliseconds(2000), [&] { return rig.getLog(0).find("\"member\":\"g0-c\"") != std::string::npos && rig.getLog(1).find("\"member\":\"g0-c\"") != std::string::npos; }));
     rig.call([&] {
@@ -168,7 +168,7 @@
     GatewayRig rig(makeShape());
     rig.call([&] { rig.getStore().remove("servers/g0-c"); });
     rig.startHosts();
-    rig.setStoreCut(2, true);
+    rig.setStoreIsolated(2, true);
     auto isTold = [&](const std::string& what) {
         return waitUntil(milliseconds(6000), [&] {
             auto log = rig.getLog(2);
@@ -188,7 +188,7 @@
     rig.call([&] { rig.getStore().remove("servers/g0-a"); });
     BOOST_TEST(isTold("\"event\":\"member-unlisted\",\"member\":\"g0-a\""));
     std::this_thread::sleep_for(milliseconds(5000)); // forgotten by all
-    rig.setStoreCut(2, false);
+    rig.setStoreIsolated(2, false);
     BOOST_TEST(waitUntil(milliseconds(4000), [&] { return rig.getLog(2).rfind("store-regained") > rig.getLog(2).rfind("store-lost"); }));
     BOOST_TEST(canWrite(rig, 2));
 }
--- a/tests/gateway/platform_test.cpp
+++ b/tests/gateway/platform_test.cpp
@@ -256,7 +256,7 @@
     shape.hasProxies = true;
     GatewayRig rig(shape);
     rig.startHosts();
-    rig.setStoreCut(1, true);
+    rig.setStoreIsolated(1, true);
     bool isLeaving = false;
     BOOST_TEST(waitUntil(milliseconds(6000), [&] {
         isLeaving = !isLeaving; // changes without end, each heard of with the next ping
@@ -264,7 +264,7 @@
         std::this_thread::sleep_for(milliseconds(300));
         return rig.getLog(1).find("\"event\":\"store-lost\"") != std::string::npos;
     }));
-    rig.setStoreCut(1, false);
+    rig.setStoreIsolated(1, false);
     BOOST_TEST(waitUntil(milliseconds(4000), [&] { return rig.getLog(1).rfind("\"event\":\"store-regained\"") > rig.getLog(1).rfind("\"event\":\"store-lost\""); }));
 }
 
--- a/tests/gateway/relays_test.cpp
+++ b/tests/gateway/relays_test.cpp
@@ -190,7 +190,7 @@
     auto relays = findRelays(rig, 0);
     auto others = getOthersOfDataCentre(relays);
     for (auto it : relays)
-        rig.setStoreCut(it, true);
+        rig.setStoreIsolated(it, true);
     rig.configure(2);
     for (auto it : others)
         BOOST_TEST(waitUntil(milliseconds(6000), [&] { return rig.getMetrics(it).find("alderward_configuration_version 2") != std::string::npos; }), "host " << it);
@@ -237,12 +237,12 @@
     std::this_thread::sleep_for(milliseconds(3000));
     auto others = getOthersOfDataCentre(findRelays(rig, 0));
     for (unsigned i = 0; i < kHosts; i += 3)
-        rig.setStoreCut(i, true);
+        rig.setStoreIsolated(i, true);
     auto hasLost = [&](unsigned host) { return rig.getLog(host).find("\"event\":\"store-lost\"") != std::string::npos; };
     BOOST_REQUIRE(waitUntil(milliseconds(8000), [&] { return std::ranges::all_of(others, hasLost); }));
     std::this_thread::sleep_for(milliseconds(1500)); // they have heard that their relays have lost it, too
     for (auto it : others)
-        rig.setStoreCut(it, false);
+        rig.setStoreIsolated(it, false);
     rig.configure(2);
     auto hasNewest = [&](unsigned host) { return rig.getMetrics(host).find("alderward_configuration_version 2") != std::string::npos; };
     BOOST_TEST(waitUntil(milliseconds(5000), [&] { return std::ranges::all_of(others, hasNewest); })); // the strictest site with relays allows 5,000 ms
--- a/tests/gateway/terms_test.cpp
+++ b/tests/gateway/terms_test.cpp
@@ -135,7 +135,7 @@
     rig.startHosts();
     BOOST_TEST(canWrite(rig, 0));
     for (unsigned i = 0; i < kHosts; ++i)
-        rig.tellLead(i, "g0", "g0-a", 3);
+        rig.reportPrimary(i, "g0", "g0-a", 3);
     for (unsigned i = 0; i < kHosts; ++i)
         BOOST_TEST(waitUntil(milliseconds(1000), [&] { return getBelievedTerm(rig, i) == 3; }));
     std::this_thread::sleep_for(kHeard);
@@ -174,10 +174,10 @@
     rig.startHosts();
     BOOST_TEST(canWrite(rig, 0));
     for (unsigned i = 0; i < kHosts; ++i)
-        rig.tellLead(i, "g0", "g0-a", 3);
+        rig.reportPrimary(i, "g0", "g0-a", 3);
     for (unsigned i = 0; i < kHosts; ++i)
         BOOST_TEST(waitUntil(milliseconds(1000), [&] { return getBelievedTerm(rig, i) == 3; }));
-    rig.setStoreCut(0, true);
+    rig.setStoreIsolated(0, true);
     rig.call([&] {
         rig.getGroup().kill("g0-a"); // it comes back with its log
         rig.getGroup().begin("g0-a");
@@ -185,7 +185,7 @@
     });
     for (unsigned i : { 1U, 2U })
         BOOST_TEST(waitUntil(kRecovered, [&] { return canWrite(rig, i); }));
-    rig.setStoreCut(0, false);
+    rig.setStoreIsolated(0, false);
     BOOST_TEST(waitUntil(kRecovered, [&] { return rig.countEvents("member-restarted") >= kHosts; }));
     for (unsigned i = 0; i < kHosts; ++i)
         BOOST_TEST(waitUntil(kRecovered, [&] { return canWrite(rig, i); }), "host " << i << " has no primary");
--- a/tests/harness/gateway_rig.cpp
+++ b/tests/harness/gateway_rig.cpp
@@ -142,23 +142,23 @@
 {
     std::ofstream file(getSettingsPath(index));
     file << fmt::format("[gateway]\nname = h{}\ndata_centre = dc-{}\ncaller_address = {}\npeer_address = {}\nready_address = {}\nmetrics_address = {}\n", index, static_cast<char>('a' + index % 3), getHostAddress(index, 0), getHostAddress(index, 1), getHostAddress(index, 2), getHostAddress(index, 3));
-    file << fmt::format("[platform]\nstore_address = {}\norders_address = {}\n[stop]\ngrace_ms = {}\n[log]\nlines_per_second = 10000\n{}", m_storeAddresses[index], m_options.hasOrdersApart ? m_store->getAddress() : m_storeAddresses[index], m_options.graceMs, m_options.extraSettings);
+    file << fmt::format("[platform]\nstore_address = {}\norders_address = {}\n[stop]\ngrace_ms = {}\n[log]\nlines_per_second = 10000\n{}", m_storeAddresses[index], m_options.hasDirectOrders ? m_store->getAddress() : m_storeAddresses[index], m_options.graceMs, m_options.extraSettings);
     file.close();
     m_hosts[index] = std::make_unique<Process>(std::vector<std::string> { getDaemonPath(), "--settings", getSettingsPath(index) }, getLogPath(index));
 }
 
-void GatewayRig::setStoreCut(unsigned host, bool isCut)
+void GatewayRig::setStoreIsolated(unsigned host, bool isIsolated)
 {
     auto* proxy = m_proxies.at(host * kProxiesPerHost).get(); // the first of its proxies
-    call([proxy, isCut] {
-        proxy->faults.swallowsThere = isCut;
-        proxy->faults.swallowsBack = isCut;
-        if (!isCut)
+    call([proxy, isIsolated] {
+        proxy->faults.swallowsThere = isIsolated;
+        proxy->faults.swallowsBack = isIsolated;
+        if (!isIsolated)
             proxy->resetAll();
     });
 }
 
-void GatewayRig::tellLead(unsigned host, const std::string& group, const std::string& member, uint64_t term)
+void GatewayRig::reportPrimary(unsigned host, const std::string& group, const std::string& member, uint64_t term)
 {
     alderward::gateway::peer::Frame frame;
     frame.mutable_lead()->set_group(group);
@@ -168,17 +168,17 @@
 }
 
 // The name stands in the log of every host.
-unsigned GatewayRig::findHolder() const
+unsigned GatewayRig::findFirstCoordinator() const
 {
     const std::string needle = "\"holder\":\"h";
     std::string log;
     size_t at = std::string::npos;
-    bool isKnown = waitUntil(milliseconds(3000), [&] {
+    bool isFound = waitUntil(milliseconds(3000), [&] {
         log = getLog(0);
         at = log.rfind(needle);
         return at != std::string::npos;
     });
-    return isKnown ? static_cast<unsigned>(log[at + needle.size()] - '0') : 0;
+    return isFound ? static_cast<unsigned>(log[at + needle.size()] - '0') : 0;
 }
 
 bool GatewayRig::isReady(unsigned index)
--- a/tests/harness/gateway_rig.h
+++ b/tests/harness/gateway_rig.h
@@ -29,7 +29,7 @@
     bool hasProxies { false }; // all connections pass through one that can harm them
     std::vector<RigAccount> accounts {}; // empty: the platform knows none
     std::string publicDatabase {}; // a database that needs no key
-    bool hasOrdersApart { false }; // orders to the platform pass by the proxies before the store
+    bool hasDirectOrders { false }; // orders to the platform pass by the proxies before the store
 };
 
 class GatewayRig {
@@ -65,11 +65,11 @@
     // Before callers' addresses, each host's address for other hosts, its way to the store, and members; empty without proxies.
     const std::vector<std::unique_ptr<standins::FaultProxy>>& getProxies() const { return m_proxies; }
     // Cuts a host off from the store, or ends that. Needs proxies.
-    void setStoreCut(unsigned host, bool isCut);
+    void setStoreIsolated(unsigned host, bool isIsolated);
     // Tells a host of a lead as another host does that ordered it.
-    void tellLead(unsigned host, const std::string& group, const std::string& member, uint64_t term);
+    void reportPrimary(unsigned host, const std::string& group, const std::string& member, uint64_t term);
     // The host that the record in the store names first for group g0.
-    unsigned findHolder() const;
+    unsigned findFirstCoordinator() const;
     // Writes a configuration; databases db0-primary, db0-bounded, db0-own and so on for each group.
     void configure(uint64_t version, int timeoutMs = 1500, const std::string& extraDatabase = {});
     // The same with other client accounts.
