--- a/tests/gateway/input_test.cpp
+++ b/tests/gateway/input_test.cpp
@@ -1,24 +1,24 @@
-// Bad input of callers: a clear answer or a close, nothing run, no growth of memory.
+// Malformed and excessive input of callers must not execute anything, crash a host or use unbounded memory.
 #include "harness/gateway_rig.h"
 #include <boost/test/unit_test.hpp>
 #include <sys/resource.h>
 
 using namespace harness;
 
-// Raises the limit of descriptors for this process and those it starts. Returns how many sessions it allows, `wanted` at most.
-static unsigned allowDescriptors(unsigned wanted)
+// Raises the limit of file descriptors for this process and its children. Returns how many sessions it allows, at most `wanted`.
+static unsigned raiseDescriptorLimit(unsigned wanted)
 {
-    constexpr rlim_t kOther = 200; // of the test and of a host
+    constexpr rlim_t kOtherDescriptors = 200; // descriptors used for other purposes by the test or a host
     rlimit limit {};
     getrlimit(RLIMIT_NOFILE, &limit);
-    limit.rlim_cur = std::min(limit.rlim_max, std::max<rlim_t>(limit.rlim_cur, wanted + kOther));
+    limit.rlim_cur = std::min(limit.rlim_max, std::max<rlim_t>(limit.rlim_cur, wanted + kOtherDescriptors));
     setrlimit(RLIMIT_NOFILE, &limit);
-    return static_cast<unsigned>(std::min<rlim_t>(wanted, limit.rlim_cur - kOther));
+    return static_cast<unsigned>(std::min<rlim_t>(wanted, limit.rlim_cur - kOtherDescriptors));
 }
 
 BOOST_AUTO_TEST_SUITE(input)
 
-BOOST_AUTO_TEST_CASE(broken_messages_end_the_connection_and_run_nothing)
+BOOST_AUTO_TEST_CASE(malformed_messages_close_the_connection_and_execute_nothing)
 {
     RigOptions options;
     options.hosts = 1;
@@ -39,7 +39,7 @@
     BOOST_TEST(rig.getHost(0).isRunning());
 }
 
-BOOST_AUTO_TEST_CASE(a_message_of_almost_a_megabyte_is_served)
+BOOST_AUTO_TEST_CASE(messages_of_almost_one_megabyte_are_served)
 {
     RigOptions options;
     options.hosts = 2;
@@ -53,9 +53,9 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(half_messages_and_thousands_of_idle_sessions_cost_little)
+BOOST_AUTO_TEST_CASE(idle_sessions_and_incomplete_messages_use_little_memory)
 {
-    auto sessions = allowDescriptors(3000);
+    auto sessions = raiseDescriptorLimit(3000);
     BOOST_REQUIRE(sessions >= 900u);
     RigOptions options;
     options.hosts = 1;
@@ -70,8 +70,8 @@
     }
     LineCaller caller(rig.getCallerAddress(0), "db0-primary");
     BOOST_TEST(caller.ask("READ x").isOk());
-    auto grown = getResidentKb(rig.getHost(0).getId()) - before;
-    BOOST_TEST(grown < sessions * 16, "grew by " << grown << " KB for " << sessions << " sessions"); // a session's buffers are given back
+    auto grownKb = getResidentKb(rig.getHost(0).getId()) - before;
+    BOOST_TEST(grownKb < sessions * 16, "grew by " << grownKb << " KB for " << sessions << " sessions"); // idle sessions must release their buffers
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/harness/gateway_rig.cpp
+++ b/tests/harness/gateway_rig.cpp
@@ -19,7 +19,7 @@
 
 using Clock = std::chrono::steady_clock;
 
-static constexpr unsigned kProxiesPerHost = 3; // before the store, its callers' address, its address for other hosts
+static constexpr unsigned kProxiesPerHost = 3; // to the store, its caller address and its peer address
 
 GatewayRig::GatewayRig(RigOptions options)
     : m_options(options)
@@ -85,7 +85,7 @@
     m_context.stop();
     m_thread.join();
     std::error_code ec;
-    if (!std::getenv("ALDERWARD_KEEP_LOGS")) // for reading after a failure
+    if (!std::getenv("ALDERWARD_KEEP_LOGS")) // kept for the analysis of a failure
         std::filesystem::remove_all(m_folder, ec);
 }
 
@@ -149,7 +149,7 @@
 
 void GatewayRig::setStoreIsolated(unsigned host, bool isIsolated)
 {
-    auto* proxy = m_proxies.at(host * kProxiesPerHost).get(); // the first of its proxies
+    auto* proxy = m_proxies.at(host * kProxiesPerHost).get(); // the proxy to the store
     call([proxy, isIsolated] {
         proxy->faults.swallowsThere = isIsolated;
         proxy->faults.swallowsBack = isIsolated;
@@ -167,7 +167,7 @@
     LineCaller(getHostAddress(host, 1), "").sendRaw(alderward::links::encodeFrame(frame.SerializeAsString()));
 }
 
-// The name stands in the log of every host.
+// Reads the coordinator's name from the log of the first host.
 unsigned GatewayRig::findFirstCoordinator() const
 {
     const std::string needle = "\"holder\":\"h";
@@ -209,7 +209,7 @@
         startHost(i);
     for (unsigned i = 0; i < m_options.hosts; ++i) {
         waitReady(i);
-        // Each host has a floor of each group once a bounded read was served by it.
+        // A host that has served a bounded read knows a floor of the group.
         for (unsigned group = 0; group < m_options.groups; ++group)
             LineCaller(getCallerAddress(i), fmt::format("db{}-bounded", group), getSessionKey()).ask("READ warm");
     }
--- a/tests/harness/gateway_rig.h
+++ b/tests/harness/gateway_rig.h
@@ -1,4 +1,4 @@
-// Gateways as separate processes against stand-ins of the users' platform that run in a thread of the test.
+// Runs gateways as separate processes against stand-ins of the users' platform, which run in a thread of the test.
 #pragma once
 #include "harness/harness.h"
 #include "standins/fault_proxy.h"
@@ -11,7 +11,7 @@
 
 namespace harness {
 
-// A client account as operators write it.
+// A client account of the configuration.
 struct RigAccount {
     std::string name;
     std::vector<std::string> keys;
@@ -21,15 +21,15 @@
 
 struct RigOptions {
     unsigned hosts { 3 };
-    unsigned groups { 1 }; // of three members each, one a data centre
+    unsigned groups { 1 }; // each with three members in different data centres
     unsigned slots { 4 };
-    unsigned connections { 24 }; // of a member
+    unsigned connections { 24 }; // maximum number of connections per member
     int graceMs { 4000 };
     std::string extraSettings {}; // lines of INI
-    bool hasProxies { false }; // all connections pass through one that can harm them
-    std::vector<RigAccount> accounts {}; // empty: the platform knows none
-    std::string publicDatabase {}; // a database that needs no key
-    bool hasDirectOrders { false }; // orders to the platform pass by the proxies before the store
+    bool hasProxies { false }; // all connections pass through proxies that can inject faults
+    std::vector<RigAccount> accounts {}; // empty: the configuration has no accounts
+    std::string publicDatabase {}; // name of a database that callers may use without an API key
+    bool hasDirectOrders { false }; // orders to the platform bypass the store's proxies
 };
 
 class GatewayRig {
@@ -37,20 +37,20 @@
     explicit GatewayRig(RigOptions options = {});
     ~GatewayRig();
 
-    void startHosts(); // all, and waits until they are ready and every group's primary is proven
+    void startHosts(); // starts all hosts and waits until they are ready and know a primary and floor of each group
     void startHost(unsigned index);
     bool waitReady(unsigned index, milliseconds limit = milliseconds(5000));
     bool isReady(unsigned index);
     Process& getHost(unsigned index) { return *m_hosts.at(index); }
     std::string getCallerAddress(unsigned index) const;
     std::string getMetrics(unsigned index) const;
-    std::string getLog(unsigned index) const; // standard output so far
+    std::string getLog(unsigned index) const; // the host's output so far
     std::string getLogPath(unsigned index) const;
     std::string getSettingsPath(unsigned index) const;
     std::string getDaemonPath() const;
-    size_t countEvents(const std::string& event) const; // lines of all hosts
+    size_t countEvents(const std::string& event) const; // number of log lines of all hosts with this event
 
-    // Runs on the stand-ins' thread and waits for it.
+    // Runs `f` on the thread of the stand-ins and returns its result.
     template <typename F>
     auto call(F f)
     {
@@ -62,26 +62,26 @@
     }
     standins::LineGroup& getGroup(unsigned index = 0) { return *m_groups.at(index); }
     standins::KvStore& getStore() { return *m_store; }
-    // Before callers' addresses, each host's address for other hosts, its way to the store, and members; empty without proxies.
+    // For each host, the proxies to the store, to its caller address and to its peer address; then those to the members. Empty without proxies.
     const std::vector<std::unique_ptr<standins::FaultProxy>>& getProxies() const { return m_proxies; }
-    // Cuts a host off from the store, or ends that. Needs proxies.
+    // Blocks or unblocks the traffic between a host and the store. Requires proxies.
     void setStoreIsolated(unsigned host, bool isIsolated);
-    // Tells a host of a lead as another host does that ordered it.
+    // Sends a host the message by which a coordinator reports a new primary.
     void reportPrimary(unsigned host, const std::string& group, const std::string& member, uint64_t term);
-    // The host that the record in the store names first for group g0.
+    // Returns the index of the first coordinator in the stored record, or 0 if none was logged in time.
     unsigned findFirstCoordinator() const;
-    // Writes a configuration; databases db0-primary, db0-bounded, db0-own and so on for each group.
+    // Stores a configuration with the databases db<i>-primary, db<i>-bounded and db<i>-own for each group i.
     void configure(uint64_t version, int timeoutMs = 1500, const std::string& extraDatabase = {});
-    // The same with other client accounts.
+    // Replaces the client accounts and stores the configuration.
     void configureAccounts(uint64_t version, std::vector<RigAccount> accounts);
-    // Waits until the host has it in force.
+    // Waits until the host uses the configuration version. Returns false on timeout.
     bool waitUntilConfigured(unsigned index, uint64_t version, milliseconds limit = milliseconds(3000));
 
 private:
     std::string getHostAddress(unsigned index, unsigned service) const;
     std::string addProxy(unsigned short port, const std::string& address);
     void addProxies(size_t firstPort);
-    std::string getSessionKey() const; // that opens sessions
+    std::string getSessionKey() const; // API key for the rig's own sessions
 
     RigOptions m_options;
     std::string m_folder;
@@ -105,20 +105,20 @@
     bool hasCode(const std::string& code) const { return result.starts_with("ERROR " + code); }
 };
 
-// A caller's connection that blocks.
+// A blocking client of the session protocol.
 class LineCaller {
 public:
     LineCaller(const std::string& address, const std::string& database, const std::string& key = "caller");
     ~LineCaller();
     LineAnswer ask(const std::string& text, milliseconds limit = milliseconds(5000));
-    void send(const std::string& text); // without waiting
+    void send(const std::string& text); // does not wait for the answer
     LineAnswer receive(milliseconds limit = milliseconds(5000));
     const LineAnswer& getHandshakeAnswer() const { return m_handshakeAnswer; }
     const std::string& getLastId() const { return m_lastId; }
-    // Whether the far side has closed; waits up to the limit.
+    // Whether the remote end closes the connection within the limit.
     bool isClosed(milliseconds limit);
     void close();
-    // Bytes as they are.
+    // Sends bytes without framing.
     void sendRaw(const std::string& bytes);
 
 private:
