--- a/src/gateway/target_pool.cpp
+++ b/src/gateway/target_pool.cpp
@@ -120,8 +120,8 @@
     auto& request = job.request;
     if (now < job.retryAt || isHeld(job, now) || (m_logComparison != LogComparison::NotNeeded && needsPrimary(request)))
         return false;
-    auto held = m_transactions.size();
-    return request.kind != RequestKind::Begin || held + std::min(kReservedConnections, m_limits.maxConnections - 1) < m_limits.maxConnections;
+    auto transactions = m_transactions.size();
+    return request.kind != RequestKind::Begin || transactions + std::min(kReservedConnections, m_limits.maxConnections - 1) < m_limits.maxConnections;
 }
 
 bool TargetPool::isRunnable(const Job& job, TimePoint now) const
@@ -222,8 +222,8 @@
     }
     auto needed = countWaitingForConnection();
     auto wanted = std::min<size_t>(needed, m_limits.concurrency) + m_transactions.size() + m_runningJobs.size();
-    auto maxWanted = std::min<size_t>(wanted, m_limits.maxConnections);
-    while (countIdleSessions() + m_openingCount < needed && m_sessions.size() + m_openingCount < maxWanted && m_openingCount < kMaxOpening && now >= m_nextOpeningAt)
+    auto maxSessions = std::min<size_t>(wanted, m_limits.maxConnections);
+    while (countIdleSessions() + m_openingCount < needed && m_sessions.size() + m_openingCount < maxSessions && m_openingCount < kMaxOpening && now >= m_nextOpeningAt)
         openSession({});
 }
 
@@ -232,12 +232,12 @@
     // Each connection being opened occupies a slot of the target; half of the slots are left to statements.
     auto maxOpening = std::max(1U, (m_limits.concurrency - 1) / 2);
     while (m_openingCount < maxOpening && now >= m_nextOpeningAt) {
-        auto step = decisions::planOpening(getPooledConnections(), getDemands(now), { m_limits.maxConnections, m_openingCount, maxOpening }, now);
-        if (!step)
+        auto plan = decisions::planOpening(getPooledConnections(), getDemands(now), { m_limits.maxConnections, m_openingCount, maxOpening }, now);
+        if (!plan)
             return;
-        if (step->evicted)
-            evictSession(m_sessions[*step->evicted]);
-        openSession(step->account);
+        if (plan->evicted)
+            evictSession(m_sessions[*plan->evicted]);
+        openSession(plan->account);
     }
 }
 
@@ -252,11 +252,11 @@
 
 std::vector<decisions::PooledConnection> TargetPool::getPooledConnections() const
 {
-    std::vector<decisions::PooledConnection> held;
+    std::vector<decisions::PooledConnection> pooled;
     for (auto& it : m_sessions) {
-        held.push_back({ it->account, it->isIdle(), it->isBusy && it->transaction == 0, it->servedJobs > 0, it->lastUsedAt });
+        pooled.push_back({ it->account, it->isIdle(), it->isBusy && it->transaction == 0, it->servedJobs > 0, it->lastUsedAt });
     }
-    return held;
+    return pooled;
 }
 
 // Returns the accounts whose jobs wait for a connection, the most urgent first.
@@ -268,9 +268,9 @@
     std::vector<decisions::AccountDemand> demands;
     for (auto& it : entries) {
         std::string_view account = m_waitingJobs.at(it.number)->request.account;
-        auto known = std::ranges::find(demands, account, &decisions::AccountDemand::account);
-        if (known != demands.end()) {
-            ++known->waiting;
+        auto demand = std::ranges::find(demands, account, &decisions::AccountDemand::account);
+        if (demand != demands.end()) {
+            ++demand->waiting;
             continue;
         }
         auto opening = m_openingByAccount.find(std::string(account));
@@ -308,7 +308,7 @@
     session->account = account;
     auto self = shared_from_this();
     std::weak_ptr<TargetSession> weak = session;
-    auto onOpen = [self, session, known = m_observer.getKnownMark(m_target)](const Outcome& outcome) { self->handleOpened(session, outcome, known); };
+    auto onOpen = [self, session, knownMark = m_observer.getKnownMark(m_target)](const Outcome& outcome) { self->handleOpened(session, outcome, knownMark); };
     auto onClosed = [self, weak](const std::string& reason) {
         if (auto session = weak.lock())
             self->dropSession(session, reason);
@@ -316,7 +316,7 @@
     session->open(m_target, account.empty() ? m_hostName : account, kConnectTimeout, onOpen, onClosed);
 }
 
-void TargetPool::handleOpened(const SessionPtr& session, const Outcome& outcome, const Mark& known)
+void TargetPool::handleOpened(const SessionPtr& session, const Outcome& outcome, const Mark& knownMark)
 {
     --m_openingCount;
     if (--m_openingByAccount[session->account] == 0)
@@ -337,7 +337,7 @@
     }
     m_observer.onAnswer(m_target);
     // A primary that lost its log would accept a single write without an error, so the position in the handshake is checked before statements are sent.
-    if (m_observer.isKnownPrimary(m_target) && decisions::hasLostLog(known, outcome.position)) {
+    if (m_observer.isKnownPrimary(m_target) && decisions::hasLostLog(knownMark, outcome.position)) {
         m_observer.onLostLog(m_target, outcome.position);
         session->close();
         failWaiting({ ErrorKind::NotPrimary, "the member has lost its log" });
@@ -352,8 +352,8 @@
 {
     job->startedAt = Clock::now();
     base::observeHistogram(base::MetricFamily::QueueSeconds, { { "member", m_target.member } }, std::chrono::duration<double>(job->startedAt - job->submittedAt).count());
-    bool isOwn = job->request.kind == RequestKind::Continue;
-    base::checkInvariant(!session->isBusy && (session->transaction != 0) == isOwn, "a connection was assigned to a job while another job or transaction holds it", m_target.member);
+    bool isContinuation = job->request.kind == RequestKind::Continue;
+    base::checkInvariant(!session->isBusy && (session->transaction != 0) == isContinuation, "a connection was assigned to a job while another job or transaction holds it", m_target.member);
     session->isBusy = true;
     m_runningJobs.emplace_back(job, session);
     prepareSession(*job, session);
@@ -372,16 +372,16 @@
     if (session->state.prepared.size() > kMaxPreparedShapes)
         plan = decisions::planConnection({ { { "", "" } }, {} }, request.values, request.shape);
     auto self = shared_from_this();
-    auto check = [self, session](const Outcome& outcome) {
+    auto closeOnError = [self, session](const Outcome& outcome) {
         if (outcome.error)
             self->dropSession(session, "session setup failed: " + outcome.error->message);
     };
     if (plan.mustReset)
-        session->sendStatement(m_codec.formatReset(), check);
+        session->sendStatement(m_codec.formatReset(), closeOnError);
     for (const auto& [name, value] : plan.values)
-        session->sendStatement(m_codec.formatSetValue(name, value), check);
+        session->sendStatement(m_codec.formatSetValue(name, value), closeOnError);
     if (plan.mustPrepare)
-        session->sendStatement(m_codec.formatPrepare(decisions::getPreparedName(*request.shape), *request.shape), check);
+        session->sendStatement(m_codec.formatPrepare(decisions::getPreparedName(*request.shape), *request.shape), closeOnError);
     session->state = decisions::applyPlan(std::move(session->state), plan, request.shape);
 }
 
@@ -393,10 +393,10 @@
         session->transaction = job->request.transaction;
         m_transactions[job->request.transaction] = { session, { job->request.database, true } };
     }
-    auto known = m_observer.getKnownMark(m_target);
-    session->sendStatement(m_codec.formatBegin(isReadOnly, job->request.atLeast), [self = shared_from_this(), job, session, sentAt, isReadOnly, known](const Outcome& outcome) {
+    auto knownMark = m_observer.getKnownMark(m_target);
+    session->sendStatement(m_codec.formatBegin(isReadOnly, job->request.atLeast), [self = shared_from_this(), job, session, sentAt, isReadOnly, knownMark](const Outcome& outcome) {
         if (!outcome.error) {
-            if (!isReadOnly && !self->applyPrimaryProof(outcome.position, sentAt, known)) {
+            if (!isReadOnly && !self->applyPrimaryProof(outcome.position, sentAt, knownMark)) {
                 self->detachTransaction(session);
                 self->completeJob(job, session, decisions::makeFailure(ErrorKind::NotPrimary, "the member has lost its log"));
                 return;
@@ -423,15 +423,15 @@
     auto atLeast = request.kind == RequestKind::Single ? request.atLeast : Mark {};
     auto bytes = m_codec.formatStatement(request.statement, atLeast, request.shape ? decisions::getPreparedName(*request.shape) : "");
     auto sentAt = Clock::now();
-    auto known = m_observer.getKnownMark(m_target);
-    session->sendStatement(bytes, [self = shared_from_this(), job, session, sentAt, known](const Outcome& outcome) {
+    auto knownMark = m_observer.getKnownMark(m_target);
+    session->sendStatement(bytes, [self = shared_from_this(), job, session, sentAt, knownMark](const Outcome& outcome) {
         auto& request = job->request;
         bool isCommit = request.statement.kind == StatementKind::Commit;
         if (!outcome.error)
             self->recordWorkTime(*job);
         // A write outside a transaction succeeds only at a primary.
         if (!outcome.error && request.kind == RequestKind::Single && request.statement.isWrite)
-            self->applyPrimaryProof(outcome.position, sentAt, known);
+            self->applyPrimaryProof(outcome.position, sentAt, knownMark);
         if (isCommit && !self->canRetryWhenBusy(*job, session, outcome))
             self->detachTransaction(session);
         self->completeJob(job, session, outcome);
@@ -473,9 +473,9 @@
 }
 
 // Applies an answer that only a primary gives. Returns false if the target has lost its log, so the answer is no proof.
-bool TargetPool::applyPrimaryProof(const Mark& position, TimePoint sentAt, const Mark& known)
+bool TargetPool::applyPrimaryProof(const Mark& position, TimePoint sentAt, const Mark& knownMark)
 {
-    if (decisions::hasLostLog(known, position)) {
+    if (decisions::hasLostLog(knownMark, position)) {
         m_observer.onLostLog(m_target, position);
         return false;
     }
@@ -517,9 +517,9 @@
 // A busy target has not executed the statement. A transaction cannot move to another target, and aborting it would waste its work so far.
 bool TargetPool::canRetryWhenBusy(const Job& job, const SessionPtr& session, const Outcome& outcome) const
 {
-    bool wasRefusedAsBusy = outcome.error && outcome.error->kind == ErrorKind::Overloaded && outcome.wasSent;
+    bool wasBusy = outcome.error && outcome.error->kind == ErrorKind::Overloaded && outcome.wasSent;
     bool isInTransaction = job.request.kind == RequestKind::Continue && session->isOpen() && session->getTargetState() == decisions::SessionState::InTransaction;
-    return wasRefusedAsBusy && isInTransaction && !job.isDone() && job.busyCount < decisions::kMaxBusyAttempts && Clock::now() + kBusyRetryDelay < job.request.deadline;
+    return wasBusy && isInTransaction && !job.isDone() && job.busyCount < decisions::kMaxBusyAttempts && Clock::now() + kBusyRetryDelay < job.request.deadline;
 }
 
 // A connection on which a transaction is still open must not serve another caller. A failed statement or ROLLBACK can leave one open.
--- a/src/gateway/target_pool.h
+++ b/src/gateway/target_pool.h
@@ -71,8 +71,8 @@
 };
 
 struct PoolLoad {
-    unsigned waiting { 0 };
-    unsigned running { 0 };
+    unsigned waiting { 0 }; // queued statements
+    unsigned running { 0 }; // statements at the target
     double workMs { 10 }; // typical time of one statement at the target
     friend bool operator==(const PoolLoad&, const PoolLoad&) = default;
 };
@@ -151,7 +151,7 @@
     std::vector<decisions::AccountDemand> getDemands(TimePoint now) const;
     std::vector<decisions::PooledConnection> getPooledConnections() const;
     void openSession(const std::string& account);
-    void handleOpened(const SessionPtr& session, const Outcome& outcome, const Mark& known);
+    void handleOpened(const SessionPtr& session, const Outcome& outcome, const Mark& knownMark);
     void startJob(const JobPtr& job, const SessionPtr& session);
     void prepareSession(const Job& job, const SessionPtr& session);
     void beginTransaction(const JobPtr& job, const SessionPtr& session);
@@ -162,7 +162,7 @@
     void finish(const JobPtr& job, Outcome outcome);
     void failWaiting(const decisions::Error& error);
     void releaseSession(const SessionPtr& session);
-    bool applyPrimaryProof(const Mark& position, TimePoint sentAt, const Mark& known);
+    bool applyPrimaryProof(const Mark& position, TimePoint sentAt, const Mark& knownMark);
     void recordWorkTime(const Job& job);
     void detachTransaction(const SessionPtr& session);
     // Closes the connection and removes it. With `isFailure`, a pending answer is reported as a connection failure.
--- a/src/gateway/target_pool_upkeep.cpp
+++ b/src/gateway/target_pool_upkeep.cpp
@@ -128,8 +128,8 @@
     }
     m_primaryProvenAt = now; // the next proof is due one interval later, whatever the answer
     session->isBusy = true;
-    auto known = m_observer.getKnownMark(m_target);
-    session->sendStatement(m_codec.formatBegin(false, {}), [self = shared_from_this(), session, now, known](const Outcome& outcome) {
+    auto knownMark = m_observer.getKnownMark(m_target);
+    session->sendStatement(m_codec.formatBegin(false, {}), [self = shared_from_this(), session, now, knownMark](const Outcome& outcome) {
         if (outcome.error && outcome.error->kind == ErrorKind::NotPrimary)
             self->m_observer.onReplicaReported(self->m_target);
         if (outcome.error) {
@@ -137,7 +137,7 @@
             return;
         }
         self->m_lastAnswerAt = Clock::now();
-        self->applyPrimaryProof(outcome.position, now, known);
+        self->applyPrimaryProof(outcome.position, now, knownMark);
         self->m_observer.onAnswer(self->m_target);
         self->rollBack(session);
     });
--- a/tests/gateway/input_test.cpp
+++ b/tests/gateway/input_test.cpp
@@ -8,7 +8,7 @@
 // Raises the limit of file descriptors for this process and its children. Returns how many sessions it allows, at most `wanted`.
 static unsigned raiseDescriptorLimit(unsigned wanted)
 {
-    constexpr rlim_t kOtherDescriptors = 200; // descriptors used for other purposes by the test or a host
+    constexpr rlim_t kOtherDescriptors = 200; // of the test itself and a host
     rlimit limit {};
     getrlimit(RLIMIT_NOFILE, &limit);
     limit.rlim_cur = std::min(limit.rlim_max, std::max<rlim_t>(limit.rlim_cur, wanted + kOtherDescriptors));
