--- a/tests/gateway/terms_test.cpp
+++ b/tests/gateway/terms_test.cpp
@@ -135,7 +135,7 @@
     rig.startHosts();
     BOOST_TEST(canWrite(rig, 0));
     for (unsigned i = 0; i < kHosts; ++i)
-        rig.reportPrimary(i, "g0", "g0-a", 3);
+        rig.announcePrimary(i, "g0", "g0-a", 3);
     for (unsigned i = 0; i < kHosts; ++i)
         BOOST_TEST(waitUntil(milliseconds(1000), [&] { return getBelievedTerm(rig, i) == 3; }));
     std::this_thread::sleep_for(kHeard);
@@ -174,7 +174,7 @@
     rig.startHosts();
     BOOST_TEST(canWrite(rig, 0));
     for (unsigned i = 0; i < kHosts; ++i)
-        rig.reportPrimary(i, "g0", "g0-a", 3);
+        rig.announcePrimary(i, "g0", "g0-a", 3);
     for (unsigned i = 0; i < kHosts; ++i)
         BOOST_TEST(waitUntil(milliseconds(1000), [&] { return getBelievedTerm(rig, i) == 3; }));
     rig.setStoreIsolated(0, true);
--- a/tests/harness/gateway_rig.cpp
+++ b/tests/harness/gateway_rig.cpp
@@ -158,7 +158,7 @@
     });
 }
 
-void GatewayRig::reportPrimary(unsigned host, const std::string& group, const std::string& member, uint64_t term)
+void GatewayRig::announcePrimary(unsigned host, const std::string& group, const std::string& member, uint64_t term)
 {
     alderward::gateway::peer::Frame frame;
     frame.mutable_lead()->set_group(group);
--- a/tests/harness/gateway_rig.h
+++ b/tests/harness/gateway_rig.h
@@ -67,7 +67,7 @@
     // Blocks or unblocks the traffic between a host and the store. Requires proxies.
     void setStoreIsolated(unsigned host, bool isIsolated);
     // Sends a host the message by which a coordinator reports a new primary.
-    void reportPrimary(unsigned host, const std::string& group, const std::string& member, uint64_t term);
+    void announcePrimary(unsigned host, const std::string& group, const std::string& member, uint64_t term);
     // Returns the index of the first coordinator in the stored record, or 0 if none was logged in time.
     unsigned findFirstCoordinator() const;
     // Stores a configuration with the databases db<i>-primary, db<i>-bounded and db<i>-own for each group i.
