--- a/src/gateway/target_pool.cpp
+++ b/src/gateway/target_pool.cpp
@@ -279,7 +279,7 @@
     return demands;
 }
 
-// Returns the idle connection that needs the fewest messages to set up the session's state.
+// Returns the connection of the job's transaction, or else the idle one that needs the fewest messages to set up the session's state.
 TargetPool::SessionPtr TargetPool::findSession(const Job& job) const
 {
     if (job.request.kind == RequestKind::Continue) {
@@ -563,7 +563,7 @@
     base::incrementCounter(base::MetricFamily::ConnectionsClosed, { { "member", m_target.member } });
     detachTransaction(session);
     bool wasAsked = session->countPending() > 0;
-    auto askedAt = session->getOldestPendingAt();
+    auto pendingSince = session->getOldestPendingAt();
     // close() fails pending statements and thereby their jobs; jobs without a pending statement are completed below.
     session->close();
     auto running = m_runningJobs;
@@ -572,7 +572,7 @@
             completeJob(job, session, decisions::makeFailure(ErrorKind::OutcomeUnknown, reason, true));
     }
     // A later answer on another connection shows that the target is alive. Clearing the proof time makes the next sweep request a proof at once.
-    bool isAlive = std::ranges::any_of(m_sessions, [&](const SessionPtr& it) { return it->getLastReceivedAt() > askedAt; });
+    bool isAlive = std::ranges::any_of(m_sessions, [&](const SessionPtr& it) { return it->getLastReceivedAt() > pendingSince; });
     if (isFailure && wasAsked && !isAlive)
         m_observer.onConnectionFailure(m_target, reason);
     if (isFailure && wasAsked)
--- a/src/gateway/target_pool_upkeep.cpp
+++ b/src/gateway/target_pool_upkeep.cpp
@@ -44,8 +44,8 @@
     for (auto& [job, session] : m_runningJobs) { // in order of their start
         auto& request = job->request;
         bool isSafeToAbandon = request.statement.kind != StatementKind::Commit && (!request.statement.isWrite || request.kind == RequestKind::Begin || request.kind == RequestKind::Continue);
-        bool isOverdue = job->isStalled || now - job->startedAt > 2 * getStallTimeout();
-        if (!isSafeToAbandon || !isOverdue)
+        bool hasStalled = job->isStalled || now - job->startedAt > 2 * getStallTimeout();
+        if (!isSafeToAbandon || !hasStalled)
             continue;
         dropSession(SessionPtr(session), "statement stalled while others wait for a connection", false);
         return;
@@ -87,12 +87,12 @@
         if (now < job->request.deadline)
             continue;
         finish(job, decisions::makeFailure(ErrorKind::StatementTimedOut, "the target did not answer in time", true));
-        auto askedAt = session->getOldestPendingAt();
+        auto pendingSince = session->getOldestPendingAt();
         dropSession(session, "no answer before the deadline");
         // Idle connections without a later answer may have failed in the same way.
         auto sessions = m_sessions;
         for (auto& it : sessions) {
-            if (it->isIdle() && it->getLastReceivedAt() < askedAt)
+            if (it->isIdle() && it->getLastReceivedAt() < pendingSince)
                 dropSession(it, "no answer since another connection to the target timed out");
         }
     }
@@ -105,7 +105,7 @@
     for (auto& it : sessions) {
         bool hasJob = std::ranges::any_of(m_runningJobs, [&](const auto& running) { return running.second == it; });
         if (!hasJob && it->countPending() > 0 && now - it->getOldestPendingAt() > kSilenceTimeout)
-            dropSession(it, "the target did not answer a keep-alive or proof");
+            dropSession(it, "the target did not answer a keep-alive or other message of the pool");
     }
 }
 
