--- a/src/gateway/target_pool.cpp
+++ b/src/gateway/target_pool.cpp
@@ -452,12 +452,12 @@
 // Records the time of a statement, and adds it to the cost of its operation.
 void TargetPool::recordWorkTime(const Job& job)
 {
-    std::chrono::duration<double, std::milli> took = Clock::now() - job.startedAt;
-    m_queue.workMs = decisions::updateWorkTime(m_queue.workMs, took.count());
+    std::chrono::duration<double, std::milli> elapsed = Clock::now() - job.startedAt;
+    m_queue.workMs = decisions::updateWorkTime(m_queue.workMs, elapsed.count());
     if (!isInTransaction(job.request.kind))
-        decisions::recordOperationCost(m_queue.costs, { job.request.database, false }, took.count());
+        decisions::recordOperationCost(m_queue.costs, { job.request.database, false }, elapsed.count());
     else if (auto it = m_transactions.find(job.request.transaction); it != m_transactions.end())
-        it->second.slotMs += took.count();
+        it->second.slotMs += elapsed.count();
 }
 
 // Removes the transaction from its connection, whatever its outcome, and records its cost.
@@ -490,9 +490,9 @@
     if (it != m_runningJobs.end())
         m_runningJobs.erase(it);
     if (session->isOpen()) {
-        std::chrono::duration<double, std::milli> took = Clock::now() - job->startedAt;
+        std::chrono::duration<double, std::milli> elapsed = Clock::now() - job->startedAt;
         m_lastAnswerAt = Clock::now();
-        base::observeHistogram(base::MetricFamily::TargetSeconds, { { "member", m_target.member } }, took.count() / 1000);
+        base::observeHistogram(base::MetricFamily::TargetSeconds, { { "member", m_target.member } }, elapsed.count() / 1000);
         m_observer.onAnswer(m_target);
         if (outcome.position.term != 0)
             m_observer.onPosition(m_target, outcome.position);
@@ -562,20 +562,20 @@
     m_sessions.erase(it);
     base::incrementCounter(base::MetricFamily::ConnectionsClosed, { { "member", m_target.member } });
     detachTransaction(session);
-    bool wasAsked = session->countPending() > 0;
+    bool hasPending = session->countPending() > 0;
     auto pendingSince = session->getOldestPendingAt();
     // close() fails pending statements and thereby their jobs; jobs without a pending statement are completed below.
     session->close();
     auto running = m_runningJobs;
-    for (auto& [job, holder] : running) {
-        if (holder == session)
+    for (auto& [job, jobSession] : running) {
+        if (jobSession == session)
             completeJob(job, session, decisions::makeFailure(ErrorKind::OutcomeUnknown, reason, true));
     }
     // A later answer on another connection shows that the target is alive. Clearing the proof time makes the next sweep request a proof at once.
     bool isAlive = std::ranges::any_of(m_sessions, [&](const SessionPtr& it) { return it->getLastReceivedAt() > pendingSince; });
-    if (isFailure && wasAsked && !isAlive)
+    if (isFailure && hasPending && !isAlive)
         m_observer.onConnectionFailure(m_target, reason);
-    if (isFailure && wasAsked)
+    if (isFailure && hasPending)
         m_primaryProvenAt = {};
     dispatch();
 }
