--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -94,7 +94,7 @@
         base::clearMetric(family);
     for (auto& [member, pool] : m_pools) {
         auto load = pool->getLoad();
-        base::setGauge(MetricFamily::PoolConnections, { { "member", member } }, static_cast<double>(pool->getOpen()));
+        base::setGauge(MetricFamily::PoolConnections, { { "member", member } }, static_cast<double>(pool->countOpenSessions()));
         base::setGauge(MetricFamily::PoolWaiting, { { "member", member } }, load.waiting);
         base::setGauge(MetricFamily::PoolRunning, { { "member", member } }, load.running);
     }
@@ -166,8 +166,8 @@
         pool = std::make_shared<TargetPool>(m_context.get_executor(), m_platform->getCodec(), target, m_settings.name, makePoolObserver());
         pool->setLimits(getPoolLimits(target));
         auto member = m_view.members.find(target.member);
-        pool->setTakesNew(member != m_view.members.end() && acceptsNewOperations(member->second, getDrainTime(), Clock::now()));
-        pool->setComparison(ensureComparison(target));
+        pool->setAcceptsNewOperations(member != m_view.members.end() && acceptsNewOperations(member->second, getDrainTime(), Clock::now()));
+        pool->setLogComparison(ensureComparison(target));
     }
     return pool;
 }
@@ -191,13 +191,13 @@
 PoolObserver Gateway::makePoolObserver()
 {
     PoolObserver observer;
-    observer.getKnown = [this](const TargetAddress& target) { return getKnownMark(m_view.groups[target.group]); };
+    observer.getKnownMark = [this](const TargetAddress& target) { return getKnownMark(m_view.groups[target.group]); };
     observer.onLostLog = [this](const TargetAddress& target, const Mark& position) {
         base::logEvent(LogClass::State, "primary-lost-log", { { "group", std::string_view(target.group) }, { "member", std::string_view(target.member) }, { "term", static_cast<int64_t>(position.term) }, { "position", static_cast<int64_t>(position.position) } });
         setKnownPrimary(target.group, decisions::applyPrimaryDenial(m_view.groups[target.group].lead, target.member), "denied");
     };
-    observer.leads = [this](const TargetAddress& target) { return m_view.groups[target.group].lead.member == target.member; };
-    observer.onLeads = [this](const TargetAddress& target, const Mark& position, TimePoint sentAt) {
+    observer.isKnownPrimary = [this](const TargetAddress& target) { return m_view.groups[target.group].lead.member == target.member; };
+    observer.onPrimaryProven = [this](const TargetAddress& target, const Mark& position, TimePoint sentAt) {
         handlePrimaryProof(target.group, target.member, position.term, sentAt, ShownTo::ThisHost);
         if (m_view.groups[target.group].lead.member == target.member) {
             recordFloor(target.group, { position, sentAt });
@@ -205,7 +205,7 @@
             m_promoter.onPrimaryConfirmed(target.group, Clock::now());
         }
     };
-    observer.onFollows = [this](const TargetAddress& target) {
+    observer.onReplicaReported = [this](const TargetAddress& target) {
         auto& group = m_view.groups[target.group];
         auto before = group.lead;
         denyLead(group, target.member, Clock::now());
@@ -224,7 +224,7 @@
         it->second.answeredAt = Clock::now();
         it->second.troubleAt = {};
     };
-    observer.onTrouble = [this](const TargetAddress& target, const std::string& reason) {
+    observer.onConnectionFailure = [this](const TargetAddress& target, const std::string& reason) {
         auto it = m_view.members.find(target.member);
         if (it == m_view.members.end())
             return;
@@ -233,7 +233,7 @@
         if (m_view.groups[target.group].lead.member == target.member)
             raiseAlarm(target.group, reason);
     };
-    observer.onRefused = [](const TargetAddress& target, size_t open, const std::string& reason) {
+    observer.onConnectionRefused = [](const TargetAddress& target, size_t open, const std::string& reason) {
         base::logEvent(LogClass::State, "connection-refused", { { "member", std::string_view(target.member) }, { "group", std::string_view(target.group) }, { "open", static_cast<int64_t>(open) }, { "reason", std::string_view(reason) } });
     };
     return observer;
@@ -341,7 +341,7 @@
                 encodeChanges(pong, m_directory.getChanges(ping.known_revision()), now);
         }
         for (auto& [member, pool] : m_pools) {
-            bool isReported = pool->isCarrier() || isUnreachable(pool->getTarget());
+            bool isReported = pool->isForwarder() || isUnreachable(pool->getTarget());
             if (!isReported)
                 continue;
             writeLoad(*pong.add_loads(), member, pool->getLoad(), isUnreachable(pool->getTarget()));
@@ -491,7 +491,7 @@
                 finish(report);
                 return;
             }
-            session->ask(m_platform->getCodec().formatStatusQuery(), [this, finish](const Outcome& answer) {
+            session->sendStatement(m_platform->getCodec().formatStatusQuery(), [this, finish](const Outcome& answer) {
                 StatusReport report;
                 report.wasReached = !answer.error || answer.error->kind == ErrorKind::Overloaded;
                 if (!answer.error && !answer.rows.empty()) {
@@ -555,9 +555,9 @@
     for (auto& [id, pool] : m_pools) {
         auto member = m_view.members.find(id);
         bool isKnown = member != m_view.members.end();
-        pool->setTakesNew(isKnown && acceptsNewOperations(member->second, getDrainTime(), now));
+        pool->setAcceptsNewOperations(isKnown && acceptsNewOperations(member->second, getDrainTime(), now));
         bool isBehind = isKnown && (mustShow(member->second) || isFarBehind(m_view.groups[member->second.listed.group], member->second, now));
-        pool->setPositionInterval(isBehind && pool->isCarrier() ? kPositionInterval : milliseconds(0));
+        pool->setPositionInterval(isBehind && pool->isForwarder() ? kPositionInterval : milliseconds(0));
         pool->sweep(now);
     }
 }
@@ -583,9 +583,9 @@
         bool isKnown = member != m_view.members.end();
         bool isPrimary = isKnown && m_view.groups[member->second.listed.group].lead.member == id;
         pool->setLimits(getPoolLimits(pool->getTarget())); // configuration and members may have changed since the pool was created
-        pool->setComparison(ensureComparison(pool->getTarget()));
+        pool->setLogComparison(ensureComparison(pool->getTarget()));
         bool isForwarding = isKnown && isForwarder(m_view, m_peers, localHost, member->second);
-        pool->setCarrier(isForwarding);
+        pool->setForwarder(isForwarding);
         pool->setProofInterval(isPrimary && isForwarding ? kProofInterval : milliseconds(0));
     }
 }
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -40,7 +40,7 @@
     struct ComparisonRound;
     void finishComparison(const ComparisonRound& round);
     // Starts a comparison with the group's replicas if one is needed to trust the target as primary.
-    Comparison ensureComparison(const TargetAddress& target);
+    LogComparison ensureComparison(const TargetAddress& target);
     decisions::QuotaRule getQuotaRule() const;
     void writeNearQuotaAccounts(size_t shard, const std::set<std::string>& accounts, std::function<void(bool)> done);
     PoolLimits getPoolLimits(const TargetAddress& target) const;
--- a/src/gateway/gateway_primaries.cpp
+++ b/src/gateway/gateway_primaries.cpp
@@ -20,16 +20,16 @@
     size_t pendingCount { 0 }; // replicas that have neither answered nor timed out
 };
 
-Comparison Gateway::ensureComparison(const TargetAddress& target)
+LogComparison Gateway::ensureComparison(const TargetAddress& target)
 {
     auto& group = m_view.groups[target.group];
     bool isKnown = m_view.members.contains(target.member);
     if (!isKnown || group.lead.member != target.member || canTellLostLog(group))
-        return Comparison::NotNeeded;
+        return LogComparison::NotNeeded;
     compareWithReplicas(target.group);
     if (canTellLostLog(group))
-        return Comparison::NotNeeded;
-    return group.lacksAnswers ? Comparison::LacksAnswers : Comparison::UnderWay;
+        return LogComparison::NotNeeded;
+    return group.lacksAnswers ? LogComparison::AnswersMissing : LogComparison::InProgress;
 }
 
 // Guards against a primary that restarted with an empty log: a host that has just started knows no floor that would reveal it. A replica of the
--- a/src/gateway/statement_router.cpp
+++ b/src/gateway/statement_router.cpp
@@ -161,12 +161,12 @@
     auto request = routed->request;
     request.atLeast = routed->requiredMark;
     request.objective -= getReturnTime(forwarder);
-    if (request.kind == OrderKind::Single && routed->needsPrimary && !request.statement.isWrite)
-        request.kind = OrderKind::ProvenSingle;
+    if (request.kind == RequestKind::Single && routed->needsPrimary && !request.statement.isWrite)
+        request.kind = RequestKind::PrimaryRead;
     std::optional<TransactionHandle> transaction;
     bool isLocal = forwarder == m_context.name;
     auto pool = isLocal ? m_context.getPool(*target) : nullptr;
-    if (request.kind == OrderKind::Begin) {
+    if (request.kind == RequestKind::Begin) {
         transaction = TransactionHandle { *target, isLocal ? "" : forwarder, isLocal ? pool->takeTransactionNumber() : m_context.peers.takeTransactionNumber() };
         request.transaction = transaction->number;
     }
@@ -213,7 +213,7 @@
         end(*transaction);
     auto& statement = routed->request.statement;
     // A single write that may have been received is never sent again. Other statements have no effect until their commit.
-    bool canRetry = decisions::canTryOtherTarget(kind) || (kind == ErrorKind::OutcomeUnknown && (!statement.isWrite || routed->request.kind == OrderKind::Begin));
+    bool canRetry = decisions::canTryOtherTarget(kind) || (kind == ErrorKind::OutcomeUnknown && (!statement.isWrite || routed->request.kind == RequestKind::Begin));
     bool hasTime = now + kRetryDelay < routed->request.deadline;
     if (!canRetry || !hasTime) {
         finish(*routed, outcome, std::nullopt, done, target);
@@ -224,7 +224,7 @@
 
 void StatementRouter::runNext(const TransactionHandle& transaction, RoutedStatement routed, RoutedCallback done)
 {
-    routed.request.kind = OrderKind::Continue;
+    routed.request.kind = RequestKind::Continue;
     routed.request.transaction = transaction.number;
     routed.attempts = 1;
     auto shared = std::make_shared<RoutedStatement>(std::move(routed));
@@ -243,7 +243,7 @@
         m_context.peers.endTransaction(transaction.host, transaction.number);
 }
 
-static std::string_view getName(OrderKind kind)
+static std::string_view getName(RequestKind kind)
 {
     static constexpr std::array<std::string_view, 4> names { "single", "proven", "begin", "continue" };
     return names[static_cast<size_t>(kind)];
--- a/src/gateway/statement_router.h
+++ b/src/gateway/statement_router.h
@@ -16,7 +16,7 @@
 // A statement with the state of its attempts.
 struct RoutedStatement {
     decisions::DatabaseRoute route {};
-    Order request {};
+    StatementRequest request {};
     bool needsPrimary { false };
     Mark requiredMark {}; // for reads at a replica: its log must have reached this mark
     TimePoint arrivedAt {};
--- a/src/gateway/target_pool.cpp
+++ b/src/gateway/target_pool.cpp
@@ -13,64 +13,64 @@
 using decisions::ErrorKind;
 using decisions::StatementKind;
 
-static constexpr milliseconds kConnectLimit { 700 }; // a hello takes some tens of ms; a dark host never answers
-static constexpr milliseconds kRefusedPause { 300 }; // after the target took no connection; other hosts may hold them
-static constexpr milliseconds kBrokenPause { 100 }; // after a connection could not be had
-static constexpr unsigned kReservedConnections = 2; // never held by transactions, so that single statements go on
-static constexpr milliseconds kBusyPause { 15 }; // before a target that was busy is asked again: about one statement's time
-static constexpr size_t kPreparedMost = 200; // shapes kept on one connection
-static constexpr unsigned kOpeningMost = 2; // connections at a time; each takes a slot of the target for a while
-static constexpr milliseconds kComeBackLeast { 300 }; // told to callers that were refused; less would bring them back into the same queue
-
-TargetPool::TargetPool(boost::asio::any_io_executor executor, const links::StatementCodec& codec, TargetAddress target, std::string from, PoolObserver observer)
+static constexpr milliseconds kConnectTimeout { 700 };
+static constexpr milliseconds kConnectionRefusedBackoff { 300 }; // other hosts may use all connections of the target
+static constexpr milliseconds kConnectFailureBackoff { 100 };
+static constexpr unsigned kReservedConnections = 2; // not available to transactions, so that single statements are still served
+static constexpr milliseconds kBusyRetryDelay { 15 }; // about the time of one statement
+static constexpr size_t kMaxPreparedShapes = 200; // per connection; the connection is reset beyond this
+static constexpr unsigned kMaxOpening = 2; // opening a connection occupies a slot of the target
+static constexpr milliseconds kMinRetryAfter { 300 }; // earlier, refused callers would meet the same queue
+
+TargetPool::TargetPool(boost::asio::any_io_executor executor, const links::StatementCodec& codec, TargetAddress target, std::string hostName, PoolObserver observer)
     : m_executor(std::move(executor))
     , m_codec(codec)
     , m_target(std::move(target))
-    , m_from(std::move(from))
+    , m_hostName(std::move(hostName))
     , m_observer(std::move(observer))
 {
 }
 
 PoolLoad TargetPool::getLoad() const
 {
-    return { static_cast<unsigned>(m_waiting.size()), countRunning(), m_queue.workMs };
+    return { static_cast<unsigned>(m_waitingJobs.size()), countRunning(), m_queue.workMs };
 }
 
 void TargetPool::setLimits(const PoolLimits& limits)
 {
     m_limits = limits;
-    m_queue.concurrency = limits.running;
+    m_queue.concurrency = limits.concurrency;
 }
 
-static bool isInTransaction(OrderKind kind)
+static bool isInTransaction(RequestKind kind)
 {
-    return kind == OrderKind::Begin || kind == OrderKind::Continue;
+    return kind == RequestKind::Begin || kind == RequestKind::Continue;
 }
 
-static decisions::SchedulingParameters getTurn(const Order& order)
+static decisions::SchedulingParameters getScheduling(const StatementRequest& request)
 {
-    return { order.kind == OrderKind::Continue, order.priority, order.objective, order.deadline };
+    return { request.kind == RequestKind::Continue, request.priority, request.objective, request.deadline };
 }
 
-decisions::QueueEntry TargetPool::makeEntry(const Job& job)
+decisions::QueueEntry TargetPool::makeQueueEntry(const Job& job)
 {
-    return { job.number, getTurn(job.order), { job.order.database, isInTransaction(job.order.kind) }, job.submittedAt };
+    return { job.number, getScheduling(job.request), { job.request.database, isInTransaction(job.request.kind) }, job.submittedAt };
 }
 
-void TargetPool::submit(Order order, OrderDone done)
+void TargetPool::submit(StatementRequest request, RequestCallback done)
 {
     auto now = Clock::now();
-    m_lastAccount = order.account;
-    auto job = std::make_shared<Job>(Job { std::move(order), std::make_shared<OrderDone>(std::move(done)), now });
-    if (m_isSuspect && m_sessions.empty()) { // the next attempt takes as long as the last: nobody waits for it
-        if (m_opening == 0 && now >= m_noNewBefore)
-            openSession(job->order.account);
+    m_lastRequestAccount = request.account;
+    auto job = std::make_shared<Job>(Job { std::move(request), std::make_shared<RequestCallback>(std::move(done)), now });
+    if (m_hasOpenFailed && m_sessions.empty()) { // the target is probably down: fail fast and let a new attempt run in the background
+        if (m_openingCount == 0 && now >= m_nextOpeningAt)
+            openSession(job->request.account);
         finish(job, decisions::makeFailure(ErrorKind::TargetUnreachable, "no connection to the target could be opened"));
         return;
     }
-    job->number = ++m_lastNumber;
-    m_waiting[job->number] = job;
-    refuse(decisions::admit(m_queue, makeEntry(*job), now), "");
+    job->number = ++m_lastQueueNumber;
+    m_waitingJobs[job->number] = job;
+    refuseEntries(decisions::admit(m_queue, makeQueueEntry(*job), now), "");
     if (!m_isDispatching) {
         m_isDispatching = true;
         boost::asio::post(m_executor, [self = shared_from_this()] {
@@ -80,94 +80,94 @@
     }
 }
 
-// Past admission: it was admitted before.
+// Queues a job without admission control, as it has been admitted before.
 void TargetPool::enqueue(const JobPtr& job)
 {
-    job->number = ++m_lastNumber;
-    m_waiting[job->number] = job;
-    m_queue.entries.push_back(makeEntry(*job));
+    job->number = ++m_lastQueueNumber;
+    m_waitingJobs[job->number] = job;
+    m_queue.entries.push_back(makeQueueEntry(*job));
 }
 
-// Ends jobs that the queue has given up, all of them unsent.
-void TargetPool::refuse(const std::vector<decisions::QueueEntry>& entries, const std::string& reason)
+// Fails the jobs of entries that the queue refused or expired. None of them was sent.
+void TargetPool::refuseEntries(const std::vector<decisions::QueueEntry>& entries, const std::string& reason)
 {
     for (auto& it : entries) {
-        auto job = m_waiting.at(it.number);
-        m_waiting.erase(it.number);
+        auto job = m_waitingJobs.at(it.number);
+        m_waitingJobs.erase(it.number);
         auto wait = milliseconds(static_cast<int64_t>(decisions::getTotalWaitMs(m_queue)));
-        auto comeBack = decisions::jitterRetryAfter(std::max(wait, kComeBackLeast), base::getRandom());
-        finish(job, decisions::makeFailure(ErrorKind::Overloaded, reason.empty() ? fmt::format("{} statements wait before it, {:.0f} ms each{}; come back in {} ms", m_waiting.size(), m_queue.workMs, m_queue.overload.isSustained ? ", for long" : "", comeBack.count()) : reason));
+        auto retryAfter = decisions::jitterRetryAfter(std::max(wait, kMinRetryAfter), base::getRandom());
+        finish(job, decisions::makeFailure(ErrorKind::Overloaded, reason.empty() ? fmt::format("overloaded: {} statements queued at {:.0f} ms each{}; retry after {} ms", m_waitingJobs.size(), m_queue.workMs, m_queue.overload.isSustained ? " for a sustained time" : "", retryAfter.count()) : reason));
     }
 }
 
-// A planned change of primary is under way.
+// Whether the job may write and must wait for a planned change of primary.
 bool TargetPool::isHeld(const Job& job, TimePoint now) const
 {
-    auto& order = job.order;
-    bool mayWrite = order.statement.isWrite || (order.kind == OrderKind::Begin && !order.isReadOnly) || order.statement.kind == StatementKind::Commit;
-    return mayWrite && now < m_holdUntil;
+    auto& request = job.request;
+    bool mayWrite = request.statement.isWrite || (request.kind == RequestKind::Begin && !request.isReadOnly) || request.statement.kind == StatementKind::Commit;
+    return mayWrite && now < m_writesHeldUntil;
 }
 
-static bool needsLeader(const Order& order)
+static bool needsPrimary(const StatementRequest& request)
 {
-    bool isWrite = order.kind == OrderKind::Single && order.statement.isWrite;
-    return isWrite || order.kind == OrderKind::ProvenSingle || (order.kind == OrderKind::Begin && !order.isReadOnly);
+    bool isWrite = request.kind == RequestKind::Single && request.statement.isWrite;
+    return isWrite || request.kind == RequestKind::PrimaryRead || (request.kind == RequestKind::Begin && !request.isReadOnly);
 }
 
-// Whether it could run if it had a connection.
-bool TargetPool::mayRun(const Job& job, TimePoint now) const
+// Whether the job could be sent now if it had a connection.
+bool TargetPool::canRunOnceConnected(const Job& job, TimePoint now) const
 {
-    auto& order = job.order;
-    if (now < job.notBefore || isHeld(job, now) || (m_comparison != Comparison::NotNeeded && needsLeader(order)))
+    auto& request = job.request;
+    if (now < job.retryAt || isHeld(job, now) || (m_logComparison != LogComparison::NotNeeded && needsPrimary(request)))
         return false;
-    auto held = m_transactions.size();
-    return order.kind != OrderKind::Begin || held + std::min(kReservedConnections, m_limits.connections - 1) < m_limits.connections;
+    auto transactions = m_transactions.size();
+    return request.kind != RequestKind::Begin || transactions + std::min(kReservedConnections, m_limits.maxConnections - 1) < m_limits.maxConnections;
 }
 
 bool TargetPool::isRunnable(const Job& job, TimePoint now) const
 {
-    if (!mayRun(job, now))
+    if (!canRunOnceConnected(job, now))
         return false;
-    if (job.order.kind != OrderKind::Continue)
-        return hasFree(job.order.account);
-    auto it = m_transactions.find(job.order.transaction);
+    if (job.request.kind != RequestKind::Continue)
+        return hasIdleSession(job.request.account);
+    auto it = m_transactions.find(job.request.transaction);
     return it == m_transactions.end() || !it->second.session->isBusy;
 }
 
-bool TargetPool::hasFree(const std::string& account) const
+bool TargetPool::hasIdleSession(const std::string& account) const
 {
-    return std::ranges::any_of(m_sessions, [&](const SessionPtr& it) { return it->isFree() && it->account == account; });
+    return std::ranges::any_of(m_sessions, [&](const SessionPtr& it) { return it->isIdle() && it->account == account; });
 }
 
-unsigned TargetPool::countFree() const
+unsigned TargetPool::countIdleSessions() const
 {
-    return static_cast<unsigned>(std::ranges::count_if(m_sessions, [](const SessionPtr& it) { return it->isFree(); }));
+    return static_cast<unsigned>(std::ranges::count_if(m_sessions, [](const SessionPtr& it) { return it->isIdle(); }));
 }
 
 TargetPool::JobPtr TargetPool::popNext(TimePoint now)
 {
-    auto next = decisions::popNextRunnable(m_queue, now, [&](const decisions::QueueEntry& it) { return isRunnable(*m_waiting.at(it.number), now); });
+    auto next = decisions::popNextRunnable(m_queue, now, [&](const decisions::QueueEntry& it) { return isRunnable(*m_waitingJobs.at(it.number), now); });
     if (!next)
         return nullptr;
-    auto job = m_waiting.at(next->number);
-    m_waiting.erase(next->number);
+    auto job = m_waitingJobs.at(next->number);
+    m_waitingJobs.erase(next->number);
     return job;
 }
 
-// Ends jobs that wait here, all of them unsent. A repetition leaves the answer to the job that it repeats.
-void TargetPool::giveBack(const std::function<bool(const Job&)>& mustGo, const decisions::Error& error)
+// Fails matching jobs in the queue, none of which was sent. A hedge is removed silently, as its first attempt may still be answered.
+void TargetPool::failWaitingIf(const std::function<bool(const Job&)>& mustFail, const decisions::Error& error)
 {
-    std::vector<JobPtr> given;
+    std::vector<JobPtr> failed;
     std::erase_if(m_queue.entries, [&](const decisions::QueueEntry& it) {
-        auto job = m_waiting.at(it.number);
-        if (!mustGo(*job))
+        auto job = m_waitingJobs.at(it.number);
+        if (!mustFail(*job))
             return false;
-        given.push_back(job);
-        m_waiting.erase(it.number);
+        failed.push_back(job);
+        m_waitingJobs.erase(it.number);
         return true;
     });
-    for (auto& job : given) {
-        if (!job->isRepetition)
+    for (auto& job : failed) {
+        if (!job->isHedge)
             finish(job, decisions::makeFailure(error.kind, error.message));
     }
 }
@@ -175,32 +175,32 @@
 void TargetPool::dispatch()
 {
     auto now = Clock::now();
-    // The time of a target that leaves can end while operations wait for their turn: looked at where they are sent, not only where they are routed.
-    if (!m_takesNew)
-        giveBack([](const Job& it) { return it.order.kind != OrderKind::Continue; }, { ErrorKind::TargetUnreachable, "the member leaves and takes no new operations" });
-    // Nobody knows when the replicas will answer: callers are told at once, they may reach a host that knows more.
-    if (m_comparison == Comparison::LacksAnswers)
-        giveBack([](const Job& it) { return needsLeader(it.order); }, { ErrorKind::NoPrimary, "the member may have lost its log, and its replicas do not answer" });
+    // A leaving member can stop accepting operations while they are queued, so it is checked here as well as in routing.
+    if (!m_acceptsNewOperations)
+        failWaitingIf([](const Job& it) { return it.request.kind != RequestKind::Continue; }, { ErrorKind::TargetUnreachable, "the member is leaving and accepts no new operations" });
+    // The replicas may not answer for long, so callers get an error at once; another host may know the primary's state.
+    if (m_logComparison == LogComparison::AnswersMissing)
+        failWaitingIf([](const Job& it) { return needsPrimary(it.request); }, { ErrorKind::NoPrimary, "the primary may have lost its log, and the replicas that could tell do not answer" });
     std::erase_if(m_queue.entries, [&](const decisions::QueueEntry& it) {
-        bool isDone = m_waiting.at(it.number)->isDone(); // repeated, and the first one was answered after all
+        bool isDone = m_waitingJobs.at(it.number)->isDone(); // a hedge whose first attempt has been answered
         if (isDone)
-            m_waiting.erase(it.number);
+            m_waitingJobs.erase(it.number);
         return isDone;
     });
-    if (now < m_holdUntil)
+    if (now < m_writesHeldUntil)
         decisions::noteQueueHeld(m_queue, now);
-    while (!m_waiting.empty() && countRunning() < m_limits.running) {
+    while (!m_waitingJobs.empty() && countRunning() < m_limits.concurrency) {
         auto job = popNext(now);
         if (!job)
             break;
-        if (!decisions::isWorthSending(getTurn(job->order), now, m_queue.workMs) && job->order.statement.kind != StatementKind::Commit) {
-            finish(job, decisions::makeFailure(ErrorKind::Overloaded, "its turn came too late to be answered in time"));
+        if (!decisions::isWorthSending(getScheduling(job->request), now, m_queue.workMs) && job->request.statement.kind != StatementKind::Commit) {
+            finish(job, decisions::makeFailure(ErrorKind::Overloaded, "queued too long to be answered before the deadline"));
             continue;
         }
         auto session = findSession(*job);
         if (session)
-            start(job, session);
-        else // its transaction lost its connection while it waited
+            startJob(job, session);
+        else // its transaction lost its connection while the job was queued
             finish(job, decisions::makeFailure(ErrorKind::TransactionAborted, "the connection of the transaction was lost"));
     }
     openSessions(now);
@@ -211,38 +211,38 @@
     return static_cast<size_t>(std::ranges::count_if(m_queue.entries, [](const decisions::QueueEntry& it) { return !it.scheduling.isContinuation; }));
 }
 
-// As many connections as statements wait for, within the limits.
+// Opens connections for the jobs that wait for one, within the limits.
 void TargetPool::openSessions(TimePoint now)
 {
-    if (m_comparison != Comparison::NotNeeded) // the first position that a connection tells is compared with what is known then
+    if (m_logComparison != LogComparison::NotNeeded) // a new connection's first position is compared with the known mark, which the comparison must provide first
         return;
-    if (m_limits.isByAccount) {
-        openByAccount(now);
+    if (m_limits.isPerAccount) {
+        openSessionsByAccount(now);
         return;
     }
     auto needed = countWaitingForConnection();
-    auto wanted = std::min<size_t>(needed, m_limits.running) + m_transactions.size() + m_running.size();
-    auto most = std::min<size_t>(wanted, m_limits.connections);
-    while (countFree() + m_opening < needed && m_sessions.size() + m_opening < most && m_opening < kOpeningMost && now >= m_noNewBefore)
+    auto wanted = std::min<size_t>(needed, m_limits.concurrency) + m_transactions.size() + m_runningJobs.size();
+    auto maxSessions = std::min<size_t>(wanted, m_limits.maxConnections);
+    while (countIdleSessions() + m_openingCount < needed && m_sessions.size() + m_openingCount < maxSessions && m_openingCount < kMaxOpening && now >= m_nextOpeningAt)
         openSession({});
 }
 
-void TargetPool::openByAccount(TimePoint now)
+void TargetPool::openSessionsByAccount(TimePoint now)
 {
-    // A connection on its way holds a slot of the target: half of them are left to statements.
-    auto openingMost = std::max(1U, (m_limits.running - 1) / 2);
-    while (m_opening < openingMost && now >= m_noNewBefore) {
-        auto step = decisions::planOpening(getHeld(), getDemands(now), { m_limits.connections, m_opening, openingMost }, now);
-        if (!step)
+    // Each connection being opened occupies a slot of the target; half of the slots are left to statements.
+    auto maxOpening = std::max(1U, (m_limits.concurrency - 1) / 2);
+    while (m_openingCount < maxOpening && now >= m_nextOpeningAt) {
+        auto plan = decisions::planOpening(getPooledConnections(), getDemands(now), { m_limits.maxConnections, m_openingCount, maxOpening }, now);
+        if (!plan)
             return;
-        if (step->evicted)
-            giveUp(m_sessions[*step->evicted]);
-        openSession(step->account);
+        if (plan->evicted)
+            evictSession(m_sessions[*plan->evicted]);
+        openSession(plan->account);
     }
 }
 
-// Nothing runs on it.
-void TargetPool::giveUp(const SessionPtr& session)
+// Closes an idle connection to make room for another account.
+void TargetPool::evictSession(const SessionPtr& session)
 {
     base::incrementCounter(base::MetricFamily::ConnectionsClosed, { { "member", m_target.member } });
     base::incrementCounter(base::MetricFamily::ConnectionsGivenUp, { { "member", m_target.member } });
@@ -250,48 +250,48 @@
     std::erase(m_sessions, SessionPtr(session));
 }
 
-std::vector<decisions::PooledConnection> TargetPool::getHeld() const
+std::vector<decisions::PooledConnection> TargetPool::getPooledConnections() const
 {
-    std::vector<decisions::PooledConnection> held;
+    std::vector<decisions::PooledConnection> pooled;
     for (auto& it : m_sessions) {
-        held.push_back({ it->account, it->isFree(), it->isBusy && it->transaction == 0, it->served > 0, it->usedAt });
+        pooled.push_back({ it->account, it->isIdle(), it->isBusy && it->transaction == 0, it->servedJobs > 0, it->lastUsedAt });
     }
-    return held;
+    return pooled;
 }
 
-// What waits for a connection, the most urgent first.
+// Returns the accounts whose jobs wait for a connection, the most urgent first.
 std::vector<decisions::AccountDemand> TargetPool::getDemands(TimePoint now) const
 {
     auto entries = m_queue.entries;
-    std::erase_if(entries, [&](const decisions::QueueEntry& it) { return it.scheduling.isContinuation || !mayRun(*m_waiting.at(it.number), now); });
+    std::erase_if(entries, [&](const decisions::QueueEntry& it) { return it.scheduling.isContinuation || !canRunOnceConnected(*m_waitingJobs.at(it.number), now); });
     std::ranges::sort(entries, [&](const decisions::QueueEntry& a, const decisions::QueueEntry& b) { return decisions::isScheduledBefore(m_queue, a, b, now); });
     std::vector<decisions::AccountDemand> demands;
     for (auto& it : entries) {
-        std::string_view account = m_waiting.at(it.number)->order.account;
-        auto known = std::ranges::find(demands, account, &decisions::AccountDemand::account);
-        if (known != demands.end()) {
-            ++known->waiting;
+        std::string_view account = m_waitingJobs.at(it.number)->request.account;
+        auto demand = std::ranges::find(demands, account, &decisions::AccountDemand::account);
+        if (demand != demands.end()) {
+            ++demand->waiting;
             continue;
         }
-        auto opening = m_openingFor.find(std::string(account));
-        demands.push_back({ account, 1, opening == m_openingFor.end() ? 0 : opening->second });
+        auto opening = m_openingByAccount.find(std::string(account));
+        demands.push_back({ account, 1, opening == m_openingByAccount.end() ? 0 : opening->second });
     }
     return demands;
 }
 
-// The free connection that needs the least before it can serve the session.
+// Returns the connection of the job's transaction, or else the idle one that needs the fewest messages to set up the session's state.
 TargetPool::SessionPtr TargetPool::findSession(const Job& job) const
 {
-    if (job.order.kind == OrderKind::Continue) {
-        auto it = m_transactions.find(job.order.transaction);
+    if (job.request.kind == RequestKind::Continue) {
+        auto it = m_transactions.find(job.request.transaction);
         return it == m_transactions.end() ? nullptr : it->second.session;
     }
     SessionPtr best;
     size_t bestCost = 0;
     for (auto& it : m_sessions) {
-        if (!it->isFree() || it->account != job.order.account)
+        if (!it->isIdle() || it->account != job.request.account)
             continue;
-        auto cost = decisions::planConnection(it->state, job.order.values, job.order.shape).getCost();
+        auto cost = decisions::planConnection(it->state, job.request.values, job.request.shape).getCost();
         if (!best || cost < bestCost) {
             best = it;
             bestCost = cost;
@@ -302,211 +302,211 @@
 
 void TargetPool::openSession(const std::string& account)
 {
-    ++m_opening;
-    ++m_openingFor[account];
+    ++m_openingCount;
+    ++m_openingByAccount[account];
     auto session = std::make_shared<TargetSession>(m_executor, m_codec);
     session->account = account;
     auto self = shared_from_this();
     std::weak_ptr<TargetSession> weak = session;
-    auto onOpen = [self, session, known = m_observer.getKnown(m_target)](const Outcome& outcome) { self->takeOpened(session, outcome, known); };
+    auto onOpen = [self, session, knownMark = m_observer.getKnownMark(m_target)](const Outcome& outcome) { self->handleOpened(session, outcome, knownMark); };
     auto onClosed = [self, weak](const std::string& reason) {
         if (auto session = weak.lock())
             self->dropSession(session, reason);
     };
-    session->open(m_target, account.empty() ? m_from : account, kConnectLimit, onOpen, onClosed);
+    session->open(m_target, account.empty() ? m_hostName : account, kConnectTimeout, onOpen, onClosed);
 }
 
-void TargetPool::takeOpened(const SessionPtr& session, const Outcome& outcome, const Mark& known)
+void TargetPool::handleOpened(const SessionPtr& session, const Outcome& outcome, const Mark& knownMark)
 {
-    --m_opening;
-    if (--m_openingFor[session->account] == 0)
-        m_openingFor.erase(session->account);
+    --m_openingCount;
+    if (--m_openingByAccount[session->account] == 0)
+        m_openingByAccount.erase(session->account);
     base::incrementCounter(base::MetricFamily::ConnectionsOpened, { { "member", m_target.member }, { "result", outcome.error ? decisions::getErrorRow(outcome.error->kind).name : "opened" } });
-    m_isSuspect = outcome.error.has_value();
+    m_hasOpenFailed = outcome.error.has_value();
     if (outcome.error) {
         bool isRefused = outcome.error->kind == ErrorKind::TooManyConnections;
-        m_noNewBefore = Clock::now() + (isRefused ? kRefusedPause : kBrokenPause);
+        m_nextOpeningAt = Clock::now() + (isRefused ? kConnectionRefusedBackoff : kConnectFailureBackoff);
         if (isRefused)
-            m_observer.onRefused(m_target, m_sessions.size(), outcome.error->message);
+            m_observer.onConnectionRefused(m_target, m_sessions.size(), outcome.error->message);
         else
-            m_observer.onTrouble(m_target, outcome.error->message);
-        // Without any connection nobody can be served: say so at once, they may try elsewhere.
+            m_observer.onConnectionFailure(m_target, outcome.error->message);
+        // Without any connection no job can be served; failing at once lets callers try another target.
         if (m_sessions.empty())
             failWaiting(*outcome.error);
         return;
     }
     m_observer.onAnswer(m_target);
-    // A single write would run on an empty log without a word: the first position that is heard is looked at before anything is sent.
-    if (m_observer.leads(m_target) && decisions::hasLostLog(known, outcome.position)) {
+    // A primary that lost its log would accept a single write without an error, so the position in the handshake is checked before statements are sent.
+    if (m_observer.isKnownPrimary(m_target) && decisions::hasLostLog(knownMark, outcome.position)) {
         m_observer.onLostLog(m_target, outcome.position);
         session->close();
-        failWaiting({ ErrorKind::NotPrimary, "the member has lost what it held" });
+        failWaiting({ ErrorKind::NotPrimary, "the member has lost its log" });
         return;
     }
-    session->usedAt = Clock::now();
+    session->lastUsedAt = Clock::now();
     m_sessions.push_back(session);
     dispatch();
 }
 
-void TargetPool::start(const JobPtr& job, const SessionPtr& session)
+void TargetPool::startJob(const JobPtr& job, const SessionPtr& session)
 {
     job->startedAt = Clock::now();
     base::observeHistogram(base::MetricFamily::QueueSeconds, { { "member", m_target.member } }, std::chrono::duration<double>(job->startedAt - job->submittedAt).count());
-    bool isOwn = job->order.kind == OrderKind::Continue;
-    base::checkInvariant(!session->isBusy && (session->transaction != 0) == isOwn, "a connection was given away that somebody else holds", m_target.member);
+    bool isContinuation = job->request.kind == RequestKind::Continue;
+    base::checkInvariant(!session->isBusy && (session->transaction != 0) == isContinuation, "a connection was assigned to a job while another job or transaction holds it", m_target.member);
     session->isBusy = true;
-    m_running.emplace_back(job, session);
+    m_runningJobs.emplace_back(job, session);
     prepareSession(*job, session);
-    if (job->order.kind == OrderKind::Begin || job->order.kind == OrderKind::ProvenSingle)
-        begin(job, session);
+    if (job->request.kind == RequestKind::Begin || job->request.kind == RequestKind::PrimaryRead)
+        beginTransaction(job, session);
     else
         runStatement(job, session);
 }
 
-// Sets what the session's statements rely on. Sent along with the statement: a target takes these in order and never refuses them,
-// and if one failed all the same, the connection is not used again.
+// Sets the session's variables and prepared statement on the connection. Pipelined with the statement, as a target does not refuse these
+// messages; if one fails nevertheless, the connection is closed.
 void TargetPool::prepareSession(const Job& job, const SessionPtr& session)
 {
-    auto& order = job.order;
-    auto plan = decisions::planConnection(session->state, order.values, order.shape);
-    if (session->state.prepared.size() > kPreparedMost)
-        plan = decisions::planConnection({ { { "", "" } }, {} }, order.values, order.shape);
+    auto& request = job.request;
+    auto plan = decisions::planConnection(session->state, request.values, request.shape);
+    if (session->state.prepared.size() > kMaxPreparedShapes)
+        plan = decisions::planConnection({ { { "", "" } }, {} }, request.values, request.shape);
     auto self = shared_from_this();
-    auto check = [self, session](const Outcome& outcome) {
+    auto closeOnError = [self, session](const Outcome& outcome) {
         if (outcome.error)
-            self->dropSession(session, "the session could not be set up: " + outcome.error->message);
+            self->dropSession(session, "session setup failed: " + outcome.error->message);
     };
     if (plan.mustReset)
-        session->ask(m_codec.formatReset(), check);
+        session->sendStatement(m_codec.formatReset(), closeOnError);
     for (const auto& [name, value] : plan.values)
-        session->ask(m_codec.formatSetValue(name, value), check);
+        session->sendStatement(m_codec.formatSetValue(name, value), closeOnError);
     if (plan.mustPrepare)
-        session->ask(m_codec.formatPrepare(decisions::getPreparedName(*order.shape), *order.shape), check);
-    session->state = decisions::applyPlan(std::move(session->state), plan, order.shape);
+        session->sendStatement(m_codec.formatPrepare(decisions::getPreparedName(*request.shape), *request.shape), closeOnError);
+    session->state = decisions::applyPlan(std::move(session->state), plan, request.shape);
 }
 
-void TargetPool::begin(const JobPtr& job, const SessionPtr& session)
+void TargetPool::beginTransaction(const JobPtr& job, const SessionPtr& session)
 {
     auto sentAt = Clock::now();
-    bool isReadOnly = job->order.kind == OrderKind::Begin && job->order.isReadOnly;
-    if (job->order.kind == OrderKind::Begin) {
-        session->transaction = job->order.transaction;
-        m_transactions[job->order.transaction] = { session, { job->order.database, true } };
+    bool isReadOnly = job->request.kind == RequestKind::Begin && job->request.isReadOnly;
+    if (job->request.kind == RequestKind::Begin) {
+        session->transaction = job->request.transaction;
+        m_transactions[job->request.transaction] = { session, { job->request.database, true } };
     }
-    auto known = m_observer.getKnown(m_target);
-    session->ask(m_codec.formatBegin(isReadOnly, job->order.atLeast), [self = shared_from_this(), job, session, sentAt, isReadOnly, known](const Outcome& outcome) {
+    auto knownMark = m_observer.getKnownMark(m_target);
+    session->sendStatement(m_codec.formatBegin(isReadOnly, job->request.atLeast), [self = shared_from_this(), job, session, sentAt, isReadOnly, knownMark](const Outcome& outcome) {
         if (!outcome.error) {
-            if (!isReadOnly && !self->takeProof(outcome.position, sentAt, known)) {
-                self->closeTransaction(session);
-                self->endJob(job, session, decisions::makeFailure(ErrorKind::NotPrimary, "the member has lost what it held"));
+            if (!isReadOnly && !self->applyPrimaryProof(outcome.position, sentAt, knownMark)) {
+                self->detachTransaction(session);
+                self->completeJob(job, session, decisions::makeFailure(ErrorKind::NotPrimary, "the member has lost its log"));
                 return;
             }
-            if (job->isDone()) // it ran out of time meanwhile; its connection is gone
+            if (job->isDone()) // it timed out meanwhile, and its connection is closed
                 return;
             self->runStatement(job, session);
             return;
         }
-        self->closeTransaction(session);
+        self->detachTransaction(session);
         auto refused = outcome;
-        refused.wasSent = false; // only the BEGIN was
+        refused.wasSent = false; // only the BEGIN was sent
         if (refused.error->kind == ErrorKind::OutcomeUnknown)
             refused.error->kind = ErrorKind::TargetUnreachable;
-        self->endJob(job, session, refused);
+        self->completeJob(job, session, refused);
     });
 }
 
 void TargetPool::runStatement(const JobPtr& job, const SessionPtr& session)
 {
-    auto& order = job->order;
-    base::checkInvariant(session->transaction == order.transaction || order.kind == OrderKind::Single || order.kind == OrderKind::ProvenSingle, "a statement was about to run in another transaction than its own", m_target.member);
-    base::checkInvariant(session->state.values == order.values, "a statement was about to run with values that are not its session's", m_target.member);
-    auto atLeast = order.kind == OrderKind::Single ? order.atLeast : Mark {};
-    auto bytes = m_codec.formatStatement(order.statement, atLeast, order.shape ? decisions::getPreparedName(*order.shape) : "");
+    auto& request = job->request;
+    base::checkInvariant(session->transaction == request.transaction || request.kind == RequestKind::Single || request.kind == RequestKind::PrimaryRead, "a statement was about to run in a transaction other than its own", m_target.member);
+    base::checkInvariant(session->state.values == request.values, "a statement was about to run with variables that are not its session's", m_target.member);
+    auto atLeast = request.kind == RequestKind::Single ? request.atLeast : Mark {};
+    auto bytes = m_codec.formatStatement(request.statement, atLeast, request.shape ? decisions::getPreparedName(*request.shape) : "");
     auto sentAt = Clock::now();
-    auto known = m_observer.getKnown(m_target);
-    session->ask(bytes, [self = shared_from_this(), job, session, sentAt, known](const Outcome& outcome) {
-        auto& order = job->order;
-        bool isCommit = order.statement.kind == StatementKind::Commit;
+    auto knownMark = m_observer.getKnownMark(m_target);
+    session->sendStatement(bytes, [self = shared_from_this(), job, session, sentAt, knownMark](const Outcome& outcome) {
+        auto& request = job->request;
+        bool isCommit = request.statement.kind == StatementKind::Commit;
         if (!outcome.error)
-            self->takeWorkTime(*job);
-        // A write and its commit succeed at a target that leads only.
-        if (!outcome.error && order.kind == OrderKind::Single && order.statement.isWrite)
-            self->takeProof(outcome.position, sentAt, known);
-        if (isCommit && !self->mayAskAgain(*job, session, outcome))
-            self->closeTransaction(session);
-        self->endJob(job, session, outcome);
+            self->recordWorkTime(*job);
+        // A write outside a transaction succeeds only at a primary.
+        if (!outcome.error && request.kind == RequestKind::Single && request.statement.isWrite)
+            self->applyPrimaryProof(outcome.position, sentAt, knownMark);
+        if (isCommit && !self->canRetryWhenBusy(*job, session, outcome))
+            self->detachTransaction(session);
+        self->completeJob(job, session, outcome);
     });
-    if (order.kind == OrderKind::ProvenSingle)
+    if (request.kind == RequestKind::PrimaryRead)
         rollBack(session);
 }
 
-// The connection is free once the target has said that the transaction is over.
+// The connection is released when the target has answered the ROLLBACK.
 void TargetPool::rollBack(const SessionPtr& session)
 {
-    session->ask(m_codec.formatRollback(), [self = shared_from_this(), session](const Outcome&) {
-        self->freeSession(session);
+    session->sendStatement(m_codec.formatRollback(), [self = shared_from_this(), session](const Outcome&) {
+        self->releaseSession(session);
         self->dispatch();
     });
 }
 
-// What a statement took, and with it the operation that it belongs to.
-void TargetPool::takeWorkTime(const Job& job)
+// Records the time of a statement, and adds it to the cost of its operation.
+void TargetPool::recordWorkTime(const Job& job)
 {
-    std::chrono::duration<double, std::milli> took = Clock::now() - job.startedAt;
-    m_queue.workMs = decisions::updateWorkTime(m_queue.workMs, took.count());
-    if (!isInTransaction(job.order.kind))
-        decisions::recordOperationCost(m_queue.costs, { job.order.database, false }, took.count());
-    else if (auto it = m_transactions.find(job.order.transaction); it != m_transactions.end())
-        it->second.spentMs += took.count();
+    std::chrono::duration<double, std::milli> elapsed = Clock::now() - job.startedAt;
+    m_queue.workMs = decisions::updateWorkTime(m_queue.workMs, elapsed.count());
+    if (!isInTransaction(job.request.kind))
+        decisions::recordOperationCost(m_queue.costs, { job.request.database, false }, elapsed.count());
+    else if (auto it = m_transactions.find(job.request.transaction); it != m_transactions.end())
+        it->second.slotMs += elapsed.count();
 }
 
-// The transaction holds its connection no longer, however it ended.
-void TargetPool::closeTransaction(const SessionPtr& session)
+// Removes the transaction from its connection, whatever its outcome, and records its cost.
+void TargetPool::detachTransaction(const SessionPtr& session)
 {
     auto it = m_transactions.find(session->transaction);
     session->transaction = 0;
     if (it == m_transactions.end())
         return;
-    if (it->second.spentMs > 0)
-        decisions::recordOperationCost(m_queue.costs, it->second.kind, it->second.spentMs);
+    if (it->second.slotMs > 0)
+        decisions::recordOperationCost(m_queue.costs, it->second.kind, it->second.slotMs);
     m_transactions.erase(it);
 }
 
-// False: the target leads by its own word only.
-bool TargetPool::takeProof(const Mark& position, TimePoint sentAt, const Mark& known)
+// Applies an answer that only a primary gives. Returns false if the target has lost its log, so the answer is no proof.
+bool TargetPool::applyPrimaryProof(const Mark& position, TimePoint sentAt, const Mark& knownMark)
 {
-    if (decisions::hasLostLog(known, position)) {
+    if (decisions::hasLostLog(knownMark, position)) {
         m_observer.onLostLog(m_target, position);
         return false;
     }
-    m_provedAt = std::max(m_provedAt, sentAt);
-    m_observer.onLeads(m_target, position, sentAt);
+    m_primaryProvenAt = std::max(m_primaryProvenAt, sentAt);
+    m_observer.onPrimaryProven(m_target, position, sentAt);
     return true;
 }
 
-void TargetPool::endJob(const JobPtr& job, const SessionPtr& session, const Outcome& outcome)
+void TargetPool::completeJob(const JobPtr& job, const SessionPtr& session, const Outcome& outcome)
 {
-    auto it = std::ranges::find(m_running, job, &std::pair<JobPtr, SessionPtr>::first);
-    if (it != m_running.end())
-        m_running.erase(it);
+    auto it = std::ranges::find(m_runningJobs, job, &std::pair<JobPtr, SessionPtr>::first);
+    if (it != m_runningJobs.end())
+        m_runningJobs.erase(it);
     if (session->isOpen()) {
-        std::chrono::duration<double, std::milli> took = Clock::now() - job->startedAt;
-        m_answeredAt = Clock::now();
-        base::observeHistogram(base::MetricFamily::TargetSeconds, { { "member", m_target.member } }, took.count() / 1000);
+        std::chrono::duration<double, std::milli> elapsed = Clock::now() - job->startedAt;
+        m_lastAnswerAt = Clock::now();
+        base::observeHistogram(base::MetricFamily::TargetSeconds, { { "member", m_target.member } }, elapsed.count() / 1000);
         m_observer.onAnswer(m_target);
         if (outcome.position.term != 0)
             m_observer.onPosition(m_target, outcome.position);
         if (outcome.error && outcome.error->kind == ErrorKind::NotPrimary)
-            m_observer.onFollows(m_target);
-        session->usedAt = Clock::now();
-        ++session->served;
-        bool awaitsRollback = session->getPending() > 0;
+            m_observer.onReplicaReported(m_target);
+        session->lastUsedAt = Clock::now();
+        ++session->servedJobs;
+        bool awaitsRollback = session->countPending() > 0;
         if (!awaitsRollback)
-            freeSession(session);
+            releaseSession(session);
     }
-    if (mayAskAgain(*job, session, outcome)) {
-        ++job->timesBusy;
-        job->notBefore = Clock::now() + kBusyPause;
+    if (canRetryWhenBusy(*job, session, outcome)) {
+        ++job->busyCount;
+        job->retryAt = Clock::now() + kBusyRetryDelay;
         job->isStalled = false;
         enqueue(job);
     } else
@@ -514,17 +514,16 @@
     dispatch();
 }
 
-// A target that was busy has run nothing. Inside a transaction there is no other one to ask, and giving up would waste what it did so far.
-bool TargetPool::mayAskAgain(const Job& job, const SessionPtr& session, const Outcome& outcome) const
+// A busy target has not executed the statement. A transaction cannot move to another target, and aborting it would waste its work so far.
+bool TargetPool::canRetryWhenBusy(const Job& job, const SessionPtr& session, const Outcome& outcome) const
 {
     bool wasBusy = outcome.error && outcome.error->kind == ErrorKind::Overloaded && outcome.wasSent;
-    bool isInTransaction = job.order.kind == OrderKind::Continue && session->isOpen() && session->getTargetState() == decisions::SessionState::InTransaction;
-    return wasBusy && isInTransaction && !job.isDone() && job.timesBusy < decisions::kMaxBusyAttempts && Clock::now() + kBusyPause < job.order.deadline;
+    bool isInTransaction = job.request.kind == RequestKind::Continue && session->isOpen() && session->getTargetState() == decisions::SessionState::InTransaction;
+    return wasBusy && isInTransaction && !job.isDone() && job.busyCount < decisions::kMaxBusyAttempts && Clock::now() + kBusyRetryDelay < job.request.deadline;
 }
 
-// Only a connection on which no transaction is open may serve another caller: a statement that a target failed to run, be it our
-// own ROLLBACK, can leave one behind.
-void TargetPool::freeSession(const SessionPtr& session)
+// A connection on which a transaction is still open must not serve another caller. A failed statement or ROLLBACK can leave one open.
+void TargetPool::releaseSession(const SessionPtr& session)
 {
     session->isBusy = false;
     if (session->isOpen() && session->transaction == 0 && session->getTargetState() != decisions::SessionState::Idle)
@@ -546,45 +545,45 @@
     if (it == m_transactions.end())
         return;
     auto session = it->second.session;
-    closeTransaction(session);
-    if (session->isBusy) { // a statement is at the target: only closing ends it
-        dropSession(session, "its transaction was given up");
+    detachTransaction(session);
+    if (session->isBusy) { // a statement is running at the target; closing the connection aborts it
+        dropSession(session, "its transaction was ended while a statement was running");
         return;
     }
     session->isBusy = true;
     rollBack(session);
 }
 
-void TargetPool::dropSession(const SessionPtr& session, const std::string& reason, bool isTrouble)
+void TargetPool::dropSession(const SessionPtr& session, const std::string& reason, bool isFailure)
 {
     auto it = std::ranges::find(m_sessions, session);
     if (it == m_sessions.end())
         return;
     m_sessions.erase(it);
     base::incrementCounter(base::MetricFamily::ConnectionsClosed, { { "member", m_target.member } });
-    closeTransaction(session);
-    bool wasAsked = session->getPending() > 0;
-    auto askedAt = session->getAskedAt();
-    // Its jobs end through their answers, or here if they had none yet.
+    detachTransaction(session);
+    bool hasPending = session->countPending() > 0;
+    auto pendingSince = session->getOldestPendingAt();
+    // close() fails pending statements and thereby their jobs; jobs without a pending statement are completed below.
     session->close();
-    auto running = m_running;
-    for (auto& [job, holder] : running) {
-        if (holder == session)
-            endJob(job, session, decisions::makeFailure(ErrorKind::OutcomeUnknown, reason, true));
+    auto running = m_runningJobs;
+    for (auto& [job, jobSession] : running) {
+        if (jobSession == session)
+            completeJob(job, session, decisions::makeFailure(ErrorKind::OutcomeUnknown, reason, true));
     }
-    // Others that have answered since show that the target lives. If there are any, one of them is asked at once.
-    bool isAlive = std::ranges::any_of(m_sessions, [&](const SessionPtr& it) { return it->getHeardAt() > askedAt; });
-    if (isTrouble && wasAsked && !isAlive)
-        m_observer.onTrouble(m_target, reason);
-    if (isTrouble && wasAsked)
-        m_provedAt = {};
+    // A later answer on another connection shows that the target is alive. Clearing the proof time makes the next sweep request a proof at once.
+    bool isAlive = std::ranges::any_of(m_sessions, [&](const SessionPtr& it) { return it->getLastReceivedAt() > pendingSince; });
+    if (isFailure && hasPending && !isAlive)
+        m_observer.onConnectionFailure(m_target, reason);
+    if (isFailure && hasPending)
+        m_primaryProvenAt = {};
     dispatch();
 }
 
 void TargetPool::failWaiting(const decisions::Error& error)
 {
-    auto waiting = std::move(m_waiting);
-    m_waiting.clear();
+    auto waiting = std::move(m_waitingJobs);
+    m_waitingJobs.clear();
     m_queue.entries.clear();
     for (auto& [number, job] : waiting)
         finish(job, decisions::makeFailure(error.kind, error.message));
@@ -600,7 +599,7 @@
 
 unsigned TargetPool::countRunning() const
 {
-    return static_cast<unsigned>(std::ranges::count_if(m_running, [](const auto& it) { return !it.first->isStalled; }));
+    return static_cast<unsigned>(std::ranges::count_if(m_runningJobs, [](const auto& it) { return !it.first->isStalled; }));
 }
 
 }
--- a/src/gateway/target_pool.h
+++ b/src/gateway/target_pool.h
@@ -1,9 +1,9 @@
-// The connections from this host to one target, and the queue of statements before them. Whoever wants a statement run at the
-// target, a session of this host or another host, submits an order; orders wait here, not at the target, so that the most urgent one
-// goes next and one that can no longer be met is refused unsent.
+// The connection pool of this host to one target, with the queue of statements that wait for a connection. Sessions of this host and
+// other hosts submit requests. They queue here and not at the target, so that the most urgent one is sent first and one that can no
+// longer meet its deadline is refused without being sent.
 //
 // COMMON MISTAKES
-//   - Sending a statement right behind the BEGIN of its transaction. If the BEGIN is refused, the statement runs outside of it.
+//   - Sending a statement before the BEGIN of its transaction is answered. If the BEGIN is refused, the statement runs outside the transaction.
 #pragma once
 #include "decisions/connections.h"
 #include "decisions/member_queue.h"
@@ -13,115 +13,115 @@
 
 namespace alderward::gateway {
 
-enum class OrderKind {
+enum class RequestKind {
     Single, // a statement outside a transaction
-    ProvenSingle, // a read wrapped in a transaction of our own: only a target that leads runs it
-    Begin, // begins a transaction and runs its first statement
-    Continue, // the next statement of a transaction, or its commit
+    PrimaryRead, // a read outside a transaction that only a primary may run; the pool wraps it in a read-write transaction
+    Begin, // the first statement of a transaction, preceded by BEGIN
+    Continue, // a later statement of a transaction, or its COMMIT
 };
 
-struct Order {
-    OrderKind kind { OrderKind::Single };
-    std::string account {}; // client account that it runs for; empty: none
-    uint32_t database { 0 }; // hash of its name; what its operations cost is learned by it
+struct StatementRequest {
+    RequestKind kind { RequestKind::Single };
+    std::string account {}; // client account of the caller; empty: none
+    uint32_t database { 0 }; // hash of its name; operation costs are learned per database
     decisions::Statement statement {};
-    std::optional<decisions::PreparedShape> shape {}; // of an Execute
+    std::optional<decisions::PreparedShape> shape {}; // Execute: the prepared statement
     decisions::SessionVariables values {};
-    bool isReadOnly { false }; // Begin: the transaction reads only and may run on a replica
-    Mark atLeast {}; // the target's log must hold this; term 0: anything goes
-    int priority { 0 }; // 0 goes first
-    TimePoint objective {}; // an answer by then is worth most
-    TimePoint deadline {}; // an answer after this is worth nothing
-    uint64_t transaction { 0 }; // Begin and Continue: its number, see TargetPool::takeTransactionNumber()
+    bool isReadOnly { false }; // Begin: a read-only transaction, which may run on a replica
+    Mark atLeast {}; // read floor: the target's log must contain this mark; term 0: no floor
+    int priority { 0 }; // 0 is the highest
+    TimePoint objective {}; // latency objective: the answer should arrive by then
+    TimePoint deadline {}; // the request fails after this
+    uint64_t transaction { 0 }; // Begin and Continue: number from TargetPool::takeTransactionNumber()
 };
 
-using OrderDone = std::function<void(const Outcome& outcome)>;
+using RequestCallback = std::function<void(const Outcome& outcome)>;
 
-// What a pool learns that others rest decisions on.
+// Callbacks with which a pool reports what it learns about its target, and queries about the target's group.
 struct PoolObserver {
-    // A target proved that it led after `sentAt`; its log then held `position`.
-    std::function<void(const TargetAddress&, const Mark& position, TimePoint sentAt)> onLeads;
-    // What the log of the target's group is known to hold now; asked for before anything is sent to a target that is to lead.
-    std::function<Mark(const TargetAddress&)> getKnown;
-    std::function<bool(const TargetAddress&)> leads; // as far as is known
-    // A target that is to lead holds less than that: it has lost its log, as one that started again with nothing.
+    // The target proved that it was primary at some time after `sentAt`, with its log at `position`.
+    std::function<void(const TargetAddress&, const Mark& position, TimePoint sentAt)> onPrimaryProven;
+    // Returns the highest mark known to be in the log of the target's group. Read before a message is sent, and compared with the position in the answer.
+    std::function<Mark(const TargetAddress&)> getKnownMark;
+    std::function<bool(const TargetAddress&)> isKnownPrimary; // whether this host believes the target to be primary
+    // A target believed to be primary is at `position`, behind the known mark: it has lost its log, for example by a restart with empty storage.
     std::function<void(const TargetAddress&, const Mark& position)> onLostLog;
-    // A target said that it is a replica.
-    std::function<void(const TargetAddress&)> onFollows;
+    // The target refused a statement because it is a replica.
+    std::function<void(const TargetAddress&)> onReplicaReported;
     std::function<void(const TargetAddress&, const Mark& position)> onPosition;
-    // A connection could not be opened, or one that was asked broke or fell silent.
-    std::function<void(const TargetAddress&, const std::string& reason)> onTrouble;
+    // A connection could not be opened, or it failed or timed out while an answer was pending.
+    std::function<void(const TargetAddress&, const std::string& reason)> onConnectionFailure;
     std::function<void(const TargetAddress&)> onAnswer;
-    // A target took no further connection while this host has `open`.
-    std::function<void(const TargetAddress&, size_t open, const std::string& reason)> onRefused;
+    // The target refused another connection; this host has `open` connections to it.
+    std::function<void(const TargetAddress&, size_t open, const std::string& reason)> onConnectionRefused;
 };
 
-// Whether it is known that a target which is to lead still holds its log. What only a leader may run waits while that is found out, and is refused where nobody who could
-// tell answers.
-enum class Comparison {
+// State of the comparison that shows whether a target believed to be primary still has its log. Requests that need a primary wait
+// while it is in progress, and are refused when answers of replicas are missing.
+enum class LogComparison {
     NotNeeded,
-    UnderWay,
-    LacksAnswers,
+    InProgress,
+    AnswersMissing,
 };
 
 struct PoolLimits {
-    unsigned connections { 4 }; // open at a time
-    unsigned running { 3 }; // statements at the target at a time
-    bool isByAccount { false }; // a connection serves one client account, and what has none is one of them; else any session
+    unsigned maxConnections { 4 }; // including those being opened
+    unsigned concurrency { 3 }; // maximum number of statements sent to the target at a time
+    bool isPerAccount { false }; // each connection serves one client account (requests without an account count as one), instead of any session
 };
 
 struct PoolLoad {
-    unsigned waiting { 0 };
-    unsigned running { 0 };
-    double workMs { 10 }; // smoothed time of one statement at the target
+    unsigned waiting { 0 }; // queued statements
+    unsigned running { 0 }; // statements at the target
+    double workMs { 10 }; // typical time of one statement at the target
     friend bool operator==(const PoolLoad&, const PoolLoad&) = default;
 };
 
 class TargetPool : public std::enable_shared_from_this<TargetPool> {
 public:
-    TargetPool(boost::asio::any_io_executor executor, const links::StatementCodec& codec, TargetAddress target, std::string from, PoolObserver observer);
+    TargetPool(boost::asio::any_io_executor executor, const links::StatementCodec& codec, TargetAddress target, std::string hostName, PoolObserver observer);
 
     void setLimits(const PoolLimits& limits);
     uint64_t takeTransactionNumber() { return ++m_lastTransaction; }
-    // Every order ends with exactly one call of `done`, never from within submit().
-    void submit(Order order, OrderDone done);
-    // Rolls a transaction back and gives its connection free. Unknown numbers are ignored.
+    // Calls `done` exactly once for each request, never from within submit().
+    void submit(StatementRequest request, RequestCallback done);
+    // Rolls a transaction back and releases its connection. Unknown numbers are ignored.
     void endTransaction(uint64_t transaction);
-    // Whether the transaction still holds a connection.
+    // Whether the transaction is open and still has its connection.
     bool hasTransaction(uint64_t transaction) const { return m_transactions.contains(transaction); }
-    // Ends orders whose time is over and connections that fell silent; proves the lead if that is due.
+    // Periodic work: fails overdue requests, closes silent and unused connections, sends keep-alives and due primary proofs.
     void sweep(TimePoint now);
-    // Asks the target whether it leads at least this often while nothing else shows it; 0: never.
+    // Maximum time without a proof that the target is primary before the pool requests one; 0: never requested.
     void setProofInterval(milliseconds interval) { m_proofInterval = interval; }
-    // Asks the target where its log stands at least this often; 0: only to keep connections alive.
+    // Interval of queries for the target's log position; 0: the position is only learned from answers and keep-alives.
     void setPositionInterval(milliseconds interval) { m_positionInterval = interval; }
-    // Whether this host is the one that carries statements to the target; one that does not any more gives its connections back.
-    void setCarrier(bool isCarrier) { m_isCarrier = isCarrier; }
-    bool isCarrier() const { return m_isCarrier; }
-    // Whether operations may begin at the target; else those that wait here are given back unsent, and transactions go on.
-    void setTakesNew(bool takesNew) { m_takesNew = takesNew; }
-    void setComparison(Comparison comparison) { m_comparison = comparison; }
-    // The target is gone: closes everything; orders in flight end as unknown, waiting ones as unreachable.
+    // Whether this host is a forwarder for the target. If it is not, idle connections are closed sooner, so that the forwarder can open them.
+    void setForwarder(bool isForwarder) { m_isForwarder = isForwarder; }
+    bool isForwarder() const { return m_isForwarder; }
+    // Whether the target accepts new operations. If it does not, queued ones fail without being sent, and open transactions continue.
+    void setAcceptsNewOperations(bool acceptsNew) { m_acceptsNewOperations = acceptsNew; }
+    void setLogComparison(LogComparison comparison) { m_logComparison = comparison; }
+    // Closes all connections. Requests that were sent fail with OutcomeUnknown, queued ones with TargetUnreachable.
     void shutDown(const std::string& reason);
-    // Statements that write wait until then: a planned change of primary is under way.
-    void holdWrites(TimePoint until) { m_holdUntil = until; }
+    // Keeps writes waiting until the given time, during a planned change of primary.
+    void holdWrites(TimePoint until) { m_writesHeldUntil = until; }
 
     const TargetAddress& getTarget() const { return m_target; }
     PoolLoad getLoad() const;
     bool isIdle() const { return m_queue.entries.empty() && m_sessions.empty(); }
-    size_t getOpen() const { return m_sessions.size(); }
+    size_t countOpenSessions() const { return m_sessions.size(); }
 
 private:
     struct Job {
-        Order order;
-        std::shared_ptr<OrderDone> done; // shared with the job that repeats it; empty inside once it was called
+        StatementRequest request;
+        std::shared_ptr<RequestCallback> done; // shared with the hedge of this job; holds an empty function once called
         TimePoint submittedAt;
         TimePoint startedAt {};
-        TimePoint notBefore {}; // the target was busy: it is asked again then
-        unsigned timesBusy { 0 };
-        uint64_t number { 0 }; // in the queue
-        bool isRepetition { false }; // of a job whose answer may yet come
-        bool isStalled { false }; // its answer seems to be lost: it takes no place among those at the target any more
+        TimePoint retryAt {}; // earliest time of the next attempt after the target was busy
+        unsigned busyCount { 0 };
+        uint64_t number { 0 }; // of its queue entry
+        bool isHedge { false }; // second attempt of a read whose first answer is overdue but may still arrive
+        bool isStalled { false }; // its answer is probably lost, so it no longer counts against the concurrency limit
         bool isDone() const { return !*done; }
     };
     using JobPtr = std::shared_ptr<Job>;
@@ -129,85 +129,85 @@
     struct OpenTransaction {
         SessionPtr session;
         decisions::OperationKind kind;
-        double spentMs { 0 }; // of a place at the target so far
+        double slotMs { 0 }; // slot time used at the target so far, in ms
     };
 
-    static decisions::QueueEntry makeEntry(const Job& job);
+    static decisions::QueueEntry makeQueueEntry(const Job& job);
     void enqueue(const JobPtr& job);
-    void refuse(const std::vector<decisions::QueueEntry>& entries, const std::string& reason);
+    void refuseEntries(const std::vector<decisions::QueueEntry>& entries, const std::string& reason);
     size_t countWaitingForConnection() const;
     bool isHeld(const Job& job, TimePoint now) const;
-    void giveBack(const std::function<bool(const Job&)>& mustGo, const decisions::Error& error);
+    void failWaitingIf(const std::function<bool(const Job&)>& mustFail, const decisions::Error& error);
     void dispatch();
     void openSessions(TimePoint now);
     JobPtr popNext(TimePoint now);
-    bool mayRun(const Job& job, TimePoint now) const;
+    bool canRunOnceConnected(const Job& job, TimePoint now) const;
     bool isRunnable(const Job& job, TimePoint now) const;
-    bool hasFree(const std::string& account) const;
+    bool hasIdleSession(const std::string& account) const;
     SessionPtr findSession(const Job& job) const;
-    unsigned countFree() const;
-    void openByAccount(TimePoint now);
-    void giveUp(const SessionPtr& session);
+    unsigned countIdleSessions() const;
+    void openSessionsByAccount(TimePoint now);
+    void evictSession(const SessionPtr& session);
     std::vector<decisions::AccountDemand> getDemands(TimePoint now) const;
-    std::vector<decisions::PooledConnection> getHeld() const;
+    std::vector<decisions::PooledConnection> getPooledConnections() const;
     void openSession(const std::string& account);
-    void takeOpened(const SessionPtr& session, const Outcome& outcome, const Mark& known);
-    void start(const JobPtr& job, const SessionPtr& session);
+    void handleOpened(const SessionPtr& session, const Outcome& outcome, const Mark& knownMark);
+    void startJob(const JobPtr& job, const SessionPtr& session);
     void prepareSession(const Job& job, const SessionPtr& session);
-    void begin(const JobPtr& job, const SessionPtr& session);
+    void beginTransaction(const JobPtr& job, const SessionPtr& session);
     void rollBack(const SessionPtr& session);
     void runStatement(const JobPtr& job, const SessionPtr& session);
-    bool mayAskAgain(const Job& job, const SessionPtr& session, const Outcome& outcome) const;
-    void endJob(const JobPtr& job, const SessionPtr& session, const Outcome& outcome);
+    bool canRetryWhenBusy(const Job& job, const SessionPtr& session, const Outcome& outcome) const;
+    void completeJob(const JobPtr& job, const SessionPtr& session, const Outcome& outcome);
     void finish(const JobPtr& job, Outcome outcome);
     void failWaiting(const decisions::Error& error);
-    void freeSession(const SessionPtr& session);
-    bool takeProof(const Mark& position, TimePoint sentAt, const Mark& known);
-    void takeWorkTime(const Job& job);
-    void closeTransaction(const SessionPtr& session);
-    // `isTrouble`: an answer that is missing counts against the target.
-    void dropSession(const SessionPtr& session, const std::string& reason, bool isTrouble = true);
-    void proveLead(TimePoint now);
-    void keepAlive(TimePoint now);
-    void askPosition(TimePoint now);
-    void askNothing(const SessionPtr& session);
-    SessionPtr findQuiet() const;
-    void closeUnused(TimePoint now);
+    void releaseSession(const SessionPtr& session);
+    bool applyPrimaryProof(const Mark& position, TimePoint sentAt, const Mark& knownMark);
+    void recordWorkTime(const Job& job);
+    void detachTransaction(const SessionPtr& session);
+    // Closes the connection and removes it. With `isFailure`, a pending answer is reported as a connection failure.
+    void dropSession(const SessionPtr& session, const std::string& reason, bool isFailure = true);
+    void provePrimary(TimePoint now);
+    void sendKeepAlives(TimePoint now);
+    void queryPosition(TimePoint now);
+    void sendEmptyTransaction(const SessionPtr& session);
+    SessionPtr findIdleSession() const;
+    void closeUnusedSessions(TimePoint now);
     unsigned countRunning() const;
-    void findStalled(TimePoint now);
-    milliseconds getStalledLimit() const;
-    void freeStalled(TimePoint now);
-    void endOverdue(TimePoint now);
-    void endSilent(TimePoint now);
+    void markStalledJobs(TimePoint now);
+    milliseconds getStallTimeout() const;
+    void closeOldestStalledSession(TimePoint now);
+    void failOverdueJobs(TimePoint now);
+    void closeSilentSessions(TimePoint now);
 
     boost::asio::any_io_executor m_executor;
     const links::StatementCodec& m_codec;
     TargetAddress m_target;
-    std::string m_from;
+    std::string m_hostName;
     PoolObserver m_observer;
     PoolLimits m_limits;
     decisions::MemberQueue m_queue;
-    std::unordered_map<uint64_t, JobPtr> m_waiting; // by number in the queue
-    uint64_t m_lastNumber { 0 };
-    std::vector<std::pair<JobPtr, SessionPtr>> m_running;
-    std::vector<SessionPtr> m_sessions; // open
-    unsigned m_opening { 0 };
-    std::map<std::string, unsigned> m_openingFor; // the same by account
-    std::string m_lastAccount {}; // that ordered something
+    std::unordered_map<uint64_t, JobPtr> m_waitingJobs; // by number of the queue entry
+    uint64_t m_lastQueueNumber { 0 };
+    std::vector<std::pair<JobPtr, SessionPtr>> m_runningJobs;
+    std::vector<SessionPtr> m_sessions; // open connections
+    unsigned m_openingCount { 0 };
+    std::map<std::string, unsigned> m_openingByAccount; // the same count by account
+    std::string m_lastRequestAccount {}; // account of the latest request
     std::unordered_map<uint64_t, OpenTransaction> m_transactions;
     uint64_t m_lastTransaction { 0 };
-    TimePoint m_noNewBefore {}; // no connection is opened before this
-    bool m_isSuspect { false }; // the last attempt to open one failed
-    TimePoint m_provedAt {};
-    TimePoint m_holdUntil {};
+    TimePoint m_nextOpeningAt {}; // no connection is opened before then
+    bool m_hasOpenFailed { false }; // the last attempt to open a connection failed
+    TimePoint m_primaryProvenAt {};
+    TimePoint m_writesHeldUntil {};
     milliseconds m_proofInterval { 0 };
     milliseconds m_positionInterval { 0 };
-    TimePoint m_positionAskedAt {};
-    TimePoint m_answeredAt {}; // the last answer to a statement or a proof
+    TimePoint m_positionQueriedAt {};
+    TimePoint m_lastAnswerAt {}; // time of the last answer to a statement or a proof
     bool m_isDispatching { false };
-    bool m_isCarrier { true };
-    bool m_takesNew { true };
-    Comparison m_comparison { Comparison::NotNeeded };
+    bool m_isForwarder { true };
+    bool m_acceptsNewOperations { true };
+    LogComparison m_logComparison { LogComparison::NotNeeded };
 };
 
 }
--- a/src/gateway/target_pool_upkeep.cpp
+++ b/src/gateway/target_pool_upkeep.cpp
@@ -1,4 +1,4 @@
-// What a pool does at each sweep: answers that seem lost, limits that have passed, connections that are silent or of no use, proofs of the lead.
+// The periodic work of a target pool: stalled and overdue jobs, silent and unused connections, keep-alives and proofs of the primary.
 #include "gateway/target_pool.h"
 #include <algorithm>
 
@@ -8,184 +8,184 @@
 using decisions::ErrorKind;
 using decisions::StatementKind;
 
-static constexpr milliseconds kKeepAliveAfter { 1000 }; // an idle connection that was quiet for this long is asked something
-static constexpr milliseconds kSilentLimit { 300 }; // for questions that need no work at the target
-static constexpr milliseconds kUnusedAsCarrier { 10000 }; // a connection that was of no use for this long is closed
-static constexpr milliseconds kUnusedElsewhere { 500 }; // the same where another host carries now, which needs the connections
-static constexpr double kStalledTimes = 8; // of the usual time: a statement's answer may be lost; the slowest usual ones take five times
-static constexpr milliseconds kStalledLeast { 150 }; // below this a hiccup of the network would count
+static constexpr milliseconds kKeepAliveInterval { 1000 }; // for idle connections
+static constexpr milliseconds kSilenceTimeout { 300 }; // for messages that need no slot of the target
+static constexpr milliseconds kIdleTimeoutAsForwarder { 10000 };
+static constexpr milliseconds kIdleTimeoutOtherwise { 500 }; // the forwarder needs the connections
+static constexpr double kStallFactor = 8; // times the typical time of a statement
+static constexpr milliseconds kMinStallTimeout { 150 }; // tolerates short network delays
 
 void TargetPool::sweep(TimePoint now)
 {
-    findStalled(now);
-    freeStalled(now);
-    endOverdue(now);
-    endSilent(now);
-    proveLead(now);
-    askPosition(now);
-    keepAlive(now);
-    closeUnused(now);
+    markStalledJobs(now);
+    closeOldestStalledSession(now);
+    failOverdueJobs(now);
+    closeSilentSessions(now);
+    provePrimary(now);
+    queryPosition(now);
+    sendKeepAlives(now);
+    closeUnusedSessions(now);
     dispatch();
 }
 
-milliseconds TargetPool::getStalledLimit() const
+milliseconds TargetPool::getStallTimeout() const
 {
-    return std::max(kStalledLeast, milliseconds(static_cast<int64_t>(kStalledTimes * m_queue.workMs)));
+    return std::max(kMinStallTimeout, milliseconds(static_cast<int64_t>(kStallFactor * m_queue.workMs)));
 }
 
-// A few hung statements can hold all connections. While others wait for one, the statement that has hung longest gives its connection up,
-// if that leaves nothing behind at the target: it is run anew, or its transaction, which is rolled back there, is reported as ended.
-// One at each sweep: the next may be answered meanwhile. Without any answer since, twice the time must pass.
-void TargetPool::freeStalled(TimePoint now)
+// Prevents stalled statements from occupying all connections. While other jobs wait for one, closes the connection of the oldest stalled
+// statement that can be aborted without an uncertain effect. Closes at most one per sweep, as others may be answered meanwhile. If the
+// target has answered nothing since, the job counts as stalled only after twice the timeout.
+void TargetPool::closeOldestStalledSession(TimePoint now)
 {
-    bool isScarce = countFree() == 0 && m_sessions.size() + m_opening >= m_limits.connections;
+    bool isScarce = countIdleSessions() == 0 && m_sessions.size() + m_openingCount >= m_limits.maxConnections;
     if (!isScarce || countWaitingForConnection() == 0)
         return;
-    for (auto& [job, session] : m_running) { // in the order in which they were started
-        auto& order = job->order;
-        bool leavesNothing = order.statement.kind != StatementKind::Commit && (!order.statement.isWrite || order.kind == OrderKind::Begin || order.kind == OrderKind::Continue);
-        bool hasHung = job->isStalled || now - job->startedAt > 2 * getStalledLimit();
-        if (!leavesNothing || !hasHung)
+    for (auto& [job, session] : m_runningJobs) { // in order of their start
+        auto& request = job->request;
+        bool isSafeToAbandon = request.statement.kind != StatementKind::Commit && (!request.statement.isWrite || request.kind == RequestKind::Begin || request.kind == RequestKind::Continue);
+        bool hasStalled = job->isStalled || now - job->startedAt > 2 * getStallTimeout();
+        if (!isSafeToAbandon || !hasStalled)
             continue;
-        dropSession(SessionPtr(session), "its answer seems to be lost and others wait for a connection", false);
+        dropSession(SessionPtr(session), "statement stalled while others wait for a connection", false);
         return;
     }
 }
 
-// A statement that takes several times as long as usual, while later ones were answered, has probably lost its answer. It gives up its
-// place, or a few of these would stop all others until their time is over. A read is run once more; whichever answer comes first counts.
-// Nothing is ended for it: a slow answer is delivered as well.
-void TargetPool::findStalled(TimePoint now)
+// If a statement takes several times the typical time while later ones are answered, its answer is probably lost. It no longer counts
+// against the concurrency limit, so that a few lost answers do not block the queue until they time out. A read outside a transaction is
+// hedged: sent a second time, and the first answer counts.
+void TargetPool::markStalledJobs(TimePoint now)
 {
-    auto limit = getStalledLimit();
-    auto running = m_running;
+    auto limit = getStallTimeout();
+    auto running = m_runningJobs;
     for (auto& [job, session] : running) {
-        if (job->isStalled && job->isDone()) { // its repetition was answered
-            dropSession(session, "the answer is no longer waited for");
+        if (job->isStalled && job->isDone()) { // its hedge was answered
+            dropSession(session, "its hedged request was answered first");
             continue;
         }
-        if (job->isStalled || now - job->startedAt < limit || m_answeredAt < job->startedAt + limit / 2)
+        if (job->isStalled || now - job->startedAt < limit || m_lastAnswerAt < job->startedAt + limit / 2)
             continue;
         job->isStalled = true;
-        auto& order = job->order;
-        bool mayRepeat = !order.statement.isWrite && (order.kind == OrderKind::Single || order.kind == OrderKind::ProvenSingle);
-        bool isBusy = m_waiting.size() >= m_limits.running; // a repetition would take a turn from somebody who has had none
-        if (!mayRepeat || isBusy)
+        auto& request = job->request;
+        bool canHedge = !request.statement.isWrite && (request.kind == RequestKind::Single || request.kind == RequestKind::PrimaryRead);
+        bool isBusy = m_waitingJobs.size() >= m_limits.concurrency; // a hedge would delay statements that have not been sent at all
+        if (!canHedge || isBusy)
             continue;
-        auto again = std::make_shared<Job>(*job);
-        again->isStalled = false;
-        again->isRepetition = true;
-        enqueue(again);
+        auto hedge = std::make_shared<Job>(*job);
+        hedge->isStalled = false;
+        hedge->isHedge = true;
+        enqueue(hedge);
     }
 }
 
-void TargetPool::endOverdue(TimePoint now)
+void TargetPool::failOverdueJobs(TimePoint now)
 {
-    refuse(decisions::removeExpired(m_queue, now), "no turn came in time");
-    auto running = m_running;
+    refuseEntries(decisions::removeExpired(m_queue, now), "not sent before its deadline or the queue's wait limit");
+    auto running = m_runningJobs;
     for (auto& [job, session] : running) {
-        if (now < job->order.deadline)
+        if (now < job->request.deadline)
             continue;
         finish(job, decisions::makeFailure(ErrorKind::StatementTimedOut, "the target did not answer in time", true));
-        auto askedAt = session->getAskedAt();
-        dropSession(session, "no answer in time");
-        // Other connections that have been quiet since may have died in the same way.
+        auto pendingSince = session->getOldestPendingAt();
+        dropSession(session, "no answer before the deadline");
+        // Idle connections without a later answer may have failed in the same way.
         auto sessions = m_sessions;
         for (auto& it : sessions) {
-            if (it->isFree() && it->getHeardAt() < askedAt)
-                dropSession(it, "quiet since a connection to the same target died");
+            if (it->isIdle() && it->getLastReceivedAt() < pendingSince)
+                dropSession(it, "no answer since another connection to the target timed out");
         }
     }
 }
 
-// Questions of our own need no work at the target: silence means that the connection is dead.
-void TargetPool::endSilent(TimePoint now)
+// Messages of the pool itself need no slot of the target, so a missing answer means that the connection is dead.
+void TargetPool::closeSilentSessions(TimePoint now)
 {
     auto sessions = m_sessions;
     for (auto& it : sessions) {
-        bool hasJob = std::ranges::any_of(m_running, [&](const auto& running) { return running.second == it; });
-        if (!hasJob && it->getPending() > 0 && now - it->getAskedAt() > kSilentLimit)
-            dropSession(it, "the target is silent");
+        bool hasJob = std::ranges::any_of(m_runningJobs, [&](const auto& running) { return running.second == it; });
+        if (!hasJob && it->countPending() > 0 && now - it->getOldestPendingAt() > kSilenceTimeout)
+            dropSession(it, "the target did not answer a keep-alive or other message of the pool");
     }
 }
 
-// A connection on which nothing is under way.
-TargetPool::SessionPtr TargetPool::findQuiet() const
+// Returns an idle connection without pending answers, if any.
+TargetPool::SessionPtr TargetPool::findIdleSession() const
 {
-    auto it = std::ranges::find_if(m_sessions, [](const SessionPtr& it) { return it->isFree() && it->getPending() == 0; });
+    auto it = std::ranges::find_if(m_sessions, [](const SessionPtr& it) { return it->isIdle() && it->countPending() == 0; });
     return it == m_sessions.end() ? nullptr : *it;
 }
 
-void TargetPool::proveLead(TimePoint now)
+void TargetPool::provePrimary(TimePoint now)
 {
-    if (m_comparison != Comparison::NotNeeded || m_proofInterval.count() == 0 || now - m_provedAt < m_proofInterval)
+    if (m_logComparison != LogComparison::NotNeeded || m_proofInterval.count() == 0 || now - m_primaryProvenAt < m_proofInterval)
         return;
-    auto session = findQuiet();
+    auto session = findIdleSession();
     if (!session) {
-        if (m_sessions.empty() && m_opening == 0 && now >= m_noNewBefore)
-            openSession(m_lastAccount);
+        if (m_sessions.empty() && m_openingCount == 0 && now >= m_nextOpeningAt)
+            openSession(m_lastRequestAccount);
         return;
     }
-    m_provedAt = now; // the next question is due an interval after this one, whatever its answer
+    m_primaryProvenAt = now; // the next proof is due one interval later, whatever the answer
     session->isBusy = true;
-    auto known = m_observer.getKnown(m_target);
-    session->ask(m_codec.formatBegin(false, {}), [self = shared_from_this(), session, now, known](const Outcome& outcome) {
+    auto knownMark = m_observer.getKnownMark(m_target);
+    session->sendStatement(m_codec.formatBegin(false, {}), [self = shared_from_this(), session, now, knownMark](const Outcome& outcome) {
         if (outcome.error && outcome.error->kind == ErrorKind::NotPrimary)
-            self->m_observer.onFollows(self->m_target);
+            self->m_observer.onReplicaReported(self->m_target);
         if (outcome.error) {
-            self->freeSession(session);
+            self->releaseSession(session);
             return;
         }
-        self->m_answeredAt = Clock::now();
-        self->takeProof(outcome.position, now, known);
+        self->m_lastAnswerAt = Clock::now();
+        self->applyPrimaryProof(outcome.position, now, knownMark);
         self->m_observer.onAnswer(self->m_target);
         self->rollBack(session);
     });
 }
 
-void TargetPool::keepAlive(TimePoint now)
+void TargetPool::sendKeepAlives(TimePoint now)
 {
     for (auto& it : m_sessions) {
-        if (it->isBusy || it->transaction != 0 || it->getPending() > 0 || now - it->getHeardAt() < kKeepAliveAfter)
+        if (it->isBusy || it->transaction != 0 || it->countPending() > 0 || now - it->getLastReceivedAt() < kKeepAliveInterval)
             continue;
-        askNothing(it);
+        sendEmptyTransaction(it);
     }
 }
 
-// An empty transaction: its answer tells the position, and it takes no slot of the target.
-void TargetPool::askNothing(const SessionPtr& session)
+// Sends a read-only BEGIN and a ROLLBACK, which return the log position and occupy no slot of the target.
+void TargetPool::sendEmptyTransaction(const SessionPtr& session)
 {
     session->isBusy = true;
-    session->ask(m_codec.formatBegin(true, {}), [](const Outcome&) {});
-    session->ask(m_codec.formatRollback(), [self = shared_from_this(), session](const Outcome& outcome) {
+    session->sendStatement(m_codec.formatBegin(true, {}), [](const Outcome&) {});
+    session->sendStatement(m_codec.formatRollback(), [self = shared_from_this(), session](const Outcome& outcome) {
         if (outcome.position.term != 0)
             self->m_observer.onPosition(self->m_target, outcome.position);
-        self->freeSession(session);
+        self->releaseSession(session);
         self->dispatch();
     });
 }
 
-void TargetPool::askPosition(TimePoint now)
+void TargetPool::queryPosition(TimePoint now)
 {
-    if (m_positionInterval.count() == 0 || now - m_positionAskedAt < m_positionInterval)
+    if (m_positionInterval.count() == 0 || now - m_positionQueriedAt < m_positionInterval)
         return;
-    auto session = findQuiet();
+    auto session = findIdleSession();
     if (!session) {
-        if (m_sessions.empty() && m_opening == 0 && now >= m_noNewBefore)
-            openSession(m_lastAccount);
+        if (m_sessions.empty() && m_openingCount == 0 && now >= m_nextOpeningAt)
+            openSession(m_lastRequestAccount);
         return;
     }
-    m_positionAskedAt = now;
-    askNothing(session);
+    m_positionQueriedAt = now;
+    sendEmptyTransaction(session);
 }
 
-void TargetPool::closeUnused(TimePoint now)
+void TargetPool::closeUnusedSessions(TimePoint now)
 {
-    auto limit = m_isCarrier ? kUnusedAsCarrier : kUnusedElsewhere;
+    auto limit = m_isForwarder ? kIdleTimeoutAsForwarder : kIdleTimeoutOtherwise;
     auto sessions = m_sessions;
     for (auto& it : sessions) {
-        bool isLast = m_isCarrier && m_sessions.size() == 1;
-        if (!isLast && it->isFree() && it->getPending() == 0 && now - it->usedAt > limit)
+        bool isLast = m_isForwarder && m_sessions.size() == 1;
+        if (!isLast && it->isIdle() && it->countPending() == 0 && now - it->lastUsedAt > limit)
             dropSession(it, "unused");
     }
 }
--- a/tests/gateway/failover_test.cpp
+++ b/tests/gateway/failover_test.cpp
@@ -26,7 +26,7 @@
 BOOST_AUTO_TEST_CASE(a_dead_primary_is_replaced_by_the_replica_with_the_newest_log)
 {
     GatewayRig rig;
-    rig.beginHosts();
+    rig.startHosts();
     BOOST_TEST(canWrite(rig, 0));
     rig.call([&] { rig.getGroup().getFaults("g0-b").isDeaf = true; });
     BOOST_TEST(canWrite(rig, 0));
@@ -42,7 +42,7 @@
 BOOST_AUTO_TEST_CASE(an_unreachable_primary_is_replaced_while_the_store_does_not_answer)
 {
     GatewayRig rig;
-    rig.beginHosts();
+    rig.startHosts();
     BOOST_TEST(canWrite(rig, 0));
     rig.call([&] {
         rig.getStore().faults.isSilent = true;
@@ -56,7 +56,7 @@
 BOOST_AUTO_TEST_CASE(fencing_tokens_increase_and_are_never_used_for_two_orders)
 {
     GatewayRig rig;
-    rig.beginHosts();
+    rig.startHosts();
     for (int round = 0; round < 3; ++round) {
         auto primary = rig.call([&] { return rig.getGroup().getPrimary(); });
         auto term = rig.call([&] { return rig.getGroup().getTerm(); });
@@ -70,7 +70,7 @@
         auto index = static_cast<unsigned>(coordinator.back() - '0');
         rig.getHost(index).kill();
         std::this_thread::sleep_for(milliseconds(1500));
-        rig.beginHost(index);
+        rig.startHost(index);
         rig.waitReady(index);
         std::this_thread::sleep_for(milliseconds(1500));
     }
@@ -88,7 +88,7 @@
 BOOST_AUTO_TEST_CASE(handover_of_a_leaving_primary_loses_no_commit)
 {
     GatewayRig rig;
-    rig.beginHosts();
+    rig.startHosts();
     rig.call([&] {
         for (auto& id : rig.getGroup().getIds())
             rig.getGroup().getFaults(id).lag = milliseconds(80);
@@ -112,7 +112,7 @@
 BOOST_AUTO_TEST_CASE(an_unanswered_order_is_repeated_unchanged)
 {
     GatewayRig rig;
-    rig.beginHosts();
+    rig.startHosts();
     rig.call([&] {
         rig.getStore().faults.losesPromotions = true;
         rig.getGroup().kill("g0-a");
@@ -130,7 +130,7 @@
 BOOST_AUTO_TEST_CASE(a_slow_primary_is_not_replaced)
 {
     GatewayRig rig;
-    rig.beginHosts();
+    rig.startHosts();
     rig.call([&] { rig.getGroup().getFaults("g0-a").work = milliseconds(400); });
     std::vector<std::unique_ptr<LineCaller>> callers;
     for (int i = 0; i < 12; ++i)
@@ -147,9 +147,9 @@
 BOOST_AUTO_TEST_CASE(a_standby_replaces_a_frozen_coordinator_which_orders_nothing_when_it_resumes)
 {
     GatewayRig rig;
-    rig.beginHosts();
+    rig.startHosts();
     BOOST_TEST(canWrite(rig, 0));
-    auto coordinator = rig.findHolder();
+    auto coordinator = rig.findFirstCoordinator();
     rig.getHost(coordinator).signal(SIGSTOP);
     rig.call([&] { rig.getGroup().kill("g0-a"); });
     auto other = (coordinator + 1) % 3;
@@ -165,7 +165,7 @@
 BOOST_AUTO_TEST_CASE(an_isolated_host_replaces_no_primary_until_lost_hosts_expire)
 {
     GatewayRig rig;
-    rig.beginHosts();
+    rig.startHosts();
     BOOST_TEST(canWrite(rig, 0));
     BOOST_TEST(waitUntil(milliseconds(4000), [&] { return rig.countEvents("host-regained") >= 6; }));
     rig.getHost(1).signal(SIGSTOP);
@@ -188,7 +188,7 @@
 BOOST_AUTO_TEST_CASE(a_primary_that_restarts_with_an_empty_log_is_replaced)
 {
     GatewayRig rig;
-    rig.beginHosts();
+    rig.startHosts();
     LineCaller writer(rig.getCallerAddress(0), "db0-primary");
     for (int i = 0; i < 20; ++i)
         BOOST_TEST(writer.ask(fmt::format("WRITE item{} 1", i)).isOk());
@@ -212,7 +212,7 @@
 BOOST_AUTO_TEST_CASE(a_replica_that_restarts_with_an_empty_log_serves_no_stale_reads)
 {
     GatewayRig rig;
-    rig.beginHosts();
+    rig.startHosts();
     LineCaller writer(rig.getCallerAddress(1), "db0-own");
     for (int i = 0; i < 10; ++i)
         BOOST_TEST(writer.ask(fmt::format("WRITE item{} 1", i)).isOk());
@@ -231,7 +231,7 @@
 BOOST_AUTO_TEST_CASE(a_starting_host_does_not_trust_a_primary_with_an_older_log_than_its_replicas)
 {
     GatewayRig rig;
-    rig.beginHosts();
+    rig.startHosts();
     LineCaller writer(rig.getCallerAddress(1), "db0-primary");
     for (int i = 0; i < 10; ++i)
         BOOST_TEST(writer.ask(fmt::format("WRITE item{} 1", i)).isOk());
@@ -242,7 +242,7 @@
         rig.getGroup().beginEmpty("g0-a");
         rig.getStore().listMembers();
     });
-    rig.beginHost(0);
+    rig.startHost(0);
     BOOST_REQUIRE(rig.waitReady(0));
     auto answer = LineCaller(rig.getCallerAddress(0), "db0-primary").ask("READ item3");
     BOOST_TEST((!answer.isOk() || answer.rows == std::vector<std::string> { "1" }));
--- a/tests/gateway/input_test.cpp
+++ b/tests/gateway/input_test.cpp
@@ -1,29 +1,29 @@
-// Bad input of callers: a clear answer or a close, nothing run, no growth of memory.
+// Malformed and excessive input of callers must not execute anything, crash a host or use unbounded memory.
 #include "harness/gateway_rig.h"
 #include <boost/test/unit_test.hpp>
 #include <sys/resource.h>
 
 using namespace harness;
 
-// Raises the limit of descriptors for this process and those it starts. Returns how many sessions it allows, `wanted` at most.
-static unsigned allowDescriptors(unsigned wanted)
+// Raises the limit of file descriptors for this process and its children. Returns how many sessions it allows, at most `wanted`.
+static unsigned raiseDescriptorLimit(unsigned wanted)
 {
-    constexpr rlim_t kOther = 200; // of the test and of a host
+    constexpr rlim_t kOtherDescriptors = 200; // of the test itself and a host
     rlimit limit {};
     getrlimit(RLIMIT_NOFILE, &limit);
-    limit.rlim_cur = std::min(limit.rlim_max, std::max<rlim_t>(limit.rlim_cur, wanted + kOther));
+    limit.rlim_cur = std::min(limit.rlim_max, std::max<rlim_t>(limit.rlim_cur, wanted + kOtherDescriptors));
     setrlimit(RLIMIT_NOFILE, &limit);
-    return static_cast<unsigned>(std::min<rlim_t>(wanted, limit.rlim_cur - kOther));
+    return static_cast<unsigned>(std::min<rlim_t>(wanted, limit.rlim_cur - kOtherDescriptors));
 }
 
 BOOST_AUTO_TEST_SUITE(input)
 
-BOOST_AUTO_TEST_CASE(broken_messages_end_the_connection_and_run_nothing)
+BOOST_AUTO_TEST_CASE(malformed_messages_close_the_connection_and_execute_nothing)
 {
-    RigShape shape;
-    shape.hosts = 1;
-    GatewayRig rig(shape);
-    rig.beginHosts();
+    RigOptions options;
+    options.hosts = 1;
+    GatewayRig rig(options);
+    rig.startHosts();
     auto before = rig.call([&] { return rig.getGroup().getRan().size(); });
     for (auto& bytes : std::vector<std::string> { "GET / HTTP/1.1\r\n\r\n", "QUERY\r\n", "QUERY a\r\n", "QUERY - READ x\r\n", "READ x\n", "\r\n", "\n", std::string("\0\1\2\r\n", 5), "CONNECT\r\n", "QUERY a READ x\r\n" }) {
         LineCaller caller(rig.getCallerAddress(0), "");
@@ -39,12 +39,12 @@
     BOOST_TEST(rig.getHost(0).isRunning());
 }
 
-BOOST_AUTO_TEST_CASE(a_message_of_almost_a_megabyte_is_served)
+BOOST_AUTO_TEST_CASE(messages_of_almost_one_megabyte_are_served)
 {
-    RigShape shape;
-    shape.hosts = 2;
-    GatewayRig rig(shape);
-    rig.beginHosts();
+    RigOptions options;
+    options.hosts = 2;
+    GatewayRig rig(options);
+    rig.startHosts();
     std::string data(1000 * 1000, 'y');
     for (unsigned i = 0; i < 2; ++i) {
         LineCaller caller(rig.getCallerAddress(i), "db0-primary");
@@ -53,14 +53,14 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(half_messages_and_thousands_of_idle_sessions_cost_little)
+BOOST_AUTO_TEST_CASE(idle_sessions_and_incomplete_messages_use_little_memory)
 {
-    auto sessions = allowDescriptors(3000);
+    auto sessions = raiseDescriptorLimit(3000);
     BOOST_REQUIRE(sessions >= 900u);
-    RigShape shape;
-    shape.hosts = 1;
-    GatewayRig rig(shape);
-    rig.beginHosts();
+    RigOptions options;
+    options.hosts = 1;
+    GatewayRig rig(options);
+    rig.startHosts();
     auto before = getResidentKb(rig.getHost(0).getId());
     std::vector<std::unique_ptr<LineCaller>> idle;
     for (unsigned i = 0; i < sessions; ++i) {
@@ -70,8 +70,8 @@
     }
     LineCaller caller(rig.getCallerAddress(0), "db0-primary");
     BOOST_TEST(caller.ask("READ x").isOk());
-    auto grown = getResidentKb(rig.getHost(0).getId()) - before;
-    BOOST_TEST(grown < sessions * 16, "grew by " << grown << " KB for " << sessions << " sessions"); // a session's buffers are given back
+    auto grownKb = getResidentKb(rig.getHost(0).getId()) - before;
+    BOOST_TEST(grownKb < sessions * 16, "grew by " << grownKb << " KB for " << sessions << " sessions"); // idle sessions must release their buffers
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/gateway/leaving_test.cpp
+++ b/tests/gateway/leaving_test.cpp
@@ -14,11 +14,11 @@
 constexpr milliseconds kDrainTime { 7000 }; // default of the setting
 constexpr milliseconds kHandoverLimit { 5000 }; // less than the drain time
 
-RigShape makeShape()
+RigOptions makeShape()
 {
-    RigShape shape;
+    RigOptions shape;
     shape.hasProxies = true;
-    shape.hasOrdersApart = true;
+    shape.hasDirectOrders = true;
     return shape;
 }
 
@@ -61,23 +61,23 @@
 BOOST_AUTO_TEST_CASE(a_leaving_primary_is_handed_over_while_the_first_coordinator_has_lost_the_store)
 {
     GatewayRig rig(makeShape());
-    rig.beginHosts();
-    auto coordinator = rig.findHolder();
-    rig.setStoreCut(coordinator, true);
+    rig.startHosts();
+    auto coordinator = rig.findFirstCoordinator();
+    rig.setStoreIsolated(coordinator, true);
     std::this_thread::sleep_for(milliseconds(300));
     rig.call([&] { rig.getStore().setLeaving("g0-a", true); });
     BOOST_TEST(waitUntil(kHandoverLimit, [&] { return isHandedOver(rig); }));
     for (unsigned i = 0; i < 3; ++i)
         BOOST_TEST(waitUntil(milliseconds(2000), [&] { return canWrite(rig, i); }));
     BOOST_TEST(rig.call([&] { return rig.getGroup().getTerm(); }) == 2u);
-    rig.setStoreCut(coordinator, false);
+    rig.setStoreIsolated(coordinator, false);
 }
 
 BOOST_AUTO_TEST_CASE(a_standby_hands_over_a_leaving_primary_when_orders_of_the_first_coordinator_are_not_answered)
 {
     GatewayRig rig(makeShape());
-    rig.beginHosts();
-    auto coordinator = rig.findHolder();
+    rig.startHosts();
+    auto coordinator = rig.findFirstCoordinator();
     rig.call([&] {
         rig.getStore().faults.unheardHolders.insert(fmt::format("h{}", coordinator));
         rig.getStore().setLeaving("g0-a", true);
@@ -102,7 +102,7 @@
 BOOST_AUTO_TEST_CASE(a_leaving_primary_gets_no_new_operations_after_its_drain_time)
 {
     GatewayRig rig(makeShape());
-    rig.beginHosts();
+    rig.startHosts();
     LineCaller late(rig.getCallerAddress(0), "db0-primary");
     rig.call([&] {
         rig.getStore().faults.refusesPromotions = true;
@@ -125,7 +125,7 @@
 BOOST_AUTO_TEST_CASE(an_unlisted_primary_gets_no_new_operations_after_its_drain_time)
 {
     GatewayRig rig(makeShape());
-    rig.beginHosts();
+    rig.startHosts();
     rig.call([&] {
         rig.getStore().faults.refusesPromotions = true;
         rig.getStore().remove("servers/g0-a");
@@ -142,8 +142,8 @@
 {
     GatewayRig rig(makeShape());
     rig.call([&] { rig.getStore().remove("servers/g0-c"); });
-    rig.beginHosts();
-    rig.setStoreCut(2, true); // in the new member's data centre, so its first forwarder
+    rig.startHosts();
+    rig.setStoreIsolated(2, true); // in the new member's data centre, so its first forwarder
     rig.call([&] { rig.getStore().listMembers(); });
     BOOST_TEST(waitUntil(milliseconds(2000), [&] { return rig.getLog(0).find("\"member\":\"g0-c\"") != std::string::npos && rig.getLog(1).find("\"member\":\"g0-c\"") != std::string::npos; }));
     rig.call([&] {
@@ -159,8 +159,8 @@
 {
     GatewayRig rig(makeShape());
     rig.call([&] { rig.getStore().remove("servers/g0-c"); });
-    rig.beginHosts();
-    rig.setStoreCut(2, true);
+    rig.startHosts();
+    rig.setStoreIsolated(2, true);
     auto isTold = [&](const std::string& what) {
         return waitUntil(milliseconds(6000), [&] {
             auto log = rig.getLog(2);
@@ -180,7 +180,7 @@
     rig.call([&] { rig.getStore().remove("servers/g0-a"); });
     BOOST_TEST(isTold("\"event\":\"member-unlisted\",\"member\":\"g0-a\""));
     std::this_thread::sleep_for(milliseconds(5000)); // all hosts forget the member
-    rig.setStoreCut(2, false);
+    rig.setStoreIsolated(2, false);
     BOOST_TEST(waitUntil(milliseconds(4000), [&] { return rig.getLog(2).rfind("store-regained") > rig.getLog(2).rfind("store-lost"); }));
     BOOST_TEST(canWrite(rig, 2));
 }
--- a/tests/gateway/starting_test.cpp
+++ b/tests/gateway/starting_test.cpp
@@ -49,7 +49,7 @@
 BOOST_AUTO_TEST_CASE(a_restarted_primary_with_an_empty_log_is_not_trusted_while_no_replica_answers)
 {
     GatewayRig rig;
-    rig.beginHosts();
+    rig.startHosts();
     writeItems(rig);
     killHosts(rig);
     setReplicasSilent(rig, true);
@@ -57,7 +57,7 @@
         rig.getGroup().beginEmpty("g0-a");
         rig.getStore().listMembers();
     });
-    rig.beginHost(0);
+    rig.startHost(0);
     BOOST_REQUIRE(rig.waitReady(0));
     auto until = Clock::now() + milliseconds(4000);
     while (Clock::now() < until) {
@@ -77,7 +77,7 @@
 {
     GatewayRig rig;
     setReplicasSilent(rig, true);
-    rig.beginHost(0);
+    rig.startHost(0);
     BOOST_REQUIRE(rig.waitReady(0));
     BOOST_TEST(waitUntil(kServedWithin, [&] { return LineCaller(rig.getCallerAddress(0), "db0-primary").ask("WRITE x 1").isOk(); }));
 }
@@ -85,11 +85,11 @@
 BOOST_AUTO_TEST_CASE(a_primary_that_did_not_restart_is_used_while_no_replica_answers)
 {
     GatewayRig rig;
-    rig.beginHosts();
+    rig.startHosts();
     writeItems(rig);
     killHosts(rig);
     setReplicasSilent(rig, true);
-    rig.beginHost(0);
+    rig.startHost(0);
     BOOST_REQUIRE(rig.waitReady(0));
     BOOST_TEST(waitUntil(kServedWithin, [&] { return isExpected(readItem(rig)); }));
 }
@@ -98,7 +98,7 @@
 BOOST_AUTO_TEST_CASE(a_primary_restarted_with_its_log_is_used_once_one_of_two_replicas_answers)
 {
     GatewayRig rig;
-    rig.beginHosts();
+    rig.startHosts();
     writeItems(rig);
     killHosts(rig);
     rig.call([&] {
@@ -107,7 +107,7 @@
         rig.getGroup().begin("g0-a");
         rig.getStore().listMembers();
     });
-    rig.beginHost(0);
+    rig.startHost(0);
     BOOST_REQUIRE(rig.waitReady(0));
     BOOST_TEST(waitUntil(kServedWithin, [&] { return isExpected(readItem(rig)); }));
 }
--- a/tests/gateway/terms_test.cpp
+++ b/tests/gateway/terms_test.cpp
@@ -50,7 +50,7 @@
 BOOST_AUTO_TEST_CASE(a_primary_that_stops_leaving_during_the_handover_stays)
 {
     GatewayRig rig;
-    rig.beginHosts();
+    rig.startHosts();
     rig.call([&] {
         rig.getGroup().getFaults("g0-b").isDeaf = true;
         rig.getGroup().getFaults("g0-c").isDeaf = true;
@@ -69,7 +69,7 @@
 BOOST_AUTO_TEST_CASE(a_primary_that_stops_leaving_while_the_order_is_unanswered_stays)
 {
     GatewayRig rig;
-    rig.beginHosts();
+    rig.startHosts();
     BOOST_TEST(canWrite(rig, 0));
     rig.call([&] {
         rig.getStore().faults.unheardHolders = { "h0", "h1", "h2" };
@@ -89,7 +89,7 @@
 BOOST_AUTO_TEST_CASE(an_order_repeated_after_a_lost_answer_raises_the_term_once)
 {
     GatewayRig rig;
-    rig.beginHosts();
+    rig.startHosts();
     BOOST_TEST(canWrite(rig, 0));
     rig.call([&] {
         rig.getStore().faults.losesPromotions = true;
@@ -107,7 +107,7 @@
 BOOST_AUTO_TEST_CASE(hosts_agree_on_the_term_after_a_second_order_to_the_same_member)
 {
     GatewayRig rig;
-    rig.beginHosts();
+    rig.startHosts();
     BOOST_TEST(canWrite(rig, 0));
     rig.call([&] {
         rig.getStore().faults.promotionsTake = milliseconds(2600);
@@ -122,10 +122,10 @@
 BOOST_AUTO_TEST_CASE(a_term_confirmed_by_the_primary_replaces_a_higher_assumed_term)
 {
     GatewayRig rig;
-    rig.beginHosts();
+    rig.startHosts();
     BOOST_TEST(canWrite(rig, 0));
     for (unsigned i = 0; i < kHosts; ++i)
-        rig.tellLead(i, "g0", "g0-a", 3);
+        rig.announcePrimary(i, "g0", "g0-a", 3);
     for (unsigned i = 0; i < kHosts; ++i)
         BOOST_TEST(waitUntil(milliseconds(1000), [&] { return getBelievedTerm(rig, i) == 3; }));
     std::this_thread::sleep_for(kPropagationTime);
@@ -141,7 +141,7 @@
         rig.getGroup().getFaults("g0-b").isDeaf = true;
         rig.getGroup().getFaults("g0-c").isDeaf = true;
     });
-    rig.beginHosts();
+    rig.startHosts();
     LineCaller writer(rig.getCallerAddress(0), "db0-primary");
     for (int i = 0; i < 10; ++i)
         BOOST_TEST(writer.ask(fmt::format("WRITE item{} 1", i)).isOk());
@@ -160,14 +160,14 @@
 // The only forwarder of the primary learns of the primary's restart later than the other hosts, and must not refuse its proofs as outdated.
 BOOST_AUTO_TEST_CASE(the_only_forwarder_trusts_a_restarted_primary_after_too_high_an_assumed_term)
 {
-    GatewayRig rig(RigShape { .hasProxies = true });
-    rig.beginHosts();
+    GatewayRig rig(RigOptions { .hasProxies = true });
+    rig.startHosts();
     BOOST_TEST(canWrite(rig, 0));
     for (unsigned i = 0; i < kHosts; ++i)
-        rig.tellLead(i, "g0", "g0-a", 3);
+        rig.announcePrimary(i, "g0", "g0-a", 3);
     for (unsigned i = 0; i < kHosts; ++i)
         BOOST_TEST(waitUntil(milliseconds(1000), [&] { return getBelievedTerm(rig, i) == 3; }));
-    rig.setStoreCut(0, true);
+    rig.setStoreIsolated(0, true);
     rig.call([&] {
         rig.getGroup().kill("g0-a"); // restarts with its log
         rig.getGroup().begin("g0-a");
@@ -175,7 +175,7 @@
     });
     for (unsigned i : { 1U, 2U })
         BOOST_TEST(waitUntil(kRecoveryLimit, [&] { return canWrite(rig, i); }));
-    rig.setStoreCut(0, false);
+    rig.setStoreIsolated(0, false);
     BOOST_TEST(waitUntil(kRecoveryLimit, [&] { return rig.countEvents("member-restarted") >= kHosts; }));
     for (unsigned i = 0; i < kHosts; ++i)
         BOOST_TEST(waitUntil(kRecoveryLimit, [&] { return canWrite(rig, i); }), "host " << i << " has no primary");
