--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -44,7 +44,7 @@
     , m_self { m_settings.name, m_settings.peerAddress, m_settings.dataCentre, static_cast<uint64_t>(base::getRandom() * 1e15) + 1 }
     , m_peers(context, m_settings.name, makePeerService())
     , m_quotas({ m_view, m_peers, m_settings.name, m_self.incarnation, getQuotaRule(), m_isDraining, [this](size_t shard, const std::set<std::string>& accounts, std::function<void(bool)> done) { writeNearAccounts(shard, accounts, std::move(done)); } })
-    , m_router({ context, m_view, m_peers, m_settings.name, m_settings.dataCentre, [this](const TargetAddress& it) { return getPool(it); }, [this](const TargetAddress& it) { return isTroubled(it); }, [this](const std::string& group) { raiseAlarm(group, "no primary is known"); }, [this] { return !decisions::canJudgePrimary(m_peers.countInReach()); }, getDrainTime(), m_quotas })
+    , m_router({ context, m_view, m_peers, m_settings.name, m_settings.dataCentre, [this](const TargetAddress& it) { return getPool(it); }, [this](const TargetAddress& it) { return isTroubled(it); }, [this](const std::string& group) { raiseAlarm(group, "no primary is known"); }, [this] { return !decisions::canJudgePrimary(m_peers.getReachability()); }, getDrainTime(), m_quotas })
     , m_directory(context, *m_platform, m_self, { milliseconds(m_settings.storeCallTimeoutMs), milliseconds(m_settings.watchWaitMs), milliseconds(m_settings.longWatchWaitMs), milliseconds(m_settings.leaseMs) }, makeDirectoryEvents())
     , m_promoter({ context, m_view, m_peers, *m_platform, { m_self.name, m_self.incarnation }, [this](const TargetAddress& it, std::function<void(const StatusReport&)> done) { inquire(it, std::move(done)); }, [this](const std::string&, const std::string& member, milliseconds time) { holdWrites(member, time); }, [this] { return m_directory.isReachable(); }, [this](const std::string& group, const decisions::KnownPrimary& before, std::string_view source) { noteLead(group, before, source); }, m_isDraining })
     , m_acceptor(context)
@@ -302,21 +302,21 @@
     }
 }
 
-PeerService Gateway::makePeerService()
+PeerCallbacks Gateway::makePeerService()
 {
-    PeerService service;
+    PeerCallbacks service;
     service.findPool = [this](const std::string& id) -> std::shared_ptr<TargetPool> {
         auto member = m_view.members.find(id);
         return member == m_view.members.end() ? nullptr : getPool(member->second.getTarget());
     };
-    service.isTroubled = [this](const TargetAddress& target) { return isTroubled(target); };
-    service.inquire = [this](const TargetAddress& target, std::function<void(const StatusReport&)> done) { inquire(target, std::move(done)); };
+    service.isUnreachable = [this](const TargetAddress& target) { return isTroubled(target); };
+    service.queryStatus = [this](const TargetAddress& target, std::function<void(const StatusReport&)> done) { inquire(target, std::move(done)); };
     service.onAlarm = [this](const std::string& group, const std::string& member, const std::string& reason) {
         if (m_view.groups[group].lead.member == member || member.empty())
             m_promoter.raiseAlarm(group, reason);
     };
     service.onHoldWrites = [this](const std::string&, const std::string& member, milliseconds time) { holdWrites(member, time); };
-    service.onLead = [this](const std::string& host, const std::string& group, const std::string& member, uint64_t term) {
+    service.onPrimaryAnnounced = [this](const std::string& host, const std::string& group, const std::string& member, uint64_t term) {
         m_promoter.noteOrder(group, host);
         if (!m_view.members.contains(member))
             return;
@@ -336,7 +336,7 @@
         if (ping.wants_heard()) {
             m_partnersDue = m_partnersDue || now - m_askedToRelayAt > kRelayAskedFor;
             m_askedToRelayAt = now;
-            m_peers.writeHeard(pong, ping.wants_loads());
+            m_peers.writePartnerReports(pong, ping.wants_loads());
             if (ping.known_revision() != 0)
                 writeChanges(pong, m_directory.getChanges(ping.known_revision()), now);
         }
@@ -354,17 +354,17 @@
         m_directory.hearChange(ping.change());
     };
     service.onPong = [this](const std::string&, const peer::Pong& pong, TimePoint sentAt) { takeStatus(pong, sentAt); };
-    service.answerMembers = [this](const peer::MembersQuestion& question, peer::MembersAnswer& answer) {
+    service.fillMembersAnswer = [this](const peer::MembersQuestion& question, peer::MembersAnswer& answer) {
         answer.set_lacks_store(m_directory.mayMissChanges());
         if (!answer.lacks_store())
             writeMembers(answer, m_view, question.since(), Clock::now());
     };
-    service.onMembers = [this](const std::string&, const peer::MembersAnswer& answer, TimePoint sentAt) { takeMembers(answer, sentAt); };
-    service.takeQuotaReport = [this](const peer::QuotaReport& report) { return m_quotas.takeReport(report); };
-    service.answerQuotaAsk = [this](const peer::QuotaAsk& ask) { return m_quotas.answerAsk(ask); };
+    service.onMembersAnswer = [this](const std::string&, const peer::MembersAnswer& answer, TimePoint sentAt) { takeMembers(answer, sentAt); };
+    service.handleQuotaReport = [this](const peer::QuotaReport& report) { return m_quotas.takeReport(report); };
+    service.handleQuotaAsk = [this](const peer::QuotaAsk& ask) { return m_quotas.answerAsk(ask); };
     service.onQuotaState = [this](const std::string& host, const peer::QuotaState& state) { m_quotas.takeState(host, state); };
     service.onQuotaAnswer = [this](const std::string& host, const peer::QuotaAnswer& answer) { m_quotas.takeAnswer(host, answer); };
-    service.onLink = [](const std::string& host, bool isUp, const std::string& reason) { base::incrementCounter(base::MetricFamily::HostChanges, {{"peer", host}, {"change", isUp ? "regained" : "lost"}}); base::logEvent(LogClass::State, isUp ? "host-regained" : "host-lost", { { "peer", std::string_view(host) }, { "reason", std::string_view(reason) } }); };
+    service.onHostChange = [](const std::string& host, bool isUp, const std::string& reason) { base::incrementCounter(base::MetricFamily::HostChanges, {{"peer", host}, {"change", isUp ? "regained" : "lost"}}); base::logEvent(LogClass::State, isUp ? "host-regained" : "host-lost", { { "peer", std::string_view(host) }, { "reason", std::string_view(reason) } }); };
     return service;
 }
 
@@ -448,9 +448,9 @@
     m_peers.setPartners(partners);
     auto relays = getRelays(m_view, m_peers, getPlace());
     bool isWatcher = std::ranges::find(relays, m_self.name) != relays.end() || getPlace().isAskedToRelay;
-    bool hasRelay = std::ranges::any_of(partners, [](auto& it) { return it.second.tellsLoads; });
+    bool hasRelay = std::ranges::any_of(partners, [](auto& it) { return it.second.reportsLoads; });
     m_directory.setWatcher(isWatcher, hasRelay);
-    m_directory.setLostByRelays(std::ranges::none_of(partners, [this](auto& it) { return it.second.isRelay && m_peers.getAbility(it.first).hasStore; }));
+    m_directory.setLostByRelays(std::ranges::none_of(partners, [this](auto& it) { return it.second.isRelay && m_peers.getCapabilities(it.first).hasStore; }));
     if (relays == m_relays)
         return;
     m_relays = relays;
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -41,7 +41,7 @@
     void writeNearAccounts(size_t shard, const std::set<std::string>& accounts, std::function<void(bool)> done);
     PoolLimits getLimits(const TargetAddress& target) const;
     PoolObserver makeObserver();
-    PeerService makePeerService();
+    PeerCallbacks makePeerService();
     DirectoryEvents makeDirectoryEvents();
     void inquire(const TargetAddress& target, std::function<void(const StatusReport&)> done);
     void holdWrites(const std::string& member, milliseconds time);
--- a/src/gateway/gateway_members.cpp
+++ b/src/gateway/gateway_members.cpp
@@ -59,15 +59,15 @@
     if (!m_view.hasMembers || !m_directory.mayMissChanges() || now - m_membersAskedAt < kMembersInterval)
         return;
     std::vector<std::string> able;
-    for (auto& name : m_peers.getUpHosts()) {
-        if (m_peers.getAbility(name).hasStore)
+    for (auto& name : m_peers.getAnsweringHosts()) {
+        if (m_peers.getCapabilities(name).hasStore)
             able.push_back(name);
     }
     if (able.empty())
         return;
     m_membersAskedAt = now;
     auto index = static_cast<size_t>(base::getRandom() * static_cast<double>(able.size()));
-    m_peers.askMembers(able[std::min(index, able.size() - 1)], m_view.membersRevision);
+    m_peers.requestMembers(able[std::min(index, able.size() - 1)], m_view.membersRevision);
 }
 
 void Gateway::takeMembers(const peer::MembersAnswer& answer, TimePoint sentAt)
--- a/src/gateway/inbound_peers.cpp
+++ b/src/gateway/inbound_peers.cpp
@@ -6,10 +6,10 @@
 using base::Clock;
 using decisions::ErrorKind;
 
-InboundPeers::InboundPeers(boost::asio::io_context& context, std::string name, const PeerService& service)
+InboundPeers::InboundPeers(boost::asio::io_context& context, std::string name, const PeerCallbacks& callbacks)
     : m_context(context)
     , m_name(std::move(name))
-    , m_service(service)
+    , m_callbacks(callbacks)
     , m_acceptor(context)
 {
 }
@@ -34,156 +34,156 @@
         if (!m_acceptor.is_open())
             return;
         if (!ec) {
-            auto peer = std::make_shared<Peer>();
-            peer->channel = std::make_shared<links::Channel>(m_context.get_executor(), links::ChannelOptions { links::splitFrame });
-            m_peers.insert(peer);
-            peer->channel->start(
-                std::move(socket), [this, peer](std::string_view message) { takeMessage(peer, message); }, [this, peer](const std::string&) { lose(peer); });
+            auto connection = std::make_shared<Connection>();
+            connection->channel = std::make_shared<links::Channel>(m_context.get_executor(), links::ChannelOptions { links::splitFrame });
+            m_connections.insert(connection);
+            connection->channel->start(
+                std::move(socket), [this, connection](std::string_view message) { handleMessage(connection, message); }, [this, connection](const std::string&) { removeConnection(connection); });
         }
         accept();
     });
 }
 
-void InboundPeers::takeMessage(const PeerPtr& peer, std::string_view message)
+void InboundPeers::handleMessage(const ConnectionPtr& connection, std::string_view message)
 {
     peer::Frame frame;
     if (!frame.ParseFromArray(message.data(), static_cast<int>(message.size()))) {
-        peer->channel->close();
-        lose(peer);
+        connection->channel->close();
+        removeConnection(connection);
         return;
     }
     if (frame.has_order())
-        serveOrder(peer, frame.order());
+        handleOrder(connection, frame.order());
     else if (frame.has_end_transaction())
-        endTransaction(peer, frame.end_transaction().transaction());
+        endTransaction(connection, frame.end_transaction().transaction());
     else if (frame.has_ping())
-        answerPing(peer, frame.ping());
+        answerPing(connection, frame.ping());
     else if (frame.has_inquiry())
-        answerInquiry(peer, frame.inquiry());
+        answerInquiry(connection, frame.inquiry());
     else if (frame.has_alarm())
-        m_service.onAlarm(frame.alarm().group(), frame.alarm().member(), "host " + peer->host + ": " + frame.alarm().reason());
+        m_callbacks.onAlarm(frame.alarm().group(), frame.alarm().member(), "host " + connection->host + ": " + frame.alarm().reason());
     else if (frame.has_lead())
-        m_service.onLead(peer->host, frame.lead().group(), frame.lead().member(), frame.lead().term());
+        m_callbacks.onPrimaryAnnounced(connection->host, frame.lead().group(), frame.lead().member(), frame.lead().term());
     else if (frame.has_members_question())
-        tellMembers(peer, frame.members_question());
+        answerMembersQuestion(connection, frame.members_question());
     else if (frame.has_quota_report())
-        answerQuotaReport(peer, frame.quota_report());
+        answerQuotaReport(connection, frame.quota_report());
     else if (frame.has_quota_ask())
-        answerQuotaAsk(peer, frame.quota_ask());
+        answerQuotaAsk(connection, frame.quota_ask());
     else if (frame.has_hold_writes())
-        m_service.onHoldWrites(frame.hold_writes().group(), frame.hold_writes().member(), milliseconds(frame.hold_writes().for_ms()));
+        m_callbacks.onHoldWrites(frame.hold_writes().group(), frame.hold_writes().member(), milliseconds(frame.hold_writes().for_ms()));
 }
 
-void InboundPeers::answerPing(const PeerPtr& peer, const peer::Ping& ping)
+void InboundPeers::answerPing(const ConnectionPtr& connection, const peer::Ping& ping)
 {
-    peer->host = ping.host();
-    m_service.onPing(peer->host, ping);
+    connection->host = ping.host();
+    m_callbacks.onPing(connection->host, ping);
     peer::Frame reply;
     reply.mutable_pong()->set_number(ping.number());
-    m_service.fillPong(ping, *reply.mutable_pong());
-    sendFrame(*peer->channel, reply);
+    m_callbacks.fillPong(ping, *reply.mutable_pong());
+    sendFrame(*connection->channel, reply);
 }
 
-void InboundPeers::answerQuotaReport(const PeerPtr& peer, const peer::QuotaReport& report)
+void InboundPeers::answerQuotaReport(const ConnectionPtr& connection, const peer::QuotaReport& report)
 {
-    peer->isReporter = true;
+    connection->isReporter = true;
     peer::Frame reply;
-    *reply.mutable_quota_state() = m_service.takeQuotaReport(report);
-    sendFrame(*peer->channel, reply);
+    *reply.mutable_quota_state() = m_callbacks.handleQuotaReport(report);
+    sendFrame(*connection->channel, reply);
 }
 
-void InboundPeers::answerQuotaAsk(const PeerPtr& peer, const peer::QuotaAsk& ask)
+void InboundPeers::answerQuotaAsk(const ConnectionPtr& connection, const peer::QuotaAsk& ask)
 {
     peer::Frame reply;
-    *reply.mutable_quota_answer() = m_service.answerQuotaAsk(ask);
-    sendFrame(*peer->channel, reply);
+    *reply.mutable_quota_answer() = m_callbacks.handleQuotaAsk(ask);
+    sendFrame(*connection->channel, reply);
 }
 
-void InboundPeers::tellReporters(const peer::QuotaState& state)
+void InboundPeers::broadcastQuotaState(const peer::QuotaState& state)
 {
     peer::Frame frame;
     *frame.mutable_quota_state() = state;
-    for (auto& it : m_peers) {
+    for (auto& it : m_connections) {
         if (it->isReporter)
             sendFrame(*it->channel, frame);
     }
 }
 
-void InboundPeers::tellMembers(const PeerPtr& peer, const peer::MembersQuestion& question)
+void InboundPeers::answerMembersQuestion(const ConnectionPtr& connection, const peer::MembersQuestion& question)
 {
     peer::Frame reply;
-    m_service.answerMembers(question, *reply.mutable_members_answer());
-    sendFrame(*peer->channel, reply);
+    m_callbacks.fillMembersAnswer(question, *reply.mutable_members_answer());
+    sendFrame(*connection->channel, reply);
 }
 
-void InboundPeers::answerInquiry(const PeerPtr& peer, const peer::Inquiry& inquiry)
+void InboundPeers::answerInquiry(const ConnectionPtr& connection, const peer::Inquiry& inquiry)
 {
-    m_service.inquire({ inquiry.member(), inquiry.group(), inquiry.address() }, [peer, call = inquiry.call()](const StatusReport& report) {
+    m_callbacks.queryStatus({ inquiry.member(), inquiry.group(), inquiry.address() }, [connection, call = inquiry.call()](const StatusReport& report) {
         peer::Frame reply;
         reply.mutable_finding()->set_call(call);
         writeStatus(*reply.mutable_finding(), report);
-        sendFrame(*peer->channel, reply);
+        sendFrame(*connection->channel, reply);
     });
 }
 
-void InboundPeers::endTransaction(const PeerPtr& peer, uint64_t transaction)
+void InboundPeers::endTransaction(const ConnectionPtr& connection, uint64_t transaction)
 {
-    auto it = peer->transactions.find(transaction);
-    if (it == peer->transactions.end())
+    auto it = connection->transactions.find(transaction);
+    if (it == connection->transactions.end())
         return;
     it->second.pool->endTransaction(it->second.transaction);
-    peer->transactions.erase(it);
+    connection->transactions.erase(it);
 }
 
-void InboundPeers::answerOrder(const PeerPtr& peer, uint64_t call, const Outcome& outcome, const TargetPool* pool)
+void InboundPeers::sendAnswer(const ConnectionPtr& connection, uint64_t call, const Outcome& outcome, const TargetPool* pool)
 {
     peer::Frame frame;
     auto& answer = *frame.mutable_answer();
     answer.set_call(call);
     writeOutcome(answer, outcome);
     if (pool)
-        writeLoad(*answer.mutable_load(), pool->getTarget().member, pool->getLoad(), m_service.isTroubled(pool->getTarget()));
-    sendFrame(*peer->channel, frame);
+        writeLoad(*answer.mutable_load(), pool->getTarget().member, pool->getLoad(), m_callbacks.isUnreachable(pool->getTarget()));
+    sendFrame(*connection->channel, frame);
 }
 
-void InboundPeers::answerUnknownMember(const PeerPtr& peer, uint64_t call)
+void InboundPeers::answerUnknownMember(const ConnectionPtr& connection, uint64_t call)
 {
     peer::Frame frame;
     auto& answer = *frame.mutable_answer();
     answer.set_call(call);
     answer.set_lacks_member(true);
     writeOutcome(answer, decisions::makeFailure(ErrorKind::TargetUnreachable, "host " + m_name + " does not know the member"));
-    sendFrame(*peer->channel, frame);
+    sendFrame(*connection->channel, frame);
 }
 
 // Numbers of transactions are each host's own. False: the transaction is not known here.
-bool InboundPeers::placeTransaction(const PeerPtr& peer, const std::shared_ptr<TargetPool>& pool, uint64_t theirNumber, Order& order)
+bool InboundPeers::resolveTransaction(const ConnectionPtr& connection, const std::shared_ptr<TargetPool>& pool, uint64_t remoteNumber, Order& order)
 {
     if (order.kind == OrderKind::Begin) {
         order.transaction = pool->takeTransactionNumber();
-        peer->transactions[theirNumber] = { pool, order.transaction };
+        connection->transactions[remoteNumber] = { pool, order.transaction };
         return true;
     }
-    auto it = peer->transactions.find(theirNumber);
-    if (it == peer->transactions.end() || it->second.pool != pool)
+    auto it = connection->transactions.find(remoteNumber);
+    if (it == connection->transactions.end() || it->second.pool != pool)
         return false;
     order.transaction = it->second.transaction;
     if (order.statement.kind == decisions::StatementKind::Commit)
-        peer->transactions.erase(it);
+        connection->transactions.erase(it);
     return true;
 }
 
-void InboundPeers::serveOrder(const PeerPtr& peer, const peer::Order& wire)
+void InboundPeers::handleOrder(const ConnectionPtr& connection, const peer::Order& wire)
 {
     auto order = readOrder(wire, Clock::now());
-    auto pool = m_service.findPool(wire.member());
+    auto pool = m_callbacks.findPool(wire.member());
     if (!pool) {
-        answerUnknownMember(peer, wire.call());
+        answerUnknownMember(connection, wire.call());
         return;
     }
-    auto reply = [this, peer, call = wire.call(), pool](const Outcome& outcome) { answerOrder(peer, call, outcome, pool.get()); };
+    auto reply = [this, connection, call = wire.call(), pool](const Outcome& outcome) { sendAnswer(connection, call, outcome, pool.get()); };
     bool isInTransaction = order.kind == OrderKind::Begin || order.kind == OrderKind::Continue;
-    if (isInTransaction && !placeTransaction(peer, pool, wire.transaction(), order)) {
+    if (isInTransaction && !resolveTransaction(connection, pool, wire.transaction(), order)) {
         reply(decisions::makeFailure(ErrorKind::TransactionAborted, "the transaction is not known here"));
         return;
     }
@@ -191,13 +191,13 @@
 }
 
 // The host that began these transactions cannot end them any more.
-void InboundPeers::lose(const PeerPtr& peer)
+void InboundPeers::removeConnection(const ConnectionPtr& connection)
 {
-    auto transactions = std::move(peer->transactions);
-    peer->transactions.clear();
-    for (auto& [number, held] : transactions)
-        held.pool->endTransaction(held.transaction);
-    m_peers.erase(peer);
+    auto transactions = std::move(connection->transactions);
+    connection->transactions.clear();
+    for (auto& [number, remote] : transactions)
+        remote.pool->endTransaction(remote.transaction);
+    m_connections.erase(connection);
 }
 
 }
--- a/src/gateway/partners.cpp
+++ b/src/gateway/partners.cpp
@@ -24,7 +24,7 @@
         bool isSelf = name == self.name;
         if (isSelf ? self.isDraining : !peers.isUsable(name))
             continue;
-        usable.push_back({ name, isSelf ? self.hasStore : peers.getAbility(name).hasStore });
+        usable.push_back({ name, isSelf ? self.hasStore : peers.getCapabilities(name).hasStore });
         able += usable.back().hasStore ? 1 : 0;
     }
     return decisions::chooseWatchers(usable);
@@ -37,7 +37,7 @@
         return;
     it->second.interval = std::min(it->second.interval, partner.interval);
     it->second.isRelay = it->second.isRelay || partner.isRelay;
-    it->second.tellsLoads = it->second.tellsLoads || partner.tellsLoads;
+    it->second.reportsLoads = it->second.reportsLoads || partner.reportsLoads;
 }
 
 // Those that carry to the member as far as this host sees, and would before it.
--- a/src/gateway/peer_codec.cpp
+++ b/src/gateway/peer_codec.cpp
@@ -7,7 +7,7 @@
 using std::chrono::duration_cast;
 using std::chrono::microseconds;
 
-static int64_t getLeftUs(TimePoint until, TimePoint now)
+static int64_t getRemainingUs(TimePoint until, TimePoint now)
 {
     return duration_cast<microseconds>(until - now).count();
 }
@@ -50,8 +50,8 @@
     wire.set_is_read_only(order.isReadOnly);
     writeMark(*wire.mutable_at_least(), order.atLeast);
     wire.set_priority(order.priority);
-    wire.set_objective_us(getLeftUs(order.objective, now));
-    wire.set_deadline_us(getLeftUs(order.deadline, now));
+    wire.set_objective_us(getRemainingUs(order.objective, now));
+    wire.set_deadline_us(getRemainingUs(order.deadline, now));
     wire.set_transaction(order.transaction);
     wire.set_database(order.database);
     wire.set_account(order.account);
--- a/src/gateway/peers.cpp
+++ b/src/gateway/peers.cpp
@@ -8,21 +8,21 @@
 using decisions::ErrorKind;
 
 static constexpr milliseconds kPingInterval { 250 }; // where orders are under way: bounds how late a silent host is noticed
-static constexpr milliseconds kUnusedFor { 20000 }; // a connection to a host that is no partner is closed after this; idle, it costs a descriptor and the kernel's probes
-static constexpr milliseconds kHeardFor { 2000 }; // what another host told counts this long: longer than two exchanges that fail
-static constexpr milliseconds kSilentLimit { 700 }; // without any answer to a ping, the host counts as down
-static constexpr milliseconds kConnectLimit { 250 }; // connecting takes one way there and back, 40 ms at most on the sites that were seen; a host that is not up yet swallows it
-static constexpr milliseconds kConnectUsual { 100 }; // a host that takes longer to connect to is passed over until it is connected
-static constexpr milliseconds kReconnectPause { 100 }; // after a failure
-static constexpr milliseconds kAnswerSlack { 250 }; // an order's host answers this long after the order's deadline at the latest
-static constexpr milliseconds kLacksFor { 1000 }; // a host that did not know a member is asked to carry to it again after this
-static constexpr double kDistanceGuessMs = 10; // before the first ping came back
-static constexpr double kDistanceSmoothing = 0.2; // weight of the newest ping
+static constexpr milliseconds kIdleLinkTimeout { 20000 }; // a connection to a host that is no partner is closed after this; idle, it costs a descriptor and the kernel's probes
+static constexpr milliseconds kReportLifetime { 2000 }; // what another host told counts this long: longer than two exchanges that fail
+static constexpr milliseconds kSilenceTimeout { 700 }; // without any answer to a ping, the host counts as down
+static constexpr milliseconds kConnectTimeout { 250 }; // connecting takes one way there and back, 40 ms at most on the sites that were seen; a host that is not up yet swallows it
+static constexpr milliseconds kConnectGrace { 100 }; // a host that takes longer to connect to is passed over until it is connected
+static constexpr milliseconds kReconnectDelay { 100 }; // after a failure
+static constexpr milliseconds kCallTimeoutMargin { 250 }; // an order's host answers this long after the order's deadline at the latest
+static constexpr milliseconds kMissingMemberRetryDelay { 1000 }; // a host that did not know a member is asked to carry to it again after this
+static constexpr double kInitialRoundTripMs = 10; // before the first ping came back
+static constexpr double kRoundTripSmoothing = 0.2; // weight of the newest ping
 
 struct Call {
     OrderDone done;
     std::string member;
-    TimePoint limit;
+    TimePoint expiresAt;
     TimePoint sentAt;
 };
 
@@ -33,33 +33,33 @@
     Partner partner {};
     bool isUp { true };
     bool isLeaving { false };
-    decisions::HostCapabilities ability {};
-    TimePoint usedAt {}; // when something other than a ping was last sent
-    bool wasHeard { false };
-    TimePoint heardAt {}; // on the present connection
-    TimePoint pongAt {}; // on any
-    TimePoint pingedAt {};
-    TimePoint membersAskedAt {};
+    decisions::HostCapabilities capabilities {};
+    TimePoint lastUsedAt {}; // when something other than a ping was last sent
+    bool hasAnswered { false };
+    TimePoint lastReceivedAt {}; // on the present connection
+    TimePoint lastPongAt {}; // on any
+    TimePoint lastPingAt {};
+    TimePoint membersRequestedAt {};
     TimePoint connectedAt {};
-    TimePoint noConnectBefore {};
+    TimePoint nextConnectAt {};
     uint64_t pingNumber { 0 };
     uint64_t lastCall { 0 };
-    std::map<uint64_t, TimePoint> pings; // unanswered: when sent
+    std::map<uint64_t, TimePoint> pendingPings; // unanswered: when sent
     std::unordered_map<uint64_t, Call> calls;
-    std::unordered_map<uint64_t, std::function<void(const StatusReport&)>> inquiries;
+    std::unordered_map<uint64_t, std::function<void(const StatusReport&)>> statusQueries;
     Loads loads;
-    std::set<std::string> unusable; // other hosts, as a relay said last
-    bool wasConnecting { false }; // at the last sweep, and too long for it to count as up
-    std::map<std::string, TimePoint> lacked; // members that it did not know, and when it said so
-    double distanceMs { kDistanceGuessMs };
+    std::set<std::string> reportedUnusable; // other hosts, as a relay said last
+    bool wasSlowToConnect { false }; // at the last sweep, and too long for it to count as up
+    std::map<std::string, TimePoint> missingMembers; // members that it did not know, and when it said so
+    double roundTripMs { kInitialRoundTripMs };
     bool isPartner() const { return partner.interval.count() > 0; }
 };
 
-Peers::Peers(boost::asio::io_context& context, std::string name, PeerService service)
+Peers::Peers(boost::asio::io_context& context, std::string name, PeerCallbacks callbacks)
     : m_context(context)
     , m_name(std::move(name))
-    , m_service(std::move(service))
-    , m_inbound(context, m_name, m_service)
+    , m_callbacks(std::move(callbacks))
+    , m_inbound(context, m_name, m_callbacks)
 {
 }
 
@@ -87,11 +87,11 @@
         }
         auto partner = link->partner;
         m_links.erase(name);
-        loseLink(link, "the host is gone or has moved");
+        closeLink(link, "the host is gone or has moved");
         if (known != m_hosts.end() && link->isPartner())
             makeLink(name)->partner = partner;
     }
-    std::erase_if(m_toldLoads, [&](auto& it) { return !m_hosts.contains(it.first); });
+    std::erase_if(m_reportedLoads, [&](auto& it) { return !m_hosts.contains(it.first); });
     ++m_version;
 }
 
@@ -111,7 +111,7 @@
 {
     auto link = std::make_shared<Link>();
     link->host = m_hosts.at(host);
-    link->usedAt = Clock::now();
+    link->lastUsedAt = Clock::now();
     m_links[host] = link;
     connect(link);
     return link;
@@ -122,33 +122,33 @@
     auto now = Clock::now();
     link->channel = std::make_shared<links::Channel>(m_context.get_executor(), links::ChannelOptions { links::splitFrame });
     link->connectedAt = now;
-    link->heardAt = now;
-    link->pings.clear();
+    link->lastReceivedAt = now;
+    link->pendingPings.clear();
     auto channel = link->channel;
     channel->connect(
-        link->host.address, kConnectLimit, [this, link, channel](std::string_view message) {
+        link->host.address, kConnectTimeout, [this, link, channel](std::string_view message) {
             if (link->channel == channel)
-                takeFromHost(link, message); }, [this, link, channel](const std::string& reason) {
+                handleMessage(link, message); }, [this, link, channel](const std::string& reason) {
             if (link->channel == channel)
-                loseLink(link, reason); });
+                closeLink(link, reason); });
 }
 
-void Peers::loseLink(const LinkPtr& link, const std::string& reason)
+void Peers::closeLink(const LinkPtr& link, const std::string& reason)
 {
     if (!link->channel)
         return;
     bool wasConnected = link->channel->wasConnected();
     link->channel->close();
     link->channel = nullptr;
-    link->wasHeard = false;
-    link->noConnectBefore = Clock::now() + kReconnectPause;
+    link->hasAnswered = false;
+    link->nextConnectAt = Clock::now() + kReconnectDelay;
     link->loads.clear();
-    link->lacked.clear();
-    link->unusable.clear();
+    link->missingMembers.clear();
+    link->reportedUnusable.clear();
     if (link->isUp) {
         link->isUp = false;
         ++m_version;
-        m_service.onLink(link->host.name, false, reason);
+        m_callbacks.onHostChange(link->host.name, false, reason);
     }
     auto calls = std::move(link->calls);
     link->calls.clear();
@@ -157,9 +157,9 @@
         auto kind = wasConnected ? ErrorKind::OutcomeUnknown : ErrorKind::TargetUnreachable;
         call.done(decisions::makeFailure(kind, "the connection to host " + link->host.name + " was lost: " + reason, wasConnected));
     }
-    auto inquiries = std::move(link->inquiries);
-    link->inquiries.clear();
-    for (auto& [number, done] : inquiries)
+    auto statusQueries = std::move(link->statusQueries);
+    link->statusQueries.clear();
+    for (auto& [number, done] : statusQueries)
         done({});
 }
 
@@ -167,22 +167,22 @@
 {
     auto it = m_links.find(host);
     if (it == m_links.end())
-        return m_hosts.contains(host) && !isToldUnusable(host, {});
+        return m_hosts.contains(host) && !isReportedUnusable(host, {});
     auto& link = *it->second;
     bool isConnected = link.channel && link.channel->wasConnected();
-    return link.isUp && (isConnected || Clock::now() - link.connectedAt < kConnectUsual) && !isToldUnusable(host, link.heardAt);
+    return link.isUp && (isConnected || Clock::now() - link.connectedAt < kConnectGrace) && !isReportedUnusable(host, link.lastReceivedAt);
 }
 
 // What this host has heard itself goes before what relays say.
-bool Peers::isToldUnusable(const std::string& host, TimePoint heardAt) const
+bool Peers::isReportedUnusable(const std::string& host, TimePoint lastReceivedAt) const
 {
-    return !m_unusable.empty() && m_unusable.contains(host) && Clock::now() - heardAt > kHeardFor;
+    return !m_unusableHosts.empty() && m_unusableHosts.contains(host) && Clock::now() - lastReceivedAt > kReportLifetime;
 }
 
 bool Peers::isAnswering(const std::string& host) const
 {
     auto it = m_links.find(host);
-    return it != m_links.end() && it->second->isUp && it->second->wasHeard;
+    return it != m_links.end() && it->second->isUp && it->second->hasAnswered;
 }
 
 bool Peers::isLeaving(const std::string& host) const
@@ -191,32 +191,32 @@
     return it != m_links.end() && it->second->isLeaving;
 }
 
-decisions::HostCapabilities Peers::getAbility(const std::string& host) const
+decisions::HostCapabilities Peers::getCapabilities(const std::string& host) const
 {
     auto it = m_links.find(host);
-    return it == m_links.end() ? decisions::HostCapabilities {} : it->second->ability;
+    return it == m_links.end() ? decisions::HostCapabilities {} : it->second->capabilities;
 }
 
-double Peers::getDistanceMs(const std::string& host) const
+double Peers::getRoundTripMs(const std::string& host) const
 {
     auto it = m_links.find(host);
-    return it == m_links.end() ? kDistanceGuessMs : it->second->distanceMs;
+    return it == m_links.end() ? kInitialRoundTripMs : it->second->roundTripMs;
 }
 
 std::optional<peer::Load> Peers::getLoad(const std::string& host, const std::string& member) const
 {
     auto now = Clock::now();
-    const TimedLoad* newest = nullptr;
-    auto look = [&](const Loads& loads) {
+    const TimestampedLoad* newest = nullptr;
+    auto considerLoads = [&](const Loads& loads) {
         auto it = loads.find(member);
-        bool isHeard = it != loads.end() && now - it->second.at < kHeardFor; // a host that has no trouble any more says nothing of the member
-        if (isHeard && (!newest || it->second.at > newest->at))
+        bool isFresh = it != loads.end() && now - it->second.at < kReportLifetime; // a host that has no trouble any more says nothing of the member
+        if (isFresh && (!newest || it->second.at > newest->at))
             newest = &it->second;
     };
     if (auto it = m_links.find(host); it != m_links.end())
-        look(it->second->loads);
-    if (auto it = m_toldLoads.find(host); it != m_toldLoads.end())
-        look(it->second);
+        considerLoads(it->second->loads);
+    if (auto it = m_reportedLoads.find(host); it != m_reportedLoads.end())
+        considerLoads(it->second);
     return newest ? std::optional(newest->load) : std::nullopt;
 }
 
@@ -225,51 +225,51 @@
     auto link = m_links.find(host);
     if (link == m_links.end())
         return false;
-    auto it = link->second->lacked.find(member);
-    return it != link->second->lacked.end() && Clock::now() - it->second < kLacksFor;
+    auto it = link->second->missingMembers.find(member);
+    return it != link->second->missingMembers.end() && Clock::now() - it->second < kMissingMemberRetryDelay;
 }
 
-std::vector<std::string> Peers::getUpHosts() const
+std::vector<std::string> Peers::getAnsweringHosts() const
 {
     std::vector<std::string> names;
     for (auto& [name, link] : m_links) {
-        if (link->isUp && link->wasHeard)
+        if (link->isUp && link->hasAnswered)
             names.push_back(name);
     }
     return names;
 }
 
-decisions::HostReachability Peers::countInReach() const
+decisions::HostReachability Peers::getReachability() const
 {
     decisions::HostReachability hosts;
     auto now = Clock::now();
     for (auto& [name, link] : m_links) {
         if (!link->isPartner()) // it may have fallen silent long ago
             continue;
-        bool isAnswering = link->isUp && link->wasHeard;
-        bool wasAnswering = link->pongAt != TimePoint {} && now - link->pongAt < decisions::kLostHostRetention;
+        bool isAnswering = link->isUp && link->hasAnswered;
+        bool answeredRecently = link->lastPongAt != TimePoint {} && now - link->lastPongAt < decisions::kLostHostRetention;
         if (isAnswering)
             ++hosts.answering;
-        else if (wasAnswering && !link->isLeaving)
+        else if (answeredRecently && !link->isLeaving)
             ++hosts.lost;
     }
     return hosts;
 }
 
-Peers::LinkPtr Peers::findUp(const std::string& host)
+Peers::LinkPtr Peers::acquireLink(const std::string& host)
 {
     auto it = m_links.find(host);
     if (it == m_links.end())
         return m_hosts.contains(host) ? makeLink(host) : nullptr;
     if (!it->second->channel)
         return nullptr;
-    it->second->usedAt = Clock::now();
+    it->second->lastUsedAt = Clock::now();
     return it->second;
 }
 
 void Peers::sendOrder(const std::string& host, const TargetAddress& target, const Order& order, OrderDone done)
 {
-    auto link = findUp(host);
+    auto link = acquireLink(host);
     if (!link) {
         boost::asio::post(m_context, [done = std::move(done), host] { done(decisions::makeFailure(ErrorKind::TargetUnreachable, "host " + host + " is out of reach")); });
         return;
@@ -278,13 +278,13 @@
     auto& wire = *frame.mutable_order();
     wire.set_call(++link->lastCall);
     writeOrder(wire, target, order, Clock::now());
-    link->calls[link->lastCall] = { std::move(done), target.member, order.deadline + kAnswerSlack, Clock::now() };
+    link->calls[link->lastCall] = { std::move(done), target.member, order.deadline + kCallTimeoutMargin, Clock::now() };
     sendFrame(*link->channel, frame);
 }
 
 void Peers::endTransaction(const std::string& host, uint64_t transaction)
 {
-    auto link = findUp(host);
+    auto link = acquireLink(host);
     if (!link) // the host has lost this connection too, and ends what began on it
         return;
     peer::Frame frame;
@@ -292,9 +292,9 @@
     sendFrame(*link->channel, frame);
 }
 
-void Peers::inquire(const std::string& host, const TargetAddress& target, std::function<void(const StatusReport&)> done)
+void Peers::queryStatus(const std::string& host, const TargetAddress& target, std::function<void(const StatusReport&)> done)
 {
-    auto link = findUp(host);
+    auto link = acquireLink(host);
     if (!link) {
         boost::asio::post(m_context, [done = std::move(done)] { done({}); });
         return;
@@ -305,16 +305,16 @@
     wire.set_member(target.member);
     wire.set_group(target.group);
     wire.set_address(target.address);
-    link->inquiries[link->lastCall] = std::move(done);
+    link->statusQueries[link->lastCall] = std::move(done);
     sendFrame(*link->channel, frame);
 }
 
-void Peers::askMembers(const std::string& host, uint64_t since)
+void Peers::requestMembers(const std::string& host, uint64_t since)
 {
-    auto link = findUp(host);
+    auto link = acquireLink(host);
     if (!link)
         return;
-    link->membersAskedAt = Clock::now();
+    link->membersRequestedAt = Clock::now();
     peer::Frame frame;
     frame.mutable_members_question()->set_since(since);
     sendFrame(*link->channel, frame);
@@ -322,7 +322,7 @@
 
 bool Peers::send(const std::string& host, const peer::Frame& frame)
 {
-    auto link = findUp(host);
+    auto link = acquireLink(host);
     if (!link)
         return false;
     sendFrame(*link->channel, frame);
@@ -331,7 +331,7 @@
 
 void Peers::sendAlarm(const std::string& host, const std::string& group, const std::string& member, const std::string& reason)
 {
-    auto link = findUp(host);
+    auto link = acquireLink(host);
     if (!link)
         return;
     peer::Frame frame;
@@ -347,19 +347,19 @@
     frame.mutable_hold_writes()->set_group(group);
     frame.mutable_hold_writes()->set_member(member);
     frame.mutable_hold_writes()->set_for_ms(static_cast<uint32_t>(time.count()));
-    sendToAll(frame);
+    broadcast(frame);
 }
 
-void Peers::sendLead(const std::string& group, const std::string& member, uint64_t term)
+void Peers::announcePrimary(const std::string& group, const std::string& member, uint64_t term)
 {
     peer::Frame frame;
     frame.mutable_lead()->set_group(group);
     frame.mutable_lead()->set_member(member);
     frame.mutable_lead()->set_term(term);
-    sendToAll(frame);
+    broadcast(frame);
 }
 
-void Peers::sendToAll(const peer::Frame& frame)
+void Peers::broadcast(const peer::Frame& frame)
 {
     for (auto& [name, link] : m_links) {
         if (link->channel)
@@ -367,75 +367,75 @@
     }
 }
 
-void Peers::takeFromHost(const LinkPtr& link, std::string_view message)
+void Peers::handleMessage(const LinkPtr& link, std::string_view message)
 {
     peer::Frame frame;
-    link->heardAt = Clock::now();
+    link->lastReceivedAt = Clock::now();
     if (!frame.ParseFromArray(message.data(), static_cast<int>(message.size()))) {
-        loseLink(link, "malformed message");
+        closeLink(link, "malformed message");
         return;
     }
     if (frame.has_pong()) {
-        takePong(link, frame.pong());
+        handlePong(link, frame.pong());
     } else if (frame.has_answer()) {
         auto& answer = frame.answer();
         if (answer.has_load())
-            link->loads[answer.load().member()] = { answer.load(), link->heardAt };
+            link->loads[answer.load().member()] = { answer.load(), link->lastReceivedAt };
         auto it = link->calls.find(answer.call());
         if (it == link->calls.end())
             return; // given up before
         if (answer.lacks_member())
-            link->lacked[it->second.member] = link->heardAt;
+            link->missingMembers[it->second.member] = link->lastReceivedAt;
         auto done = std::move(it->second.done);
         link->calls.erase(it);
         done(readOutcome(answer));
     } else if (frame.has_finding()) {
         auto& wire = frame.finding();
-        auto it = link->inquiries.find(wire.call());
-        if (it == link->inquiries.end())
+        auto it = link->statusQueries.find(wire.call());
+        if (it == link->statusQueries.end())
             return;
         auto done = std::move(it->second);
-        link->inquiries.erase(it);
+        link->statusQueries.erase(it);
         done(readStatus(wire));
     } else if (frame.has_quota_state()) {
-        m_service.onQuotaState(link->host.name, frame.quota_state());
+        m_callbacks.onQuotaState(link->host.name, frame.quota_state());
     } else if (frame.has_quota_answer()) {
-        m_service.onQuotaAnswer(link->host.name, frame.quota_answer());
+        m_callbacks.onQuotaAnswer(link->host.name, frame.quota_answer());
     } else if (frame.has_members_answer())
-        m_service.onMembers(link->host.name, frame.members_answer(), link->membersAskedAt);
+        m_callbacks.onMembersAnswer(link->host.name, frame.members_answer(), link->membersRequestedAt);
 }
 
-void Peers::takePong(const LinkPtr& link, const peer::Pong& pong)
+void Peers::handlePong(const LinkPtr& link, const peer::Pong& pong)
 {
-    auto it = link->pings.find(pong.number());
-    if (it == link->pings.end())
+    auto it = link->pendingPings.find(pong.number());
+    if (it == link->pendingPings.end())
         return;
     auto now = Clock::now();
     auto sentAt = it->second;
-    link->pings.erase(link->pings.begin(), std::next(it));
-    link->pongAt = now;
-    std::chrono::duration<double, std::milli> took = now - sentAt;
-    link->distanceMs = link->wasHeard ? link->distanceMs + kDistanceSmoothing * (took.count() - link->distanceMs) : took.count();
+    link->pendingPings.erase(link->pendingPings.begin(), std::next(it));
+    link->lastPongAt = now;
+    std::chrono::duration<double, std::milli> roundTrip = now - sentAt;
+    link->roundTripMs = link->hasAnswered ? link->roundTripMs + kRoundTripSmoothing * (roundTrip.count() - link->roundTripMs) : roundTrip.count();
     m_version += link->isLeaving == pong.is_leaving() ? 0 : 1;
     link->isLeaving = pong.is_leaving();
-    link->ability = { !pong.lacks_store(), !pong.lacks_orders() };
+    link->capabilities = { !pong.lacks_store(), !pong.lacks_orders() };
     for (auto& load : pong.loads())
-        takeLoad(link, load, sentAt);
-    link->unusable = { pong.unusable_hosts().begin(), pong.unusable_hosts().end() };
-    if (!link->wasHeard || !link->isUp) {
-        link->wasHeard = true;
+        recordLoad(link, load, sentAt);
+    link->reportedUnusable = { pong.unusable_hosts().begin(), pong.unusable_hosts().end() };
+    if (!link->hasAnswered || !link->isUp) {
+        link->hasAnswered = true;
         link->isUp = true;
         ++m_version;
-        m_service.onLink(link->host.name, true, "answers");
+        m_callbacks.onHostChange(link->host.name, true, "answers");
     }
-    m_service.onPong(link->host.name, pong, sentAt);
+    m_callbacks.onPong(link->host.name, pong, sentAt);
 }
 
-void Peers::takeLoad(const LinkPtr& link, const peer::Load& load, TimePoint sentAt)
+void Peers::recordLoad(const LinkPtr& link, const peer::Load& load, TimePoint sentAt)
 {
     if (load.host() == m_name)
         return;
-    auto& loads = load.host().empty() ? link->loads : m_toldLoads[load.host()];
+    auto& loads = load.host().empty() ? link->loads : m_reportedLoads[load.host()];
     auto at = sentAt - std::chrono::microseconds(load.age_us());
     auto& known = loads[load.member()];
     if (known.at <= at)
@@ -443,19 +443,19 @@
 }
 
 // Looked at anew each time: a relay that is lost says nothing any more, and what it said ends with it.
-void Peers::findUnusable()
+void Peers::updateUnusableHosts()
 {
-    std::vector<std::set<std::string>> told;
+    std::vector<std::set<std::string>> reports;
     for (auto& [name, link] : m_links) {
-        if (link->partner.isRelay && link->isUp && link->wasHeard)
-            told.push_back(link->unusable);
+        if (link->partner.isRelay && link->isUp && link->hasAnswered)
+            reports.push_back(link->reportedUnusable);
     }
-    auto unusable = decisions::findUnreachableHosts(told);
-    m_version += unusable == m_unusable ? 0 : 1;
-    m_unusable = std::move(unusable);
+    auto unusable = decisions::findUnreachableHosts(reports);
+    m_version += unusable == m_unusableHosts ? 0 : 1;
+    m_unusableHosts = std::move(unusable);
 }
 
-void Peers::writeHeard(peer::Pong& wire, bool withLoads) const
+void Peers::writePartnerReports(peer::Pong& wire, bool withLoads) const
 {
     auto now = Clock::now();
     for (auto& [name, link] : m_links) {
@@ -465,46 +465,46 @@
             wire.add_unusable_hosts(name);
             continue;
         }
-        for (auto& [member, timed] : link->loads) {
-            if (!withLoads || now - timed.at > kHeardFor)
+        for (auto& [member, timestamped] : link->loads) {
+            if (!withLoads || now - timestamped.at > kReportLifetime)
                 continue;
             auto& load = *wire.add_loads();
-            load = timed.load;
+            load = timestamped.load;
             load.set_host(name);
             load.clear_position(); // the newest that is known of the member is added instead, whoever told it
             load.clear_position_age_us();
-            load.set_age_us(static_cast<uint64_t>(std::chrono::duration_cast<std::chrono::microseconds>(now - timed.at).count()));
+            load.set_age_us(static_cast<uint64_t>(std::chrono::duration_cast<std::chrono::microseconds>(now - timestamped.at).count()));
         }
     }
 }
 
 bool Peers::isPingDue(const Link& link, TimePoint now) const
 {
-    auto passed = now - link.pingedAt;
+    auto passed = now - link.lastPingAt;
     if (passed < kPingInterval)
         return false;
-    bool isAwaited = std::ranges::any_of(link.calls, [&](auto& it) { return now - it.second.sentAt > decisions::kOverdueReplyThreshold; });
-    return !link.wasHeard || isAwaited || !link.pings.empty() || (link.isPartner() && passed >= link.partner.interval);
+    bool hasOverdueCall = std::ranges::any_of(link.calls, [&](auto& it) { return now - it.second.sentAt > decisions::kOverdueReplyThreshold; });
+    return !link.hasAnswered || hasOverdueCall || !link.pendingPings.empty() || (link.isPartner() && passed >= link.partner.interval);
 }
 
 void Peers::ping(const LinkPtr& link, TimePoint now)
 {
-    link->pingedAt = now;
-    link->pings[++link->pingNumber] = now;
+    link->lastPingAt = now;
+    link->pendingPings[++link->pingNumber] = now;
     peer::Frame frame;
     frame.mutable_ping()->set_number(link->pingNumber);
     frame.mutable_ping()->set_host(m_name);
     frame.mutable_ping()->set_wants_heard(link->partner.isRelay);
-    frame.mutable_ping()->set_wants_loads(link->partner.tellsLoads);
-    m_service.fillPing(*frame.mutable_ping());
+    frame.mutable_ping()->set_wants_loads(link->partner.reportsLoads);
+    m_callbacks.fillPing(*frame.mutable_ping());
     sendFrame(*link->channel, frame);
 }
 
-void Peers::endLateCalls(const LinkPtr& link, TimePoint now)
+void Peers::expireCalls(const LinkPtr& link, TimePoint now)
 {
     std::vector<OrderDone> late;
     std::erase_if(link->calls, [&](auto& it) {
-        bool isLate = now > it.second.limit;
+        bool isLate = now > it.second.expiresAt;
         if (isLate)
             late.push_back(std::move(it.second.done));
         return isLate;
@@ -521,28 +521,28 @@
     for (auto& link : links) {
         auto& name = link->host.name;
         if (!link->channel) {
-            if (!link->isPartner() && now - link->usedAt > kUnusedFor)
+            if (!link->isPartner() && now - link->lastUsedAt > kIdleLinkTimeout)
                 m_links.erase(name);
-            else if (now >= link->noConnectBefore)
+            else if (now >= link->nextConnectAt)
                 connect(link);
             continue;
         }
-        bool isSilent = !link->pings.empty() && now - link->pings.begin()->second > kSilentLimit && now - link->heardAt > kSilentLimit;
+        bool isSilent = !link->pendingPings.empty() && now - link->pendingPings.begin()->second > kSilenceTimeout && now - link->lastReceivedAt > kSilenceTimeout;
         if (isSilent) {
-            loseLink(link, "silent");
+            closeLink(link, "silent");
             continue;
         }
-        bool isConnecting = !link->channel->wasConnected() && now - link->connectedAt > kConnectUsual;
-        m_version += isConnecting == link->wasConnecting ? 0 : 1;
-        link->wasConnecting = isConnecting;
-        endLateCalls(link, now);
-        if (!link->isPartner() && link->calls.empty() && now - link->usedAt > kUnusedFor) {
+        bool isSlowToConnect = !link->channel->wasConnected() && now - link->connectedAt > kConnectGrace;
+        m_version += isSlowToConnect == link->wasSlowToConnect ? 0 : 1;
+        link->wasSlowToConnect = isSlowToConnect;
+        expireCalls(link, now);
+        if (!link->isPartner() && link->calls.empty() && now - link->lastUsedAt > kIdleLinkTimeout) {
             m_links.erase(name);
             link->channel->close();
         } else if (isPingDue(*link, now))
             ping(link, now);
     }
-    findUnusable();
+    updateUnusableHosts();
 }
 
 void Peers::stop()
--- a/src/gateway/promoter.cpp
+++ b/src/gateway/promoter.cpp
@@ -42,7 +42,7 @@
 
 bool Promoter::canDo(const std::string& host, decisions::PromotionTask task) const
 {
-    return decisions::canPerform(host == m_context.self.host ? getAbility() : m_context.peers.getAbility(host), task);
+    return decisions::canPerform(host == m_context.self.host ? getAbility() : m_context.peers.getCapabilities(host), task);
 }
 
 // Whether this host is the first in the group's order of those that can write the record, or of all if none can. Every host asks this for every
@@ -342,7 +342,7 @@
     if (member != m_context.view.members.end() && !isPlanned)
         isDue = co_await isDead(group, member->second.getTarget());
     // Only now: a cut shows in the links to other hosts no sooner than in the silence of those that were asked.
-    auto inReach = m_context.peers.countInReach();
+    auto inReach = m_context.peers.getReachability();
     if (isDue && !isPlanned && !decisions::canJudgePrimary(inReach)) {
         isDue = false;
         base::logEvent(LogClass::State, "promotion-held-back", { { "group", std::string_view(group) }, { "reason", std::string_view("most other hosts are out of reach") }, { "hosts_answering", static_cast<int64_t>(inReach.answering) }, { "hosts_lost", static_cast<int64_t>(inReach.lost) } });
@@ -443,7 +443,7 @@
             auto before = belief.lead;
             takeOrderedLead(belief, member, newTerm, Clock::now());
             m_context.noteLead(group, before, "ordered");
-            m_context.peers.sendLead(group, member, newTerm);
+            m_context.peers.announcePrimary(group, member, newTerm);
             co_return true;
         }
         if (result == PromotionResult::Outranked || result == PromotionResult::NotRunning) {
--- a/src/gateway/promoter_evidence.cpp
+++ b/src/gateway/promoter_evidence.cpp
@@ -40,7 +40,7 @@
     if (host == m_context.self.host)
         m_context.inquire(target, done);
     else
-        m_context.peers.inquire(host, target, done);
+        m_context.peers.queryStatus(host, target, done);
     co_await answer->latch.waitFor(kAnswerLimit);
     co_return answer->finding;
 }
@@ -53,7 +53,7 @@
     auto own = m_context.view.hosts.find(m_context.self.host);
     if (own != m_context.view.hosts.end())
         used.insert(own->second.dataCentre);
-    auto up = m_context.peers.getUpHosts();
+    auto up = m_context.peers.getAnsweringHosts();
     for (bool anyDataCentre : { false, true }) {
         for (auto& name : up) {
             auto host = m_context.view.hosts.find(name);
--- a/src/gateway/quota_exchange.cpp
+++ b/src/gateway/quota_exchange.cpp
@@ -270,7 +270,7 @@
 {
     auto state = makeState(shard);
     base::logEvent(LogClass::State, "quota-strict", { { "shard", static_cast<int64_t>(shard) }, { "accounts", std::string_view(fmt::format("{}", fmt::join(state.strict(), " "))) } });
-    m_context.peers.tellReporters(state);
+    m_context.peers.broadcastQuotaState(state);
     takeState(m_context.name, state);
 }
 
--- a/src/gateway/statement_router.cpp
+++ b/src/gateway/statement_router.cpp
@@ -77,7 +77,7 @@
         candidate.statementMs = load.workMs;
         candidate.roundTripMs = member.listed.dataCentre == m_context.dataCentre ? 0 : kOwnDistanceGuessMs;
     } else {
-        candidate.roundTripMs = m_context.peers.getDistanceMs(carrier);
+        candidate.roundTripMs = m_context.peers.getRoundTripMs(carrier);
         if (auto load = m_context.peers.getLoad(carrier, member.listed.id)) {
             candidate.queued = load->waiting() + load->running();
             candidate.statementMs = load->work_ms();
@@ -114,7 +114,7 @@
 // What an answer still has to travel once the carrier has it.
 TimePoint::duration StatementRouter::getWayBack(const std::string& carrier) const
 {
-    auto toHereMs = carrier == m_context.name ? 0 : m_context.peers.getDistanceMs(carrier) / 2;
+    auto toHereMs = carrier == m_context.name ? 0 : m_context.peers.getRoundTripMs(carrier) / 2;
     return kCallerWay + std::chrono::duration_cast<TimePoint::duration>(std::chrono::duration<double, std::milli>(toHereMs));
 }
 
--- a/tests/unit/relaying_test.cpp
+++ b/tests/unit/relaying_test.cpp
@@ -104,7 +104,7 @@
                 continue;
             BOOST_REQUIRE(own.contains(relay));
             BOOST_TEST(own.at(relay).isRelay);
-            tellLoads += own.at(relay).tellsLoads ? 1 : 0;
+            tellLoads += own.at(relay).reportsLoads ? 1 : 0;
             for (auto& [id, member] : fleet.view.members) {
                 auto& carrier = getCarriers(fleet.view, member).front();
                 BOOST_REQUIRE((carrier == relay || chosen.at(relay).contains(carrier)));
