--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -360,10 +360,10 @@
             writeMembers(answer, m_view, question.since(), Clock::now());
     };
     service.onMembersAnswer = [this](const std::string&, const peer::MembersAnswer& answer, TimePoint sentAt) { takeMembers(answer, sentAt); };
-    service.handleQuotaReport = [this](const peer::QuotaReport& report) { return m_quotas.takeReport(report); };
-    service.handleQuotaAsk = [this](const peer::QuotaAsk& ask) { return m_quotas.answerAsk(ask); };
-    service.onQuotaState = [this](const std::string& host, const peer::QuotaState& state) { m_quotas.takeState(host, state); };
-    service.onQuotaAnswer = [this](const std::string& host, const peer::QuotaAnswer& answer) { m_quotas.takeAnswer(host, answer); };
+    service.handleQuotaReport = [this](const peer::QuotaReport& report) { return m_quotas.handleReport(report); };
+    service.handleQuotaAsk = [this](const peer::QuotaAsk& ask) { return m_quotas.handleAsk(ask); };
+    service.onQuotaState = [this](const std::string& host, const peer::QuotaState& state) { m_quotas.handleState(host, state); };
+    service.onQuotaAnswer = [this](const std::string& host, const peer::QuotaAnswer& answer) { m_quotas.handleAnswer(host, answer); };
     service.onHostChange = [](const std::string& host, bool isUp, const std::string& reason) { base::incrementCounter(base::MetricFamily::HostChanges, {{"peer", host}, {"change", isUp ? "regained" : "lost"}}); base::logEvent(LogClass::State, isUp ? "host-regained" : "host-lost", { { "peer", std::string_view(host) }, { "reason", std::string_view(reason) } }); };
     return service;
 }
@@ -407,7 +407,7 @@
             m_hostsGoneAt[name] = Clock::now();
     };
     events.onSuccession = [this](const std::string& group, const links::StoreItem& item) { m_promoter.takeSuccession(group, item); };
-    events.onNearAccounts = [this](size_t shard, const std::set<std::string>& accounts) { m_quotas.takeWritten(shard, accounts); };
+    events.onNearAccounts = [this](size_t shard, const std::set<std::string>& accounts) { m_quotas.applyStoredNearQuota(shard, accounts); };
     return events;
 }
 
--- a/src/gateway/statement_router.cpp
+++ b/src/gateway/statement_router.cpp
@@ -21,7 +21,7 @@
 {
     auto shared = std::make_shared<RoutedStatement>(std::move(routed));
     // An operation beyond its account's quota waits in no queue: others would pay for it.
-    m_context.quotas.begin(shared->order.account, [this, shared, done = std::move(done)](const std::optional<decisions::Error>& refusal) {
+    m_context.quotas.admitOperation(shared->order.account, [this, shared, done = std::move(done)](const std::optional<decisions::Error>& refusal) {
         shared->isCounted = !refusal;
         if (refusal)
             refuse(shared, done, *refusal);
@@ -274,7 +274,7 @@
                 { "outcome", result }, { "reason", outcome.error ? std::string_view(outcome.error->message) : std::string_view() }, { "sent", outcome.wasSent }, { "ms", took.count() } });
     }
     if (routed.isCounted && outcome.error && !outcome.wasSent && !routed.wasSent)
-        m_context.quotas.giveBack(routed.order.account);
+        m_context.quotas.revertOperation(routed.order.account);
     done(outcome, transaction);
 }
 
