--- a/src/gateway/inbound_peers.cpp
+++ b/src/gateway/inbound_peers.cpp
@@ -156,7 +156,7 @@
     sendFrame(*connection->channel, frame);
 }
 
-// Numbers of transactions are each host's own. False: the transaction is not known here.
+// Replaces the remote host's transaction number by the pool's own. Returns false if the transaction is unknown.
 bool InboundPeers::resolveTransaction(const ConnectionPtr& connection, const std::shared_ptr<TargetPool>& pool, uint64_t remoteNumber, Order& order)
 {
     if (order.kind == OrderKind::Begin) {
@@ -184,13 +184,13 @@
     auto reply = [this, connection, call = wire.call(), pool](const Outcome& outcome) { sendAnswer(connection, call, outcome, pool.get()); };
     bool isInTransaction = order.kind == OrderKind::Begin || order.kind == OrderKind::Continue;
     if (isInTransaction && !resolveTransaction(connection, pool, wire.transaction(), order)) {
-        reply(decisions::makeFailure(ErrorKind::TransactionAborted, "the transaction is not known here"));
+        reply(decisions::makeFailure(ErrorKind::TransactionAborted, "the transaction is unknown to this host"));
         return;
     }
     pool->submit(std::move(order), reply);
 }
 
-// The host that began these transactions cannot end them any more.
+// Ends the transactions begun on the connection: the remote host can no longer do so.
 void InboundPeers::removeConnection(const ConnectionPtr& connection)
 {
     auto transactions = std::move(connection->transactions);
--- a/src/gateway/inbound_peers.h
+++ b/src/gateway/inbound_peers.h
@@ -1,4 +1,4 @@
-// Connections that other hosts opened to this one: what they order, ask and tell, and the transactions that they hold open here.
+// Connections opened by other hosts: handles their messages and tracks the transactions that they have open here.
 #pragma once
 #include "gateway/peer_codec.h"
 #include <boost/asio/io_context.hpp>
@@ -8,25 +8,25 @@
 
 namespace alderward::gateway {
 
-// What other hosts ask of this one.
+// Handlers for messages from other hosts and for changes of their health.
 struct PeerCallbacks {
-    std::function<std::shared_ptr<TargetPool>(const std::string& member)> findPool; // empty for a member that is not known
-    std::function<bool(const TargetAddress&)> isUnreachable; // this host cannot reach the target
+    std::function<std::shared_ptr<TargetPool>(const std::string& member)> findPool; // null if the member is unknown
+    std::function<bool(const TargetAddress&)> isUnreachable; // from this host
     std::function<void(const TargetAddress&, std::function<void(const StatusReport&)>)> queryStatus;
     std::function<void(const std::string& group, const std::string& member, const std::string& reason)> onAlarm;
     std::function<void(const std::string& group, const std::string& member, milliseconds time)> onHoldWrites;
-    std::function<void(const std::string& host, const std::string& group, const std::string& member, uint64_t term)> onPrimaryAnnounced; // `host` ordered it
-    // Fills in what this host knows and tells with each exchange.
+    std::function<void(const std::string& host, const std::string& group, const std::string& member, uint64_t term)> onPrimaryAnnounced; // `host` ordered the promotion
+    // Add the state that this host shares with each ping and each answer to one.
     std::function<void(peer::Ping&)> fillPing;
     std::function<void(const peer::Ping&, peer::Pong&)> fillPong;
-    // Takes what another host tells. `sentAt` is before the time at which it was told.
+    // `sentAt`: when the ping was sent; the other host read the state in its answer later.
     std::function<void(const std::string& host, const peer::Ping&)> onPing;
     std::function<void(const std::string& host, const peer::Pong&, TimePoint sentAt)> onPong;
     std::function<void(const std::string& host, bool isUp, const std::string& reason)> onHostChange;
-    // What this host knows of members, for one that has lost the store; and what another one told.
+    // Members known to this host, for one that cannot reach the store; and another host's answer to such a question.
     std::function<void(const peer::MembersQuestion&, peer::MembersAnswer&)> fillMembersAnswer;
     std::function<void(const std::string& host, const peer::MembersAnswer&, TimePoint sentAt)> onMembersAnswer;
-    // Quotas of client accounts: what others have begun or want to begin, and what this host is told in return.
+    // Quotas of client accounts: the first two are called on quota servers, the others on hosts that report to one.
     std::function<peer::QuotaState(const peer::QuotaReport&)> handleQuotaReport;
     std::function<peer::QuotaAnswer(const peer::QuotaAsk&)> handleQuotaAsk;
     std::function<void(const std::string& host, const peer::QuotaState&)> onQuotaState;
@@ -39,17 +39,16 @@
     InboundPeers(boost::asio::io_context& context, std::string name, const PeerCallbacks& callbacks);
 
     tl::expected<void, std::string> listen(const std::string& address);
-    // Takes no further connection; those that stand go on.
+    // Accepts no new connections; existing ones stay open.
     void stop();
-    // To all hosts that report what they begin of client accounts.
+    // Sends to all hosts that have reported usage of client accounts.
     void broadcastQuotaState(const peer::QuotaState& state);
 
 private:
-    // One connection.
     struct Connection {
         std::string host; // empty until its first ping
         std::shared_ptr<links::Channel> channel;
-        bool isReporter { false }; // it tells what it begins of client accounts
+        bool isReporter { false }; // it has reported usage of client accounts
         struct RemoteTransaction {
             std::shared_ptr<TargetPool> pool;
             uint64_t transaction;
--- a/src/gateway/peer_codec.cpp
+++ b/src/gateway/peer_codec.cpp
@@ -34,7 +34,7 @@
     wire.set_kind(static_cast<uint32_t>(order.kind));
     wire.set_id(order.statement.id);
     wire.set_statement_kind(static_cast<uint32_t>(order.statement.kind));
-    // What a prepared statement runs is named by its shape; sending its text as well would double the bytes between data centres.
+    // The shape of a prepared statement replaces its text, which would double the size of the message.
     if (order.shape)
         wire.set_argument(order.statement.argument);
     else
--- a/src/gateway/peer_codec.h
+++ b/src/gateway/peer_codec.h
@@ -1,11 +1,11 @@
-// The messages between hosts (proto/gateway.proto) as values of this program, and back. Decides nothing.
+// Conversion between protobuf messages (proto/gateway.proto) and the types of the gateway.
 #pragma once
 #include "gateway/target_pool.h"
 #include "generated/gateway.pb.h"
 
 namespace alderward::gateway {
 
-// What a member answered when it was asked for its status on behalf of a promotion.
+// The result of a status query to a member.
 struct StatusReport {
     bool wasReached { false };
     links::TargetStatus status {};
@@ -16,7 +16,7 @@
 void writeMark(peer::Mark& wire, const Mark& mark);
 Mark readMark(const peer::Mark& wire);
 
-// Times travel as what is left of them, as hosts' clocks differ. The caller adds the number of the call.
+// Deadlines are sent as the time remaining, as the clocks of hosts differ. The caller sets the call number.
 void writeOrder(peer::Order& wire, const TargetAddress& target, const Order& order, TimePoint now);
 Order readOrder(const peer::Order& wire, TimePoint now);
 
--- a/src/gateway/peers.cpp
+++ b/src/gateway/peers.cpp
@@ -7,17 +7,17 @@
 using base::Clock;
 using decisions::ErrorKind;
 
-static constexpr milliseconds kPingInterval { 250 }; // where orders are under way: bounds how late a silent host is noticed
-static constexpr milliseconds kIdleLinkTimeout { 20000 }; // a connection to a host that is no partner is closed after this; idle, it costs a descriptor and the kernel's probes
-static constexpr milliseconds kReportLifetime { 2000 }; // what another host told counts this long: longer than two exchanges that fail
-static constexpr milliseconds kSilenceTimeout { 700 }; // without any answer to a ping, the host counts as down
-static constexpr milliseconds kConnectTimeout { 250 }; // connecting takes one way there and back, 40 ms at most on the sites that were seen; a host that is not up yet swallows it
-static constexpr milliseconds kConnectGrace { 100 }; // a host that takes longer to connect to is passed over until it is connected
-static constexpr milliseconds kReconnectDelay { 100 }; // after a failure
-static constexpr milliseconds kCallTimeoutMargin { 250 }; // an order's host answers this long after the order's deadline at the latest
-static constexpr milliseconds kMissingMemberRetryDelay { 1000 }; // a host that did not know a member is asked to carry to it again after this
-static constexpr double kInitialRoundTripMs = 10; // before the first ping came back
-static constexpr double kRoundTripSmoothing = 0.2; // weight of the newest ping
+static constexpr milliseconds kPingInterval { 250 }; // while replies are pending; bounds how late an unresponsive host is detected
+static constexpr milliseconds kIdleLinkTimeout { 20000 }; // closes unused connections to hosts that are not partners
+static constexpr milliseconds kReportLifetime { 2000 }; // of loads and reachability; must outlast two failed exchanges
+static constexpr milliseconds kSilenceTimeout { 700 }; // a host that leaves pings unanswered for this long counts as down
+static constexpr milliseconds kConnectTimeout { 250 }; // must exceed the round trip between data centres; a host that is starting may drop the attempt
+static constexpr milliseconds kConnectGrace { 100 }; // a host that takes longer to connect to is not used until it is connected
+static constexpr milliseconds kReconnectDelay { 100 };
+static constexpr milliseconds kCallTimeoutMargin { 250 }; // after an order's deadline, for its reply to arrive
+static constexpr milliseconds kMissingMemberRetryDelay { 1000 }; // before a host that did not know a member is used for it again
+static constexpr double kInitialRoundTripMs = 10;
+static constexpr double kRoundTripSmoothing = 0.2; // weight of the latest ping
 
 struct Call {
     OrderDone done;
@@ -35,22 +35,22 @@
     bool isLeaving { false };
     decisions::HostCapabilities capabilities {};
     TimePoint lastUsedAt {}; // when something other than a ping was last sent
-    bool hasAnswered { false };
-    TimePoint lastReceivedAt {}; // on the present connection
-    TimePoint lastPongAt {}; // on any
+    bool hasAnswered { false }; // a ping on the current connection
+    TimePoint lastReceivedAt {}; // on the current connection, or when it was started
+    TimePoint lastPongAt {}; // on any connection to the host
     TimePoint lastPingAt {};
     TimePoint membersRequestedAt {};
     TimePoint connectedAt {};
     TimePoint nextConnectAt {};
     uint64_t pingNumber { 0 };
     uint64_t lastCall { 0 };
-    std::map<uint64_t, TimePoint> pendingPings; // unanswered: when sent
+    std::map<uint64_t, TimePoint> pendingPings; // when sent, by number
     std::unordered_map<uint64_t, Call> calls;
     std::unordered_map<uint64_t, std::function<void(const StatusReport&)>> statusQueries;
     Loads loads;
-    std::set<std::string> reportedUnusable; // other hosts, as a relay said last
-    bool wasSlowToConnect { false }; // at the last sweep, and too long for it to count as up
-    std::map<std::string, TimePoint> missingMembers; // members that it did not know, and when it said so
+    std::set<std::string> reportedUnusable; // hosts; from its last pong, if it is a relay
+    bool wasSlowToConnect { false }; // at the last sweep
+    std::map<std::string, TimePoint> missingMembers; // unknown to the host; when it reported that
     double roundTripMs { kInitialRoundTripMs };
     bool isPartner() const { return partner.interval.count() > 0; }
 };
@@ -80,14 +80,14 @@
     auto links = m_links;
     for (auto& [name, link] : links) {
         auto known = m_hosts.find(name);
-        // A process that was started anew has new connections: the old one ends by itself, and this may be one to the new process.
+        // A new incarnation at the same address needs no action: a connection to the old process closes by itself, and this one may be to the new process.
         if (known != m_hosts.end() && known->second.address == link->host.address) {
             link->host = known->second;
             continue;
         }
         auto partner = link->partner;
         m_links.erase(name);
-        closeLink(link, "the host is gone or has moved");
+        closeLink(link, "the host was removed or has a new address");
         if (known != m_hosts.end() && link->isPartner())
             makeLink(name)->partner = partner;
     }
@@ -153,7 +153,7 @@
     auto calls = std::move(link->calls);
     link->calls.clear();
     for (auto& [number, call] : calls) {
-        // Only a connection that was never made proves that nothing arrived.
+        // Only if the connection was never established is it certain that the order did not arrive.
         auto kind = wasConnected ? ErrorKind::OutcomeUnknown : ErrorKind::TargetUnreachable;
         call.done(decisions::makeFailure(kind, "the connection to host " + link->host.name + " was lost: " + reason, wasConnected));
     }
@@ -173,7 +173,7 @@
     return link.isUp && (isConnected || Clock::now() - link.connectedAt < kConnectGrace) && !isReportedUnusable(host, link.lastReceivedAt);
 }
 
-// What this host has heard itself goes before what relays say.
+// A recent message from the host itself outweighs the reports of relays.
 bool Peers::isReportedUnusable(const std::string& host, TimePoint lastReceivedAt) const
 {
     return !m_unusableHosts.empty() && m_unusableHosts.contains(host) && Clock::now() - lastReceivedAt > kReportLifetime;
@@ -209,7 +209,7 @@
     const TimestampedLoad* newest = nullptr;
     auto considerLoads = [&](const Loads& loads) {
         auto it = loads.find(member);
-        bool isFresh = it != loads.end() && now - it->second.at < kReportLifetime; // a host that has no trouble any more says nothing of the member
+        bool isFresh = it != loads.end() && now - it->second.at < kReportLifetime; // a host omits members that it reaches again and does not forward to
         if (isFresh && (!newest || it->second.at > newest->at))
             newest = &it->second;
     };
@@ -244,7 +244,7 @@
     decisions::HostReachability hosts;
     auto now = Clock::now();
     for (auto& [name, link] : m_links) {
-        if (!link->isPartner()) // it may have fallen silent long ago
+        if (!link->isPartner()) // its last answer may be long ago
             continue;
         bool isAnswering = link->isUp && link->hasAnswered;
         bool answeredRecently = link->lastPongAt != TimePoint {} && now - link->lastPongAt < decisions::kLostHostRetention;
@@ -271,7 +271,7 @@
 {
     auto link = acquireLink(host);
     if (!link) {
-        boost::asio::post(m_context, [done = std::move(done), host] { done(decisions::makeFailure(ErrorKind::TargetUnreachable, "host " + host + " is out of reach")); });
+        boost::asio::post(m_context, [done = std::move(done), host] { done(decisions::makeFailure(ErrorKind::TargetUnreachable, "host " + host + " is unreachable")); });
         return;
     }
     peer::Frame frame;
@@ -285,7 +285,7 @@
 void Peers::endTransaction(const std::string& host, uint64_t transaction)
 {
     auto link = acquireLink(host);
-    if (!link) // the host has lost this connection too, and ends what began on it
+    if (!link) // the host ends the transactions of a closed connection itself
         return;
     peer::Frame frame;
     frame.mutable_end_transaction()->set_transaction(transaction);
@@ -383,7 +383,7 @@
             link->loads[answer.load().member()] = { answer.load(), link->lastReceivedAt };
         auto it = link->calls.find(answer.call());
         if (it == link->calls.end())
-            return; // given up before
+            return; // timed out before
         if (answer.lacks_member())
             link->missingMembers[it->second.member] = link->lastReceivedAt;
         auto done = std::move(it->second.done);
@@ -442,7 +442,7 @@
         known = { load, at };
 }
 
-// Looked at anew each time: a relay that is lost says nothing any more, and what it said ends with it.
+// Evaluated on each sweep, as the reports of a relay expire when it stops answering.
 void Peers::updateUnusableHosts()
 {
     std::vector<std::set<std::string>> reports;
@@ -471,7 +471,7 @@
             auto& load = *wire.add_loads();
             load = timestamped.load;
             load.set_host(name);
-            load.clear_position(); // the newest that is known of the member is added instead, whoever told it
+            load.clear_position(); // the caller adds the newest known position of the member instead
             load.clear_position_age_us();
             load.set_age_us(static_cast<uint64_t>(std::chrono::duration_cast<std::chrono::microseconds>(now - timestamped.at).count()));
         }
--- a/src/gateway/peers.h
+++ b/src/gateway/peers.h
@@ -1,7 +1,7 @@
-// The other hosts: connections to them, whether they answer, orders sent to them, and what they ask of this host.
+// Connections to the other hosts: their health, orders sent to them for members, and requests received from them.
 //
 // COMMON MISTAKES
-//   - Taking a lost connection for "not run". An order that was sent may run as long as its host lives.
+//   - Treating an order as not run because its connection was lost. Once sent, it may still run on the other host.
 #pragma once
 #include "decisions/succession.h"
 #include "gateway/cluster_view.h"
@@ -10,11 +10,11 @@
 
 namespace alderward::gateway {
 
-// A host that this one exchanges with all the time.
+// How this host exchanges state with another one that it pings regularly.
 struct Partner {
-    milliseconds interval { 0 }; // between two exchanges while nothing else is under way; 0: no partner
-    bool isRelay { false }; // it is asked what it hears from others
-    bool reportsLoads { false }; // and how busy their connections are
+    milliseconds interval { 0 }; // between two pings while no reply is pending; 0: not a partner
+    bool isRelay { false }; // it passes on what its own partners reported
+    bool reportsLoads { false }; // it includes the loads of their connection pools
     friend bool operator==(const Partner&, const Partner&) = default;
 };
 using Partners = std::map<std::string, Partner>; // by name
@@ -25,49 +25,49 @@
     ~Peers();
 
     tl::expected<void, std::string> listen(const std::string& address);
-    // The hosts that there are. A connection to one that is gone or has another address ends.
+    // Replaces the list of hosts. Closes connections to hosts that were removed or have a new address.
     void setHosts(const std::vector<links::RegisteredHost>& hosts);
-    // The hosts that are pinged all the time; to others a connection is made when something is sent, and pinged while answers are awaited.
+    // Sets the hosts that are pinged regularly. Others are connected to when something is sent, and pinged while replies are pending.
     void setPartners(const Partners& partners);
 
-    // False after a connection failed or fell silent, until the host answers again. A host that this one has not heard lately counts as up, unless all
-    // relays say that it is not.
+    // False after a connection failed or timed out, until the host answers again. A host without a connection counts as up unless all relays
+    // report it as unusable.
     bool isUp(const std::string& host) const;
-    // Whether the host answered lately on a connection of ours.
+    // Whether the host has answered a ping on the current connection from this host.
     bool isAnswering(const std::string& host) const;
     bool isLeaving(const std::string& host) const;
-    // Up and not leaving: new work may be given to it.
+    // Whether new work may be sent to the host.
     bool isUsable(const std::string& host) const { return isUp(host) && !isLeaving(host); }
-    // What the host last said that it can do; everything, if it never said.
+    // The capabilities that the host last reported; all of them before its first report.
     decisions::HostCapabilities getCapabilities(const std::string& host) const;
-    // There and back, smoothed; a guess before the first answer.
+    // Smoothed round trip of pings; a default before the first answer.
     double getRoundTripMs(const std::string& host) const;
-    // What the host last said of its connections to a member.
+    // The load of the host's connection pool to a member, from its latest recent report.
     std::optional<peer::Load> getLoad(const std::string& host, const std::string& member) const;
-    // Whether the host said lately that it has not heard of the member: one without the store does not know new ones.
+    // Whether the host recently reported that it does not know the member. Hosts that cannot reach the store learn of new members late.
     bool lacksMember(const std::string& host, const std::string& member) const;
     std::vector<std::string> getAnsweringHosts() const;
     decisions::HostReachability getReachability() const;
-    // Goes up whenever another host may have become usable or unusable.
+    // Increases whenever another host may have become usable or unusable.
     uint64_t getVersion() const { return m_version; }
-    // What partners told this host, for one that it relays to.
+    // Adds the unusable partners, and the loads that partners reported if `withLoads`, for a host that uses this one as a relay.
     void writePartnerReports(peer::Pong& wire, bool withLoads) const;
 
-    // Each order ends with one call of `done`. Returns the number of its transaction on the link for later orders.
+    // Calls `done` exactly once. Orders of one transaction carry the same number from takeTransactionNumber().
     void sendOrder(const std::string& host, const TargetAddress& target, const Order& order, OrderDone done);
     void endTransaction(const std::string& host, uint64_t transaction);
     uint64_t takeTransactionNumber() { return ++m_lastTransaction; }
     void queryStatus(const std::string& host, const TargetAddress& target, std::function<void(const StatusReport&)> done);
-    // Asks what members have changed since that revision; the answer comes to PeerService::onMembers, or never.
+    // Requests the members changed since a revision of the store. An answer, if any, is passed to PeerCallbacks::onMembersAnswer.
     void requestMembers(const std::string& host, uint64_t since);
-    // False: there is no connection to the host, and none is on its way.
+    // Returns false if there is no connection to the host and none is being opened.
     bool send(const std::string& host, const peer::Frame& frame);
     void broadcastQuotaState(const peer::QuotaState& state) { m_inbound.broadcastQuotaState(state); }
     void sendAlarm(const std::string& host, const std::string& group, const std::string& member, const std::string& reason);
     void sendHoldWrites(const std::string& group, const std::string& member, milliseconds time);
-    // Tells all partners that a member was made the primary.
+    // Tells all connected hosts that a member was promoted to primary.
     void announcePrimary(const std::string& group, const std::string& member, uint64_t term);
-    // Pings, reconnects and finds silent links.
+    // Pings hosts, reconnects, and closes connections that no longer answer. Call it periodically.
     void sweep(TimePoint now);
     void stop();
 
@@ -98,10 +98,10 @@
     std::string m_name;
     PeerCallbacks m_callbacks;
     InboundPeers m_inbound;
-    std::map<std::string, links::RegisteredHost> m_hosts; // all that are known
-    std::map<std::string, LinkPtr> m_links; // to some of them
-    std::unordered_map<std::string, Loads> m_reportedLoads; // of hosts that relays told about
-    std::set<std::string> m_unusableHosts; // as all relays say that answer
+    std::map<std::string, links::RegisteredHost> m_hosts; // all except this one, by name
+    std::map<std::string, LinkPtr> m_links; // by host
+    std::unordered_map<std::string, Loads> m_reportedLoads; // by host, from relays
+    std::set<std::string> m_unusableHosts; // reported by every relay that answers
     uint64_t m_version { 0 };
     uint64_t m_lastTransaction { 0 };
 };
--- a/src/gateway/quota_exchange.cpp
+++ b/src/gateway/quota_exchange.cpp
@@ -14,14 +14,14 @@
 using decisions::ErrorKind;
 using std::chrono::duration_cast;
 
-static constexpr size_t kShards = 2; // each has a keeper of its own
-static constexpr milliseconds kServerAnswerTimeout { 600 }; // a keeper that has not answered for this long is passed over
-static constexpr milliseconds kServerRetryDelay { 2000 }; // then it is told again
-static constexpr milliseconds kAskTimeout { 150 }; // ways there and back take 40 ms at most on the sites that were seen
-static constexpr milliseconds kStartupSettleTime { 1000 }; // in which hosts that start find the host that counts for all
-static constexpr milliseconds kStoreInterval { 1000 }; // between two writes of the accounts that come near to their quotas
+static constexpr size_t kShards = 2; // each with its own quota server
+static constexpr milliseconds kServerAnswerTimeout { 600 }; // a quota server with reports unanswered for longer is not used
+static constexpr milliseconds kServerRetryDelay { 2000 }; // after the last report to a quota server that did not answer
+static constexpr milliseconds kAskTimeout { 150 }; // must exceed the round trip between data centres
+static constexpr milliseconds kStartupSettleTime { 1000 }; // for starting hosts to agree on a quota server
+static constexpr milliseconds kStoreInterval { 1000 }; // between writes of the accounts near their quotas
 static constexpr milliseconds kServerSweepInterval { 250 };
-static constexpr milliseconds kNoServerRetryAfter { 1000 }; // told to callers while no keeper answers: the next one is found within this
+static constexpr milliseconds kNoServerRetryAfter { 1000 }; // while no quota server answers; must exceed the time to find another one
 
 static size_t getShard(const std::string& account)
 {
@@ -52,13 +52,14 @@
     return { m_context.rule, accounts ? *accounts : none, m_context.view.hosts.size() };
 }
 
-// A host that hears no other would count for itself alone: it may begin what the others' keepers leave it, and no more.
+// Whether no other host reports to this one. It must not act as its own quota server then: other hosts may report to another quota server
+// at the same time, and that one reserves only a share for this host.
 bool QuotaExchange::isIsolated(size_t shard, TimePoint now) const
 {
     return m_context.view.hosts.size() > 1 && !decisions::hasOtherReportingHost(m_shards[shard].server, m_context.name, now);
 }
 
-// The host that keeps count for a shard, as this one sees it; empty: none does.
+// The quota server of a shard as seen from this host; empty if there is none.
 std::string QuotaExchange::findQuotaServer(size_t shard, TimePoint now)
 {
     auto& serverLinks = m_shards[shard].serverLinks;
@@ -116,7 +117,7 @@
         decideWithoutServer(shard, account, done);
         return;
     }
-    if (server != m_shards[shard].currentServer) // a keeper that does not know this host has nothing for it
+    if (server != m_shards[shard].currentServer) // a quota server grants nothing to a host that it does not know
         sendReport(shard, server, now);
     if (server == m_context.name) {
         applyGrant(shard, server, account, decisions::requestGrant(m_shards[shard].server, makeConfiguration(), server, account, now), done);
@@ -130,7 +131,7 @@
     m_context.peers.send(server, frame);
 }
 
-// No keeper answers: what this host may do by itself is counted at the keepers in advance.
+// Limits this host to the operations that quota servers reserve for it while it has no lease.
 void QuotaExchange::decideWithoutServer(size_t shard, const std::string& account, const QuotaCallback& done)
 {
     auto now = Clock::now();
@@ -165,7 +166,7 @@
 {
     auto retryAfter = decisions::jitterRetryAfter(std::max(blockedFor, milliseconds(1)), base::getRandom());
     base::incrementCounter(base::MetricFamily::QuotaRefused, { { "reason", reason } });
-    done(decisions::Error { ErrorKind::QuotaExceeded, fmt::format("client account {}: {}; come back in {} ms", account, reason, retryAfter.count()), retryAfter });
+    done(decisions::Error { ErrorKind::QuotaExceeded, fmt::format("client account {}: {}; retry after {} ms", account, reason, retryAfter.count()), retryAfter });
 }
 
 peer::QuotaReport QuotaExchange::makeReport(size_t shard, const ServerLink& link, TimePoint now) const
@@ -265,7 +266,7 @@
     return answer;
 }
 
-// Hosts that have a lease hear at once that accounts have become strict, not with their next report.
+// Notifies the reporting hosts at once: with a lease they would admit operations of the account until their next report is answered.
 void QuotaExchange::announceStrictAccounts(size_t shard)
 {
     auto state = makeState(shard);
@@ -280,7 +281,7 @@
         m_shards[shard].server.storedNearQuota = accounts;
 }
 
-// A host that has just started knows too little to strike names off.
+// A host that started recently only adds accounts: its counts may be too low to remove any.
 void QuotaExchange::updateStoredNearQuota(size_t index, TimePoint now)
 {
     auto& shard = m_shards[index];
@@ -308,7 +309,7 @@
     if (known == shard.serverLinks.end())
         return;
     auto& link = known->second;
-    if (link.incarnation != state.incarnation()) { // another process: it knows only what it was told since
+    if (link.incarnation != state.incarnation()) { // the process has restarted and lost earlier reports
         link.incarnation = state.incarnation();
         link.grantsTaken.clear();
     }
@@ -336,7 +337,7 @@
 void QuotaExchange::handleAnswer(const std::string& server, const peer::QuotaAnswer& answer)
 {
     auto it = m_pendingAsks.find(answer.call());
-    if (it == m_pendingAsks.end()) // decided without it; the keeper goes on counting what it gave
+    if (it == m_pendingAsks.end()) // timed out and decided locally; the grant stays counted at the quota server
         return;
     auto ask = std::move(it->second);
     m_pendingAsks.erase(it);
--- a/src/gateway/quota_exchange.h
+++ b/src/gateway/quota_exchange.h
@@ -1,6 +1,6 @@
-// How hosts keep to the quotas of client accounts together (decisions/quota.h): who keeps count, and the reports, leases and grants that pass between them.
-// Accounts are dealt to a few shards. The first usable host in a ranking that all hosts compute alike keeps count for a shard; one that is told or asked does, whether
-// it would choose itself or not.
+// Network side of the quotas of client accounts (decisions/quota.h): chooses quota servers and exchanges reports, leases and grants with them.
+// Accounts are divided among a few shards. The quota server of a shard is the first usable host in a ranking that all hosts compute alike.
+// A host that receives reports or requests for a shard serves them even if it would choose another quota server itself.
 #pragma once
 #include "decisions/quota.h"
 #include "gateway/peers.h"
@@ -14,7 +14,7 @@
     uint64_t incarnation; // of its process
     decisions::QuotaRule rule;
     const bool& isDraining;
-    // Writes a shard's accounts down in the platform's store; `done` says whether that worked.
+    // Persists the accounts of a shard that are near their quotas in the platform's store; `done` receives whether that succeeded.
     std::function<void(size_t shard, const std::set<std::string>& accounts, std::function<void(bool)> done)> storeNearQuota;
 };
 
@@ -25,42 +25,43 @@
 public:
     explicit QuotaExchange(QuotaContext context);
 
-    // Whether an operation of the account may begin; `done` is called once, perhaps from within.
+    // Decides whether an operation of the account may begin. Calls `done` exactly once, possibly before returning.
     void admitOperation(const std::string& account, QuotaCallback done);
-    // One that was let begin was refused before any target had it.
+    // Uncounts an admitted operation that was refused before it was sent to a target.
     void revertOperation(const std::string& account);
+    // Sends reports, ends late requests and evaluates quotas. Call it periodically.
     void sweep(TimePoint now);
 
-    // What stands in the platform's store.
+    // Applies the accounts near their quotas that the platform's store holds for a shard.
     void applyStoredNearQuota(size_t shard, const std::set<std::string>& accounts);
-    // As a keeper.
+    // On a quota server:
     peer::QuotaState handleReport(const peer::QuotaReport& report);
     peer::QuotaAnswer handleAsk(const peer::QuotaAsk& ask);
-    // From keepers.
+    // Messages from quota servers:
     void handleState(const std::string& server, const peer::QuotaState& state);
     void handleAnswer(const std::string& server, const peer::QuotaAnswer& answer);
 
 private:
-    // What stands between this host and one keeper of a shard.
+    // Reports of this host to one quota server of a shard.
     struct ServerLink {
-        uint64_t lastReportNumber { 0 }; // number of the last report
+        uint64_t lastReportNumber { 0 };
         TimePoint lastReportSentAt {};
-        TimePoint unansweredSince {}; // none of the reports sent since then was answered
-        uint64_t incarnation { 0 }; // of the keeper's process, as it said last
-        bool needsWholeReport { true }; // it may lack what was told before
-        std::map<std::string, uint64_t> grantsTaken {}; // by account: the newest grant
+        TimePoint unansweredSince {}; // when the first unanswered report was sent; zero: the last one was answered
+        uint64_t incarnation { 0 }; // of the quota server's process, as last reported
+        bool needsWholeReport { true }; // the quota server may not have the earlier reports
+        std::map<std::string, uint64_t> grantsTaken {}; // number of the newest grant, by account
     };
     struct Shard {
-        std::string rankingKey {}; // of the hosts that may keep count for it
+        std::string rankingKey {}; // key of the ranking of hosts that its quota server is chosen from
         decisions::QuotaHost host {};
-        decisions::QuotaServer server {}; // of this host, if others take it for one
-        std::map<std::string, ServerLink> serverLinks {}; // by keeper
-        std::string currentServer {}; // the keeper that this host goes by
+        decisions::QuotaServer server {}; // state of this host as a quota server
+        std::map<std::string, ServerLink> serverLinks {}; // by quota server
+        std::string currentServer {}; // the quota server that this host reports to; empty: none
         TimePoint lastReportAt {};
-        bool hasUnreportedUsage { false }; // since then
-        bool hasLoggedLease { false }; // as logged
+        bool hasUnreportedUsage { false };
+        bool hasLoggedLease { false }; // whether the last logged event says that there is a lease
         bool isStoring { false };
-        TimePoint lastStoreAttemptAt {}; // when it was last tried
+        TimePoint lastStoreAttemptAt {};
     };
     struct PendingAsk {
         size_t shard { 0 };
