--- a/src/gateway/inbound_peers.h
+++ b/src/gateway/inbound_peers.h
@@ -12,7 +12,7 @@
 struct PeerCallbacks {
     std::function<std::shared_ptr<TargetPool>(const std::string& member)> findPool; // null if the member is unknown
     std::function<bool(const TargetAddress&)> isUnreachable; // from this host
-    std::function<void(const TargetAddress&, std::function<void(const StatusReport&)>)> queryStatus;
+    std::function<void(const TargetAddress&, std::function<void(const StatusReport&)>)> queryStatus; // asks a member from this host
     std::function<void(const std::string& group, const std::string& member, const std::string& reason)> onAlarm;
     std::function<void(const std::string& group, const std::string& member, milliseconds time)> onHoldWrites;
     std::function<void(const std::string& host, const std::string& group, const std::string& member, uint64_t term)> onPrimaryAnnounced; // `host` ordered the promotion
@@ -35,7 +35,7 @@
 
 class InboundPeers {
 public:
-    // `service` must outlive this.
+    // `callbacks` must outlive this object.
     InboundPeers(boost::asio::io_context& context, std::string name, const PeerCallbacks& callbacks);
 
     tl::expected<void, std::string> listen(const std::string& address);
--- a/src/gateway/quota_exchange.cpp
+++ b/src/gateway/quota_exchange.cpp
@@ -177,19 +177,19 @@
     wire.set_host(m_context.name);
     wire.set_is_whole(link.needsWholeReport);
     wire.set_covered_ms(static_cast<uint64_t>(duration_cast<milliseconds>(std::min<TimePoint::duration>(now - m_startedAt, m_context.rule.window)).count()));
-    for (auto& [account, used] : m_shards[shard].host.accounts) {
-        if (!link.needsWholeReport && !used.isUnreported)
+    for (auto& [account, usage] : m_shards[shard].host.accounts) {
+        if (!link.needsWholeReport && !usage.isUnreported)
             continue;
-        auto& uses = *wire.add_uses();
-        uses.set_account(account);
-        for (auto& slot : used.uses) {
-            if (now - slot.at > m_context.rule.window)
+        auto& reported = *wire.add_uses();
+        reported.set_account(account);
+        for (auto& bucket : usage.uses) {
+            if (now - bucket.at > m_context.rule.window)
                 continue;
-            uses.add_age_ms(static_cast<uint32_t>(duration_cast<milliseconds>(now - slot.at).count()));
-            uses.add_count(slot.count);
+            reported.add_age_ms(static_cast<uint32_t>(duration_cast<milliseconds>(now - bucket.at).count()));
+            reported.add_count(bucket.count);
         }
         if (auto newestGrant = link.grantsTaken.find(account); newestGrant != link.grantsTaken.end())
-            uses.set_grants_taken(newestGrant->second);
+            reported.set_grants_taken(newestGrant->second);
     }
     return wire;
 }
@@ -209,8 +209,8 @@
     peer::Frame frame;
     *frame.mutable_quota_report() = makeReport(index, link, now);
     link.needsWholeReport = false;
-    for (auto& [account, used] : shard.host.accounts)
-        used.isUnreported = false;
+    for (auto& [account, usage] : shard.host.accounts)
+        usage.isUnreported = false;
     shard.hasUnreportedUsage = false;
     if (server == m_context.name) {
         handleState(server, handleReport(frame.quota_report()));
@@ -237,10 +237,10 @@
     auto shard = wire.shard() % kShards;
     decisions::QuotaReport report { wire.host(), now - milliseconds(wire.covered_ms()), wire.is_whole(), {} };
     for (auto& it : wire.uses()) {
-        decisions::ReportedUsage uses { it.account(), {}, it.grants_taken() };
+        decisions::ReportedUsage usage { it.account(), {}, it.grants_taken() };
         for (int i = 0; i < std::min(it.age_ms_size(), it.count_size()); ++i)
-            uses.uses.push_back({ now - milliseconds(it.age_ms(i)), it.count(i) });
-        report.accounts.push_back(std::move(uses));
+            usage.uses.push_back({ now - milliseconds(it.age_ms(i)), it.count(i) });
+        report.accounts.push_back(std::move(usage));
     }
     auto result = decisions::applyReport(m_shards[shard].server, makeConfiguration(), report, now);
     if (result.hasStrictChanged)
--- a/tests/gateway/soak_test.cpp
+++ b/tests/gateway/soak_test.cpp
@@ -34,7 +34,7 @@
     ReloadHost,
     KillMember,
     UnresponsiveMember, // accepts no connections and answers nothing
-    DeafMember,
+    PauseReplication, // to a member
     LagMember,
     SlowMember,
     LoseAnswers, // of a member: the connection closes after the statement has run
@@ -373,7 +373,7 @@
             faults.isDark = true;
             // The restart drops its connections, and so the messages received meanwhile.
             scheduleEnd(event.duration, [this, &group, &faults, id] { m_rig.call([&] { faults.isDark = false; group.kill(id); group.begin(id); m_rig.getStore().listMembers(); }); });
-        } else if (event.fault == Fault::DeafMember) {
+        } else if (event.fault == Fault::PauseReplication) {
             faults.isDeaf = true;
             scheduleEnd(event.duration, heal([](standins::MemberFaults& it) { it.isDeaf = false; }));
         } else if (event.fault == Fault::LagMember) {
