--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -344,7 +344,7 @@
             bool isOfUse = pool->isCarrier() || isTroubled(pool->getTarget());
             if (!isOfUse)
                 continue;
-            writeLoad(*pong.add_loads(), member, pool->getLoad(), isTroubled(pool->getTarget()));
+            encodeLoad(*pong.add_loads(), member, pool->getLoad(), isTroubled(pool->getTarget()));
         }
         for (auto& wire : *pong.mutable_loads())
             writePosition(wire, m_view, now);
--- a/src/gateway/inbound_peers.cpp
+++ b/src/gateway/inbound_peers.cpp
@@ -53,7 +53,7 @@
         return;
     }
     if (frame.has_order())
-        handleOrder(connection, frame.order());
+        handleStatementRequest(connection, frame.order());
     else if (frame.has_end_transaction())
         endTransaction(connection, frame.end_transaction().transaction());
     else if (frame.has_ping())
@@ -121,7 +121,7 @@
     m_callbacks.queryStatus({ inquiry.member(), inquiry.group(), inquiry.address() }, [connection, call = inquiry.call()](const StatusReport& report) {
         peer::Frame reply;
         reply.mutable_finding()->set_call(call);
-        writeStatus(*reply.mutable_finding(), report);
+        encodeStatus(*reply.mutable_finding(), report);
         sendFrame(*connection->channel, reply);
     });
 }
@@ -140,9 +140,9 @@
     peer::Frame frame;
     auto& answer = *frame.mutable_answer();
     answer.set_call(call);
-    writeOutcome(answer, outcome);
+    encodeOutcome(answer, outcome);
     if (pool)
-        writeLoad(*answer.mutable_load(), pool->getTarget().member, pool->getLoad(), m_callbacks.isUnreachable(pool->getTarget()));
+        encodeLoad(*answer.mutable_load(), pool->getTarget().member, pool->getLoad(), m_callbacks.isUnreachable(pool->getTarget()));
     sendFrame(*connection->channel, frame);
 }
 
@@ -152,42 +152,42 @@
     auto& answer = *frame.mutable_answer();
     answer.set_call(call);
     answer.set_lacks_member(true);
-    writeOutcome(answer, decisions::makeFailure(ErrorKind::TargetUnreachable, "host " + m_name + " does not know the member"));
+    encodeOutcome(answer, decisions::makeFailure(ErrorKind::TargetUnreachable, "host " + m_name + " does not know the member"));
     sendFrame(*connection->channel, frame);
 }
 
 // Replaces the remote host's transaction number by the pool's own. Returns false if the transaction is unknown.
-bool InboundPeers::resolveTransaction(const ConnectionPtr& connection, const std::shared_ptr<TargetPool>& pool, uint64_t remoteNumber, Order& order)
+bool InboundPeers::resolveTransaction(const ConnectionPtr& connection, const std::shared_ptr<TargetPool>& pool, uint64_t remoteNumber, Order& request)
 {
-    if (order.kind == OrderKind::Begin) {
-        order.transaction = pool->takeTransactionNumber();
-        connection->transactions[remoteNumber] = { pool, order.transaction };
+    if (request.kind == OrderKind::Begin) {
+        request.transaction = pool->takeTransactionNumber();
+        connection->transactions[remoteNumber] = { pool, request.transaction };
         return true;
     }
     auto it = connection->transactions.find(remoteNumber);
     if (it == connection->transactions.end() || it->second.pool != pool)
         return false;
-    order.transaction = it->second.transaction;
-    if (order.statement.kind == decisions::StatementKind::Commit)
+    request.transaction = it->second.transaction;
+    if (request.statement.kind == decisions::StatementKind::Commit)
         connection->transactions.erase(it);
     return true;
 }
 
-void InboundPeers::handleOrder(const ConnectionPtr& connection, const peer::Order& wire)
+void InboundPeers::handleStatementRequest(const ConnectionPtr& connection, const peer::Order& wire)
 {
-    auto order = readOrder(wire, Clock::now());
+    auto request = decodeStatementRequest(wire, Clock::now());
     auto pool = m_callbacks.findPool(wire.member());
     if (!pool) {
         answerUnknownMember(connection, wire.call());
         return;
     }
     auto reply = [this, connection, call = wire.call(), pool](const Outcome& outcome) { sendAnswer(connection, call, outcome, pool.get()); };
-    bool isInTransaction = order.kind == OrderKind::Begin || order.kind == OrderKind::Continue;
-    if (isInTransaction && !resolveTransaction(connection, pool, wire.transaction(), order)) {
+    bool isInTransaction = request.kind == OrderKind::Begin || request.kind == OrderKind::Continue;
+    if (isInTransaction && !resolveTransaction(connection, pool, wire.transaction(), request)) {
         reply(decisions::makeFailure(ErrorKind::TransactionAborted, "the transaction is unknown to this host"));
         return;
     }
-    pool->submit(std::move(order), reply);
+    pool->submit(std::move(request), reply);
 }
 
 // Ends the transactions begun on the connection: the remote host can no longer do so.
--- a/src/gateway/inbound_peers.h
+++ b/src/gateway/inbound_peers.h
@@ -63,8 +63,8 @@
     void answerMembersQuestion(const ConnectionPtr& connection, const peer::MembersQuestion& question);
     void answerInquiry(const ConnectionPtr& connection, const peer::Inquiry& inquiry);
     void endTransaction(const ConnectionPtr& connection, uint64_t transaction);
-    void handleOrder(const ConnectionPtr& connection, const peer::Order& wire);
-    bool resolveTransaction(const ConnectionPtr& connection, const std::shared_ptr<TargetPool>& pool, uint64_t remoteNumber, Order& order);
+    void handleStatementRequest(const ConnectionPtr& connection, const peer::Order& wire);
+    bool resolveTransaction(const ConnectionPtr& connection, const std::shared_ptr<TargetPool>& pool, uint64_t remoteNumber, Order& request);
     void sendAnswer(const ConnectionPtr& connection, uint64_t call, const Outcome& outcome, const TargetPool* pool);
     void answerQuotaReport(const ConnectionPtr& connection, const peer::QuotaReport& report);
     void answerQuotaAsk(const ConnectionPtr& connection, const peer::QuotaAsk& ask);
--- a/src/gateway/peer_codec.cpp
+++ b/src/gateway/peer_codec.cpp
@@ -17,69 +17,69 @@
     channel.send(links::encodeFrame(frame.SerializeAsString()));
 }
 
-void writeMark(peer::Mark& wire, const Mark& mark)
+void encodeMark(peer::Mark& wire, const Mark& mark)
 {
     wire.set_term(mark.term);
     wire.set_position(mark.position);
 }
 
-Mark readMark(const peer::Mark& wire)
+Mark decodeMark(const peer::Mark& wire)
 {
     return { wire.term(), wire.position() };
 }
 
-void writeOrder(peer::Order& wire, const TargetAddress& target, const Order& order, TimePoint now)
+void encodeStatementRequest(peer::Order& wire, const TargetAddress& target, const Order& request, TimePoint now)
 {
     wire.set_member(target.member);
-    wire.set_kind(static_cast<uint32_t>(order.kind));
-    wire.set_id(order.statement.id);
-    wire.set_statement_kind(static_cast<uint32_t>(order.statement.kind));
+    wire.set_kind(static_cast<uint32_t>(request.kind));
+    wire.set_id(request.statement.id);
+    wire.set_statement_kind(static_cast<uint32_t>(request.statement.kind));
     // The shape of a prepared statement replaces its text, which would double the size of the message.
-    if (order.shape)
-        wire.set_argument(order.statement.argument);
+    if (request.shape)
+        wire.set_argument(request.statement.argument);
     else
-        wire.set_text(order.statement.text);
-    wire.set_is_write(order.statement.isWrite);
-    if (order.shape) {
+        wire.set_text(request.statement.text);
+    wire.set_is_write(request.statement.isWrite);
+    if (request.shape) {
         wire.set_has_shape(true);
-        wire.set_shape(order.shape->shape);
-        wire.set_shape_writes(order.shape->isWrite);
+        wire.set_shape(request.shape->shape);
+        wire.set_shape_writes(request.shape->isWrite);
     }
-    for (auto& [name, value] : order.values)
+    for (auto& [name, value] : request.values)
         (*wire.mutable_values())[name] = value;
-    wire.set_is_read_only(order.isReadOnly);
-    writeMark(*wire.mutable_at_least(), order.atLeast);
-    wire.set_priority(order.priority);
-    wire.set_objective_us(getRemainingUs(order.objective, now));
-    wire.set_deadline_us(getRemainingUs(order.deadline, now));
-    wire.set_transaction(order.transaction);
-    wire.set_database(order.database);
-    wire.set_account(order.account);
+    wire.set_is_read_only(request.isReadOnly);
+    encodeMark(*wire.mutable_at_least(), request.atLeast);
+    wire.set_priority(request.priority);
+    wire.set_objective_us(getRemainingUs(request.objective, now));
+    wire.set_deadline_us(getRemainingUs(request.deadline, now));
+    wire.set_transaction(request.transaction);
+    wire.set_database(request.database);
+    wire.set_account(request.account);
 }
 
-Order readOrder(const peer::Order& wire, TimePoint now)
+Order decodeStatementRequest(const peer::Order& wire, TimePoint now)
 {
-    Order order;
-    order.kind = static_cast<OrderKind>(std::min<uint32_t>(wire.kind(), static_cast<uint32_t>(OrderKind::Continue)));
-    order.statement.id = wire.id();
-    order.statement.kind = static_cast<decisions::StatementKind>(std::min<uint32_t>(wire.statement_kind(), static_cast<uint32_t>(decisions::StatementKind::Unknown)));
-    order.statement.text = wire.text();
-    order.statement.argument = wire.argument();
-    order.statement.isWrite = wire.is_write();
+    Order request;
+    request.kind = static_cast<OrderKind>(std::min<uint32_t>(wire.kind(), static_cast<uint32_t>(OrderKind::Continue)));
+    request.statement.id = wire.id();
+    request.statement.kind = static_cast<decisions::StatementKind>(std::min<uint32_t>(wire.statement_kind(), static_cast<uint32_t>(decisions::StatementKind::Unknown)));
+    request.statement.text = wire.text();
+    request.statement.argument = wire.argument();
+    request.statement.isWrite = wire.is_write();
     if (wire.has_shape())
-        order.shape = decisions::PreparedShape { wire.shape(), wire.shape_writes() };
-    order.values = { wire.values().begin(), wire.values().end() };
-    order.isReadOnly = wire.is_read_only();
-    order.atLeast = readMark(wire.at_least());
-    order.priority = wire.priority();
-    order.database = wire.database();
-    order.account = wire.account();
-    order.objective = now + microseconds(wire.objective_us());
-    order.deadline = now + microseconds(wire.deadline_us());
-    return order;
+        request.shape = decisions::PreparedShape { wire.shape(), wire.shape_writes() };
+    request.values = { wire.values().begin(), wire.values().end() };
+    request.isReadOnly = wire.is_read_only();
+    request.atLeast = decodeMark(wire.at_least());
+    request.priority = wire.priority();
+    request.database = wire.database();
+    request.account = wire.account();
+    request.objective = now + microseconds(wire.objective_us());
+    request.deadline = now + microseconds(wire.deadline_us());
+    return request;
 }
 
-void writeOutcome(peer::Answer& wire, const Outcome& outcome)
+void encodeOutcome(peer::Answer& wire, const Outcome& outcome)
 {
     for (auto& it : outcome.rows)
         wire.add_rows(it);
@@ -89,23 +89,23 @@
         wire.set_error(std::string(decisions::getErrorRow(outcome.error->kind).name));
         wire.set_message(outcome.error->message);
     }
-    writeMark(*wire.mutable_position(), outcome.position);
+    encodeMark(*wire.mutable_position(), outcome.position);
     wire.set_was_sent(outcome.wasSent);
 }
 
-Outcome readOutcome(const peer::Answer& wire)
+Outcome decodeOutcome(const peer::Answer& wire)
 {
     Outcome outcome;
     outcome.rows.assign(wire.rows().begin(), wire.rows().end());
     outcome.signature = wire.signature();
     if (wire.has_error())
         outcome.error = decisions::Error { decisions::parseErrorKind(wire.error()).value_or(ErrorKind::Internal), wire.message() };
-    outcome.position = readMark(wire.position());
+    outcome.position = decodeMark(wire.position());
     outcome.wasSent = wire.was_sent();
     return outcome;
 }
 
-void writeLoad(peer::Load& wire, const std::string& member, const PoolLoad& load, bool isUnreachable)
+void encodeLoad(peer::Load& wire, const std::string& member, const PoolLoad& load, bool isUnreachable)
 {
     wire.set_member(member);
     wire.set_waiting(load.waiting);
@@ -114,18 +114,18 @@
     wire.set_unreachable(isUnreachable);
 }
 
-void writeStatus(peer::Finding& wire, const StatusReport& report)
+void encodeStatus(peer::Finding& wire, const StatusReport& report)
 {
     wire.set_reached(report.wasReached);
     wire.set_is_primary(report.status.isPrimary);
     wire.set_term(report.status.term);
-    writeMark(*wire.mutable_received(), report.status.received);
+    encodeMark(*wire.mutable_received(), report.status.received);
     wire.set_lag_ms(static_cast<uint64_t>(report.status.lag.count()));
 }
 
-StatusReport readStatus(const peer::Finding& wire)
+StatusReport decodeStatus(const peer::Finding& wire)
 {
-    return { wire.reached(), { wire.is_primary(), wire.term(), readMark(wire.received()), milliseconds(wire.lag_ms()) } };
+    return { wire.reached(), { wire.is_primary(), wire.term(), decodeMark(wire.received()), milliseconds(wire.lag_ms()) } };
 }
 
 }
--- a/src/gateway/peer_codec.h
+++ b/src/gateway/peer_codec.h
@@ -13,19 +13,19 @@
 
 void sendFrame(links::Channel& channel, const peer::Frame& frame);
 
-void writeMark(peer::Mark& wire, const Mark& mark);
-Mark readMark(const peer::Mark& wire);
+void encodeMark(peer::Mark& wire, const Mark& mark);
+Mark decodeMark(const peer::Mark& wire);
 
 // Deadlines are sent as the time remaining, as the clocks of hosts differ. The caller sets the call number.
-void writeOrder(peer::Order& wire, const TargetAddress& target, const Order& order, TimePoint now);
-Order readOrder(const peer::Order& wire, TimePoint now);
+void encodeStatementRequest(peer::Order& wire, const TargetAddress& target, const Order& request, TimePoint now);
+Order decodeStatementRequest(const peer::Order& wire, TimePoint now);
 
-void writeOutcome(peer::Answer& wire, const Outcome& outcome);
-Outcome readOutcome(const peer::Answer& wire);
+void encodeOutcome(peer::Answer& wire, const Outcome& outcome);
+Outcome decodeOutcome(const peer::Answer& wire);
 
-void writeLoad(peer::Load& wire, const std::string& member, const PoolLoad& load, bool isUnreachable);
+void encodeLoad(peer::Load& wire, const std::string& member, const PoolLoad& load, bool isUnreachable);
 
-void writeStatus(peer::Finding& wire, const StatusReport& report);
-StatusReport readStatus(const peer::Finding& wire);
+void encodeStatus(peer::Finding& wire, const StatusReport& report);
+StatusReport decodeStatus(const peer::Finding& wire);
 
 }
--- a/src/gateway/peers.cpp
+++ b/src/gateway/peers.cpp
@@ -14,7 +14,7 @@
 static constexpr milliseconds kConnectTimeout { 250 }; // must exceed the round trip between data centres; a host that is starting may drop the attempt
 static constexpr milliseconds kConnectGrace { 100 }; // a host that takes longer to connect to is not used until it is connected
 static constexpr milliseconds kReconnectDelay { 100 };
-static constexpr milliseconds kCallTimeoutMargin { 250 }; // after an order's deadline, for its reply to arrive
+static constexpr milliseconds kCallTimeoutMargin { 250 }; // after the deadline of a request, for its answer to arrive
 static constexpr milliseconds kMissingMemberRetryDelay { 1000 }; // before a host that did not know a member is used for it again
 static constexpr double kInitialRoundTripMs = 10;
 static constexpr double kRoundTripSmoothing = 0.2; // weight of the latest ping
@@ -153,7 +153,7 @@
     auto calls = std::move(link->calls);
     link->calls.clear();
     for (auto& [number, call] : calls) {
-        // Only if the connection was never established is it certain that the order did not arrive.
+        // Only if the connection was never established is it certain that the request did not arrive.
         auto kind = wasConnected ? ErrorKind::OutcomeUnknown : ErrorKind::TargetUnreachable;
         call.done(decisions::makeFailure(kind, "the connection to host " + link->host.name + " was lost: " + reason, wasConnected));
     }
@@ -267,7 +267,7 @@
     return it->second;
 }
 
-void Peers::sendOrder(const std::string& host, const TargetAddress& target, const Order& order, OrderDone done)
+void Peers::sendStatementRequest(const std::string& host, const TargetAddress& target, const Order& request, OrderDone done)
 {
     auto link = acquireLink(host);
     if (!link) {
@@ -277,8 +277,8 @@
     peer::Frame frame;
     auto& wire = *frame.mutable_order();
     wire.set_call(++link->lastCall);
-    writeOrder(wire, target, order, Clock::now());
-    link->calls[link->lastCall] = { std::move(done), target.member, order.deadline + kCallTimeoutMargin, Clock::now() };
+    encodeStatementRequest(wire, target, request, Clock::now());
+    link->calls[link->lastCall] = { std::move(done), target.member, request.deadline + kCallTimeoutMargin, Clock::now() };
     sendFrame(*link->channel, frame);
 }
 
@@ -388,7 +388,7 @@
             link->missingMembers[it->second.member] = link->lastReceivedAt;
         auto done = std::move(it->second.done);
         link->calls.erase(it);
-        done(readOutcome(answer));
+        done(decodeOutcome(answer));
     } else if (frame.has_finding()) {
         auto& wire = frame.finding();
         auto it = link->statusQueries.find(wire.call());
@@ -396,7 +396,7 @@
             return;
         auto done = std::move(it->second);
         link->statusQueries.erase(it);
-        done(readStatus(wire));
+        done(decodeStatus(wire));
     } else if (frame.has_quota_state()) {
         m_callbacks.onQuotaState(link->host.name, frame.quota_state());
     } else if (frame.has_quota_answer()) {
--- a/src/gateway/peers.h
+++ b/src/gateway/peers.h
@@ -1,7 +1,7 @@
-// Connections to the other hosts: their health, orders sent to them for members, and requests received from them.
+// Connections to the other hosts: their health, statement requests sent to them for members, and the messages received from them.
 //
 // COMMON MISTAKES
-//   - Treating an order as not run because its connection was lost. Once sent, it may still run on the other host.
+//   - Treating a statement as not run because its connection was lost. Once sent, it may still run on the other host.
 #pragma once
 #include "decisions/succession.h"
 #include "gateway/cluster_view.h"
@@ -53,8 +53,8 @@
     // Adds the unusable partners, and the loads that partners reported if `withLoads`, for a host that uses this one as a relay.
     void writePartnerReports(peer::Pong& wire, bool withLoads) const;
 
-    // Calls `done` exactly once. Orders of one transaction carry the same number from takeTransactionNumber().
-    void sendOrder(const std::string& host, const TargetAddress& target, const Order& order, OrderDone done);
+    // Calls `done` exactly once. Requests of one transaction carry the same number from takeTransactionNumber().
+    void sendStatementRequest(const std::string& host, const TargetAddress& target, const Order& request, OrderDone done);
     void endTransaction(const std::string& host, uint64_t transaction);
     uint64_t takeTransactionNumber() { return ++m_lastTransaction; }
     void queryStatus(const std::string& host, const TargetAddress& target, std::function<void(const StatusReport&)> done);
--- a/src/gateway/statement_router.cpp
+++ b/src/gateway/statement_router.cpp
@@ -178,7 +178,7 @@
     if (isOwn)
         pool->submit(std::move(order), onOutcome);
     else
-        m_context.peers.sendOrder(carrier, *target, order, onOutcome);
+        m_context.peers.sendStatementRequest(carrier, *target, order, onOutcome);
 }
 
 void StatementRouter::noteBehind(const TargetAddress& target, const Mark& position, TimePoint now)
@@ -232,7 +232,7 @@
     if (transaction.host.empty())
         m_context.getPool(transaction.target)->submit(shared->order, onOutcome);
     else
-        m_context.peers.sendOrder(transaction.host, transaction.target, shared->order, onOutcome);
+        m_context.peers.sendStatementRequest(transaction.host, transaction.target, shared->order, onOutcome);
 }
 
 void StatementRouter::end(const TransactionHandle& transaction)
--- a/src/gateway/status_exchange.cpp
+++ b/src/gateway/status_exchange.cpp
@@ -26,7 +26,7 @@
             continue;
         auto& floor = *wire.add_floors();
         floor.set_group(name);
-        writeMark(*floor.mutable_mark(), newest.mark);
+        encodeMark(*floor.mutable_mark(), newest.mark);
         floor.set_age_us(getAgeUs(newest.coveredUntil, now));
         // Hosts that the orderer has no connection to hear of an order from those that have one; after the order's time an assumed term is told no more.
         bool isOrdered = isProven && now < group.pendingUntil;
@@ -57,7 +57,7 @@
     auto it = view.members.find(wire.member());
     if (it == view.members.end() || it->second.progress.position.term == 0)
         return;
-    writeMark(*wire.mutable_position(), it->second.progress.position);
+    encodeMark(*wire.mutable_position(), it->second.progress.position);
     wire.set_position_age_us(getAgeUs(it->second.progress.observedAt, now));
 }
 
@@ -68,7 +68,7 @@
         if (member == view.members.end() || !it.has_position())
             continue;
         auto& progress = member->second.progress;
-        progress = decisions::applyPosition(progress, readMark(it.position()), sentAt - microseconds(it.position_age_us()));
+        progress = decisions::applyPosition(progress, decodeMark(it.position()), sentAt - microseconds(it.position_age_us()));
     }
 }
 
