--- a/src/gateway/peers.cpp
+++ b/src/gateway/peers.cpp
@@ -40,8 +40,8 @@
     TimePoint lastPongAt {}; // on any connection to the host
     TimePoint lastPingAt {};
     TimePoint membersRequestedAt {};
-    TimePoint connectedAt {};
-    TimePoint nextConnectAt {};
+    TimePoint connectStartedAt {};
+    TimePoint earliestConnectAt {};
     uint64_t pingNumber { 0 };
     uint64_t lastCall { 0 };
     std::map<uint64_t, TimePoint> pendingPings; // when sent, by number
@@ -121,7 +121,7 @@
 {
     auto now = Clock::now();
     link->channel = std::make_shared<links::Channel>(m_context.get_executor(), links::ChannelOptions { links::splitFrame });
-    link->connectedAt = now;
+    link->connectStartedAt = now;
     link->lastReceivedAt = now;
     link->pendingPings.clear();
     auto channel = link->channel;
@@ -141,7 +141,7 @@
     link->channel->close();
     link->channel = nullptr;
     link->hasAnswered = false;
-    link->nextConnectAt = Clock::now() + kReconnectDelay;
+    link->earliestConnectAt = Clock::now() + kReconnectDelay;
     link->loads.clear();
     link->missingMembers.clear();
     link->reportedUnusable.clear();
@@ -170,7 +170,7 @@
         return m_hosts.contains(host) && !isReportedUnusable(host, {});
     auto& link = *it->second;
     bool isConnected = link.channel && link.channel->wasConnected();
-    return link.isUp && (isConnected || Clock::now() - link.connectedAt < kConnectGrace) && !isReportedUnusable(host, link.lastReceivedAt);
+    return link.isUp && (isConnected || Clock::now() - link.connectStartedAt < kConnectGrace) && !isReportedUnusable(host, link.lastReceivedAt);
 }
 
 // A recent message from the host itself outweighs the reports of relays.
@@ -523,7 +523,7 @@
         if (!link->channel) {
             if (!link->isPartner() && now - link->lastUsedAt > kIdleLinkTimeout)
                 m_links.erase(name);
-            else if (now >= link->nextConnectAt)
+            else if (now >= link->earliestConnectAt)
                 connect(link);
             continue;
         }
@@ -532,7 +532,7 @@
             closeLink(link, "silent");
             continue;
         }
-        bool isSlowToConnect = !link->channel->wasConnected() && now - link->connectedAt > kConnectGrace;
+        bool isSlowToConnect = !link->channel->wasConnected() && now - link->connectStartedAt > kConnectGrace;
         m_version += isSlowToConnect == link->wasSlowToConnect ? 0 : 1;
         link->wasSlowToConnect = isSlowToConnect;
         expireCalls(link, now);
