--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -45,7 +45,7 @@
     void writeNearQuotaAccounts(size_t shard, const std::set<std::string>& accounts, std::function<void(bool)> done);
     PoolLimits getPoolLimits(const TargetAddress& target) const;
     PoolObserver makePoolObserver();
-    PeerService makePeerCallbacks();
+    PeerCallbacks makePeerCallbacks();
     DirectoryEvents makeDirectoryEvents();
     // Calls `done` once, after kStatusQueryTimeout at the latest. A report without a status means that none was received.
     void queryStatus(const TargetAddress& target, std::function<void(const StatusReport&)> done);
--- a/src/gateway/gateway_members.cpp
+++ b/src/gateway/gateway_members.cpp
@@ -59,15 +59,15 @@
     if (!m_view.hasMembers || !m_directory.mayMissChanges() || now - m_membersRequestedAt < kMembersRequestInterval)
         return;
     std::vector<std::string> hostsWithStore;
-    for (auto& name : m_peers.getUpHosts()) {
-        if (m_peers.getAbility(name).hasStore)
+    for (auto& name : m_peers.getAnsweringHosts()) {
+        if (m_peers.getCapabilities(name).hasStore)
             hostsWithStore.push_back(name);
     }
     if (hostsWithStore.empty())
         return;
     m_membersRequestedAt = now;
     auto index = static_cast<size_t>(base::getRandom() * static_cast<double>(hostsWithStore.size()));
-    m_peers.askMembers(hostsWithStore[std::min(index, hostsWithStore.size() - 1)], m_view.membersRevision);
+    m_peers.requestMembers(hostsWithStore[std::min(index, hostsWithStore.size() - 1)], m_view.membersRevision);
 }
 
 void Gateway::handleMembersAnswer(const peer::MembersAnswer& answer, TimePoint sentAt)
--- a/src/gateway/promoter.cpp
+++ b/src/gateway/promoter.cpp
@@ -42,7 +42,7 @@
 
 bool Promoter::canPerformTask(const std::string& host, decisions::PromotionTask task) const
 {
-    return decisions::canPerform(host == m_context.self.host ? getCapabilities() : m_context.peers.getAbility(host), task);
+    return decisions::canPerform(host == m_context.self.host ? getCapabilities() : m_context.peers.getCapabilities(host), task);
 }
 
 // Whether this host is the best-ranked live host that can write the record, or the best-ranked live host if none can. Called often by
@@ -341,7 +341,7 @@
     if (member != m_context.view.members.end() && !isPlanned)
         isDue = co_await isPrimaryDead(group, member->second.getTarget());
     // Counted after the examination: a network partition shows up in the connections to other hosts only after their timeouts.
-    auto reachability = m_context.peers.countInReach();
+    auto reachability = m_context.peers.getReachability();
     if (isDue && !isPlanned && !decisions::canJudgePrimary(reachability)) {
         isDue = false;
         base::logEvent(LogClass::State, "promotion-held-back", { { "group", std::string_view(group) }, { "reason", std::string_view("most other hosts are unreachable") }, { "hosts_answering", static_cast<int64_t>(reachability.answering) }, { "hosts_lost", static_cast<int64_t>(reachability.lost) } });
@@ -442,7 +442,7 @@
             auto before = belief.lead;
             takeOrderedLead(belief, member, newTerm, Clock::now());
             m_context.notifyPrimaryChange(group, before, "ordered");
-            m_context.peers.sendLead(group, member, newTerm);
+            m_context.peers.announcePrimary(group, member, newTerm);
             co_return true;
         }
         if (result == PromotionResult::Outranked || result == PromotionResult::NotRunning) {
--- a/src/gateway/promoter_evidence.cpp
+++ b/src/gateway/promoter_evidence.cpp
@@ -40,7 +40,7 @@
     if (host == m_context.self.host)
         m_context.queryLocalStatus(target, done);
     else
-        m_context.peers.inquire(host, target, done);
+        m_context.peers.queryStatus(host, target, done);
     co_await query->latch.waitFor(kStatusQueryTimeout);
     co_return query->finding;
 }
@@ -53,7 +53,7 @@
     auto own = m_context.view.hosts.find(m_context.self.host);
     if (own != m_context.view.hosts.end())
         usedDataCentres.insert(own->second.dataCentre);
-    auto upHosts = m_context.peers.getUpHosts();
+    auto upHosts = m_context.peers.getAnsweringHosts();
     for (bool anyDataCentre : { false, true }) {
         for (auto& name : upHosts) {
             auto host = m_context.view.hosts.find(name);
--- a/src/gateway/statement_router.cpp
+++ b/src/gateway/statement_router.cpp
@@ -21,7 +21,7 @@
 {
     auto shared = std::make_shared<RoutedStatement>(std::move(routed));
     // Checked before queueing, so that operations beyond the quota do not delay those of other accounts.
-    m_context.quotas.begin(shared->request.account, [this, shared, done = std::move(done)](const std::optional<decisions::Error>& refusal) {
+    m_context.quotas.admitOperation(shared->request.account, [this, shared, done = std::move(done)](const std::optional<decisions::Error>& refusal) {
         shared->isCounted = !refusal;
         if (refusal)
             refuse(shared, done, *refusal);
@@ -77,7 +77,7 @@
         candidate.statementMs = load.workMs;
         candidate.roundTripMs = member.listed.dataCentre == m_context.dataCentre ? 0 : kRemoteRoundTripEstimateMs;
     } else {
-        candidate.roundTripMs = m_context.peers.getDistanceMs(forwarder);
+        candidate.roundTripMs = m_context.peers.getRoundTripMs(forwarder);
         if (auto load = m_context.peers.getLoad(forwarder, member.listed.id)) {
             candidate.queued = load->waiting() + load->running();
             candidate.statementMs = load->work_ms();
@@ -114,7 +114,7 @@
 // The time that an answer takes from the forwarder to the caller.
 TimePoint::duration StatementRouter::getReturnTime(const std::string& forwarder) const
 {
-    auto returnMs = forwarder == m_context.name ? 0 : m_context.peers.getDistanceMs(forwarder) / 2;
+    auto returnMs = forwarder == m_context.name ? 0 : m_context.peers.getRoundTripMs(forwarder) / 2;
     return kCallerRoundTrip + std::chrono::duration_cast<TimePoint::duration>(std::chrono::duration<double, std::milli>(returnMs));
 }
 
@@ -178,7 +178,7 @@
     if (isLocal)
         pool->submit(std::move(request), onOutcome);
     else
-        m_context.peers.sendOrder(forwarder, *target, request, onOutcome);
+        m_context.peers.sendStatementRequest(forwarder, *target, request, onOutcome);
 }
 
 void StatementRouter::recordReadRefusal(const TargetAddress& target, const Mark& position, TimePoint now)
@@ -232,7 +232,7 @@
     if (transaction.host.empty())
         m_context.getPool(transaction.target)->submit(shared->request, onOutcome);
     else
-        m_context.peers.sendOrder(transaction.host, transaction.target, shared->request, onOutcome);
+        m_context.peers.sendStatementRequest(transaction.host, transaction.target, shared->request, onOutcome);
 }
 
 void StatementRouter::end(const TransactionHandle& transaction)
@@ -274,7 +274,7 @@
                 { "outcome", result }, { "reason", outcome.error ? std::string_view(outcome.error->message) : std::string_view() }, { "sent", outcome.wasSent }, { "ms", took.count() } });
     }
     if (routed.isCounted && outcome.error && !outcome.wasSent && !routed.wasSent)
-        m_context.quotas.giveBack(routed.request.account);
+        m_context.quotas.revertOperation(routed.request.account);
     done(outcome, transaction);
 }
 
