--- a/src/gateway/cluster_view.cpp
+++ b/src/gateway/cluster_view.cpp
@@ -4,26 +4,26 @@
 
 namespace alderward::gateway {
 
-bool isFarBehind(const GroupBelief& group, const MemberBelief& member, TimePoint now)
+bool isFarBehind(const GroupView& group, const MemberView& member, TimePoint now)
 {
     auto floor = decisions::getFloor(group.floors, decisions::kFarBehindThreshold, now);
     auto position = decisions::estimatePosition(member.progress, now);
     return group.lead.member != member.listed.id && floor && position.term != 0 && position < *floor;
 }
 
-bool acceptsNewOperations(const MemberBelief& member, milliseconds drainTime, TimePoint now)
+bool acceptsNewOperations(const MemberView& member, milliseconds drainTime, TimePoint now)
 {
     return decisions::acceptsNewOperations(member.leavingSince, drainTime, now) && decisions::acceptsNewOperations(member.unlistedAt, drainTime, now);
 }
 
-void denyLead(GroupBelief& group, const std::string& member, TimePoint now)
+void denyLead(GroupView& group, const std::string& member, TimePoint now)
 {
     bool isPending = group.lead.member == member && !group.lead.isConfirmed && now < group.pendingUntil;
     if (!isPending)
         group.lead = decisions::applyPrimaryDenial(group.lead, member);
 }
 
-void takeOrderedLead(GroupBelief& group, const std::string& member, uint64_t term, TimePoint now)
+void takeOrderedLead(GroupView& group, const std::string& member, uint64_t term, TimePoint now)
 {
     auto lead = decisions::applyPrimaryReport(group.lead, member, term);
     if (lead == group.lead)
@@ -33,7 +33,7 @@
 }
 
 // Hosts stop to assume a term at different moments: without this check they would tell it to each other in turns, for good.
-void takeAssumedLead(GroupBelief& group, const std::string& member, uint64_t term, TimePoint now)
+void takeAssumedLead(GroupView& group, const std::string& member, uint64_t term, TimePoint now)
 {
     if (term > group.disprovedTerm)
         takeOrderedLead(group, member, term, now);
@@ -42,13 +42,13 @@
 // A term that follows from an order can be too high: "done" is also the answer to an order for the member that leads already. It gives way to a primary that
 // shows an older one once the order has had its time. Without that, a host that had denied such a lead believed no proof of it any more (no primary for 30 s and
 // more). An old primary's answer that comes late does not count: it was asked before.
-uint64_t getLeastTerm(const GroupBelief& group, TimePoint askedAt)
+uint64_t getLeastTerm(const GroupView& group, TimePoint askedAt)
 {
     bool isAssumed = group.lead.term > group.shownTerm;
     return isAssumed && askedAt >= group.pendingUntil ? group.shownTerm : group.lead.term;
 }
 
-void takeShownLead(GroupBelief& group, const std::string& member, uint64_t term, TimePoint askedAt, ShownTo shownTo)
+void takeShownLead(GroupView& group, const std::string& member, uint64_t term, TimePoint askedAt, ShownTo shownTo)
 {
     auto known = group.lead;
     bool givesWay = term < known.term && term >= getLeastTerm(group, askedAt);
@@ -60,7 +60,7 @@
     group.shownTerm = std::max(group.shownTerm, term);
 }
 
-void takeShownTerm(GroupBelief& group, uint64_t term)
+void takeShownTerm(GroupView& group, uint64_t term)
 {
     group.lead = { "", term, false };
     group.shownTerm = std::max(group.shownTerm, term);
@@ -109,7 +109,7 @@
     return it->second.hosts;
 }
 
-const std::vector<std::string>& getCarriers(ClusterView& view, const MemberBelief& member)
+const std::vector<std::string>& getCarriers(ClusterView& view, const MemberView& member)
 {
     return getRanked(view, member.listed.id, member.listed.dataCentre);
 }
@@ -146,13 +146,13 @@
     return isUnknown || isBornBefore || life.sequence > other.sequence + kCountsAlike;
 }
 
-Mark getKnownMark(const GroupBelief& group)
+Mark getKnownMark(const GroupView& group)
 {
     return group.floors.isEmpty() ? group.heldByReplicas : std::max(group.heldByReplicas, group.floors.floors.back().mark);
 }
 
 // Addresses and rankings go by id; all that was seen of the process goes with it. Floors are the group's: what was acknowledged stays so.
-static void forgetLife(ClusterView& view, MemberBelief& member, TimePoint now)
+static void forgetLife(ClusterView& view, MemberView& member, TimePoint now)
 {
     auto& group = view.groups[member.listed.group];
     group.lead = decisions::applyPrimaryDenial(group.lead, member.listed.id);
--- a/src/gateway/cluster_view.h
+++ b/src/gateway/cluster_view.h
@@ -10,7 +10,7 @@
 
 namespace alderward::gateway {
 
-struct MemberBelief {
+struct MemberView {
     links::RegisteredMember listed {};
     uint64_t revision { 0 }; // of the change in the store that this rests on; what is older changes nothing
     std::optional<TimePoint> unlistedAt {}; // the store's list dropped it then; it may still lead
@@ -24,7 +24,7 @@
     TargetAddress getTarget() const { return { listed.id, listed.group, listed.address }; }
 };
 
-struct GroupBelief {
+struct GroupView {
     decisions::KnownPrimary lead {};
     uint64_t shownTerm { 0 }; // the newest that a member showed. A lead of a newer term is assumed: it follows from an order
     decisions::FloorHistory floors {};
@@ -48,8 +48,8 @@
 
 struct ClusterView {
     links::GatewayConfiguration configuration {};
-    std::map<std::string, MemberBelief> members {}; // by id
-    std::map<std::string, GroupBelief> groups {};
+    std::map<std::string, MemberView> members {}; // by id
+    std::map<std::string, GroupView> groups {};
     std::map<std::string, links::RegisteredHost> hosts {}; // by name, this one included; changed through takeHost() and dropHost()
     std::map<std::string, Ranking> rankings {}; // by member or group
     bool hasMembers { false }; // the list of members was read at least once
@@ -59,30 +59,30 @@
 };
 
 // Whether a new operation may be sent to the member: it does not leave and is listed, or not for long.
-bool acceptsNewOperations(const MemberBelief& member, milliseconds drainTime, TimePoint now);
+bool acceptsNewOperations(const MemberView& member, milliseconds drainTime, TimePoint now);
 
 // Whether nothing is known of what the member holds since it started again. Its carrier asks it; reads do not.
-inline bool mustShow(const MemberBelief& member) { return member.hasStartedAgain && member.progress.position.term == 0; }
+inline bool mustShow(const MemberView& member) { return member.hasStartedAgain && member.progress.position.term == 0; }
 
 // Whether a member lacks commits that are older than replicas usually lack.
-bool isFarBehind(const GroupBelief& group, const MemberBelief& member, TimePoint now);
+bool isFarBehind(const GroupView& group, const MemberView& member, TimePoint now);
 
 // A member said that it does not lead. One that was just made the primary is given time to become it.
-void denyLead(GroupBelief& group, const std::string& member, TimePoint now);
+void denyLead(GroupView& group, const std::string& member, TimePoint now);
 // A change of primary was ordered. The term is assumed until a member shows it.
-void takeOrderedLead(GroupBelief& group, const std::string& member, uint64_t term, TimePoint now);
+void takeOrderedLead(GroupView& group, const std::string& member, uint64_t term, TimePoint now);
 // Another host believes in that order, and shows nothing of it.
-void takeAssumedLead(GroupBelief& group, const std::string& member, uint64_t term, TimePoint now);
+void takeAssumedLead(GroupView& group, const std::string& member, uint64_t term, TimePoint now);
 enum class ShownTo {
     ThisHost,
     AnotherHost, // which told this one
 };
 // A member showed that it leads, in answer to a question that was sent at `askedAt`.
-void takeShownLead(GroupBelief& group, const std::string& member, uint64_t term, TimePoint askedAt, ShownTo shownTo);
+void takeShownLead(GroupView& group, const std::string& member, uint64_t term, TimePoint askedAt, ShownTo shownTo);
 // Members know the term, and nobody is known to lead in it.
-void takeShownTerm(GroupBelief& group, uint64_t term);
+void takeShownTerm(GroupView& group, uint64_t term);
 // The newest term that a lead shown in answer to a question of `askedAt` must not be older than.
-uint64_t getLeastTerm(const GroupBelief& group, TimePoint askedAt);
+uint64_t getLeastTerm(const GroupView& group, TimePoint askedAt);
 
 inline constexpr milliseconds kPromotionTakes { 1500 }; // the platform names some hundred ms; the slowest site that was seen takes 1,000
 
@@ -91,7 +91,7 @@
 
 // All hosts in the order in which they are asked to carry to a member, be they up or not: that differs from moment to moment, the
 // order only when a host comes or goes. Statements ask for it, so it is kept.
-const std::vector<std::string>& getCarriers(ClusterView& view, const MemberBelief& member);
+const std::vector<std::string>& getCarriers(ClusterView& view, const MemberView& member);
 // All hosts in the order in which they are asked to be in charge of a group.
 const std::vector<std::string>& getRankedHosts(ClusterView& view, const std::string& group);
 
@@ -114,9 +114,9 @@
 // Whether the first of two members' processes may have started before the second, by what either of them says.
 bool mayBeOlder(const links::MemberIncarnation& life, const links::MemberIncarnation& other);
 // The newest floor, or what a replica holds. A primary that is asked from now on holds it, or has lost its log.
-Mark getKnownMark(const GroupBelief& group);
+Mark getKnownMark(const GroupView& group);
 // Whether that can be told: a host that has just started knows no floor, and a primary that started again with nothing would be believed.
-inline bool canTellLostLog(const GroupBelief& group) { return !group.floors.isEmpty() || group.wasCompared; }
+inline bool canTellLostLog(const GroupView& group) { return !group.floors.isEmpty() || group.wasCompared; }
 bool takeMemberGone(ClusterView& view, const std::string& id, uint64_t revision, TimePoint now);
 // Forgets members that were unlisted for longer than `keep`. Returns their ids.
 std::vector<std::string> forgetMembers(ClusterView& view, milliseconds keep, TimePoint now);
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -59,7 +59,7 @@
     void takeStatus(const peer::Pong& message, TimePoint sentAt);
     void takeListed(const links::RegisteredMember& member, uint64_t revision, TimePoint leavingSince, std::string_view source);
     void endLife(const links::RegisteredMember& member);
-    void askWhetherItLeads(MemberBelief& member);
+    void askWhetherItLeads(MemberView& member);
     void takeUnlisted(const std::string& id, uint64_t revision, std::string_view source);
     void askForMembers(TimePoint now);
     void takeMembers(const peer::MembersAnswer& answer, TimePoint sentAt);
--- a/src/gateway/gateway_leads.cpp
+++ b/src/gateway/gateway_leads.cpp
@@ -88,7 +88,7 @@
 }
 
 // A host that carries to a member which says that it leads finds out whether it does. Others prove the lead through this host only, so nobody would tell it.
-void Gateway::askWhetherItLeads(MemberBelief& member)
+void Gateway::askWhetherItLeads(MemberView& member)
 {
     if (!member.listed.saysPrimary || !isCarrier(m_view, m_peers, getPlace(), member))
         return;
--- a/src/gateway/member_exchange.cpp
+++ b/src/gateway/member_exchange.cpp
@@ -4,7 +4,7 @@
 
 namespace alderward::gateway {
 
-static void writeMember(peer::MemberEntry& wire, const MemberBelief& member, TimePoint now)
+static void writeMember(peer::MemberEntry& wire, const MemberView& member, TimePoint now)
 {
     auto& listed = member.listed;
     wire.set_id(listed.id);
--- a/src/gateway/partners.cpp
+++ b/src/gateway/partners.cpp
@@ -110,7 +110,7 @@
     return partners;
 }
 
-bool isCarrier(ClusterView& view, const Peers& peers, const HostPlace& self, const MemberBelief& member)
+bool isCarrier(ClusterView& view, const Peers& peers, const HostPlace& self, const MemberView& member)
 {
     auto& ranked = getCarriers(view, member);
     auto first = std::ranges::find_if(ranked, [&](const std::string& name) { return name == self.name ? !self.isDraining : peers.isUsable(name); });
--- a/src/gateway/partners.h
+++ b/src/gateway/partners.h
@@ -28,6 +28,6 @@
 // grow with members. `quiet`: how often a host that has no relay asks carriers.
 Partners choosePartners(ClusterView& view, const Peers& peers, const HostPlace& self, const OrdererPlace& orders, milliseconds quiet);
 // Whether this host carries statements to the member.
-bool isCarrier(ClusterView& view, const Peers& peers, const HostPlace& self, const MemberBelief& member);
+bool isCarrier(ClusterView& view, const Peers& peers, const HostPlace& self, const MemberView& member);
 
 }
--- a/src/gateway/promoter.cpp
+++ b/src/gateway/promoter.cpp
@@ -218,7 +218,7 @@
     base::logEvent(LogClass::State, "in-charge", { { "group", std::string_view(group) }, { "holder", std::string_view(state.succession.coordinators.front().host) }, { "in_charge", std::string_view(inCharge) } });
 }
 
-bool Promoter::mustHandOver(const GroupBelief& belief) const
+bool Promoter::mustHandOver(const GroupView& belief) const
 {
     auto it = m_context.view.members.find(belief.lead.member);
     return it != m_context.view.members.end() && (it->second.listed.isLeaving || it->second.unlistedAt);
@@ -231,7 +231,7 @@
     std::string cause;
 };
 
-std::optional<Promoter::Due> Promoter::findDue(const GroupBelief& belief, State& state, TimePoint now) const
+std::optional<Promoter::Due> Promoter::findDue(const GroupView& belief, State& state, TimePoint now) const
 {
     auto rank = decisions::findRank(state.succession, m_context.self).value_or(0);
     bool isLeaderless = belief.lead.member.empty();
--- a/src/gateway/promoter.h
+++ b/src/gateway/promoter.h
@@ -83,9 +83,9 @@
     // How many orderers act before this one; empty: this one does not.
     std::optional<size_t> getPlace(const State& state, decisions::PromotionTask task) const;
     void noteCharge(const std::string& group, State& state);
-    std::optional<Due> findDue(const GroupBelief& belief, State& state, TimePoint now) const;
+    std::optional<Due> findDue(const GroupView& belief, State& state, TimePoint now) const;
     bool isMyTurn(const State& state, const Due& due, TimePoint now) const;
-    bool mustHandOver(const GroupBelief& belief) const;
+    bool mustHandOver(const GroupView& belief) const;
     void keepSuccession(const std::string& group, State& state, TimePoint now);
     boost::asio::awaitable<void> writeSuccession(std::string group, decisions::CoordinatorRecord succession, uint64_t revision);
     boost::asio::awaitable<void> replace(std::string group, bool isPlanned, std::string cause);
@@ -93,7 +93,7 @@
     struct Replicas;
     // All members but the leader, or `withLeader`: it counts among those that are reached, and is no candidate.
     void askReplicas(const std::string& group, const std::string& leader, bool withLeader, const std::shared_ptr<Replicas>& replicas);
-    boost::asio::awaitable<void> askReplica(MemberBelief member, bool isCandidate, std::shared_ptr<Replicas> replicas);
+    boost::asio::awaitable<void> askReplica(MemberView member, bool isCandidate, std::shared_ptr<Replicas> replicas);
     struct Examination;
     boost::asio::awaitable<void> examine(std::string witness, TargetAddress leader, std::shared_ptr<Examination> examination);
     boost::asio::awaitable<void> waitForReplica(std::string group, std::string leader);
--- a/src/gateway/promoter_evidence.cpp
+++ b/src/gateway/promoter_evidence.cpp
@@ -129,7 +129,7 @@
     return static_cast<size_t>(std::ranges::count_if(ids, [&](const std::string& id) { return !m_context.view.members.at(id).unlistedAt; }));
 }
 
-asio::awaitable<void> Promoter::askReplica(MemberBelief member, bool isCandidate, std::shared_ptr<Replicas> replicas)
+asio::awaitable<void> Promoter::askReplica(MemberView member, bool isCandidate, std::shared_ptr<Replicas> replicas)
 {
     bool isPromotable = isCandidate && !member.listed.isLeaving && !member.unlistedAt;
     auto target = member.getTarget();
--- a/src/gateway/statement_router.cpp
+++ b/src/gateway/statement_router.cpp
@@ -40,7 +40,7 @@
 }
 
 // Whether the host is up and has not said lately that it cannot reach the member.
-bool StatementRouter::mayCarry(const std::string& host, const MemberBelief& member) const
+bool StatementRouter::mayCarry(const std::string& host, const MemberView& member) const
 {
     if (host == m_context.name)
         return !m_context.isTroubled(member.getTarget());
@@ -51,14 +51,14 @@
     return !(load && load->unreachable()) && !m_context.peers.lacksMember(host, member.listed.id);
 }
 
-std::string StatementRouter::chooseCarrier(const MemberBelief& member) const
+std::string StatementRouter::chooseCarrier(const MemberView& member) const
 {
     auto& ranked = getCarriers(m_context.view, member);
     auto first = std::ranges::find_if(ranked, [&](const std::string& host) { return mayCarry(host, member); });
     return first == ranked.end() ? m_context.name : *first;
 }
 
-decisions::Candidate StatementRouter::makeCandidate(const RoutedStatement& routed, const MemberBelief& member, const std::string& leader) const
+decisions::Candidate StatementRouter::makeCandidate(const RoutedStatement& routed, const MemberView& member, const std::string& leader) const
 {
     auto now = Clock::now();
     decisions::Candidate candidate;
--- a/src/gateway/statement_router.h
+++ b/src/gateway/statement_router.h
@@ -74,9 +74,9 @@
     void refuse(const std::shared_ptr<RoutedStatement>& routed, RoutedDone done, const decisions::Error& refusal);
     void giveUp(const std::shared_ptr<RoutedStatement>& routed, RoutedDone done, decisions::ErrorKind kind);
     std::optional<TargetAddress> chooseMember(const RoutedStatement& routed) const;
-    decisions::Candidate makeCandidate(const RoutedStatement& routed, const MemberBelief& member, const std::string& leader) const;
-    bool mayCarry(const std::string& host, const MemberBelief& member) const;
-    std::string chooseCarrier(const MemberBelief& member) const;
+    decisions::Candidate makeCandidate(const RoutedStatement& routed, const MemberView& member, const std::string& leader) const;
+    bool mayCarry(const std::string& host, const MemberView& member) const;
+    std::string chooseCarrier(const MemberView& member) const;
     void noteBehind(const TargetAddress& target, const Mark& position, TimePoint now);
     void takeOutcome(const std::shared_ptr<RoutedStatement>& routed, const TargetAddress& target, const std::optional<TransactionHandle>& transaction, const Outcome& outcome, RoutedDone done);
     void finish(const RoutedStatement& routed, const Outcome& outcome, const std::optional<TransactionHandle>& transaction, const RoutedDone& done, const TargetAddress& target);
--- a/tests/unit/lead_terms_test.cpp
+++ b/tests/unit/lead_terms_test.cpp
@@ -11,9 +11,9 @@
 
 const TimePoint kStart = TimePoint() + milliseconds(100000);
 
-GroupBelief makeShown(const std::string& member, uint64_t term)
+GroupView makeShown(const std::string& member, uint64_t term)
 {
-    GroupBelief group;
+    GroupView group;
     takeShownLead(group, member, term, kStart, ShownTo::ThisHost);
     return group;
 }
