--- a/src/gateway/cluster_view.cpp
+++ b/src/gateway/cluster_view.cpp
@@ -8,7 +8,7 @@
 {
     auto floor = decisions::getFloor(group.floors, decisions::kFarBehindThreshold, now);
     auto position = decisions::estimatePosition(member.progress, now);
-    return group.lead.member != member.listed.id && floor && position.term != 0 && position < *floor;
+    return group.primary.member != member.listed.id && floor && position.term != 0 && position < *floor;
 }
 
 bool acceptsNewOperations(const MemberView& member, milliseconds drainTime, TimePoint now)
@@ -16,54 +16,54 @@
     return decisions::acceptsNewOperations(member.leavingSince, drainTime, now) && decisions::acceptsNewOperations(member.unlistedAt, drainTime, now);
 }
 
-void denyLead(GroupView& group, const std::string& member, TimePoint now)
+void denyPrimary(GroupView& group, const std::string& member, TimePoint now)
 {
-    bool isPending = group.lead.member == member && !group.lead.isConfirmed && now < group.pendingUntil;
+    bool isPending = group.primary.member == member && !group.primary.isConfirmed && now < group.pendingUntil;
     if (!isPending)
-        group.lead = decisions::applyPrimaryDenial(group.lead, member);
+        group.primary = decisions::applyPrimaryDenial(group.primary, member);
 }
 
-void takeOrderedLead(GroupView& group, const std::string& member, uint64_t term, TimePoint now)
+void applyOrderedPrimary(GroupView& group, const std::string& member, uint64_t term, TimePoint now)
 {
-    auto lead = decisions::applyPrimaryReport(group.lead, member, term);
-    if (lead == group.lead)
+    auto reported = decisions::applyPrimaryReport(group.primary, member, term);
+    if (reported == group.primary)
         return;
-    group.lead = lead;
-    group.pendingUntil = now + kPromotionTakes;
+    group.primary = reported;
+    group.pendingUntil = now + kPromotionGracePeriod;
 }
 
 // Hosts stop to assume a term at different moments: without this check they would tell it to each other in turns, for good.
-void takeAssumedLead(GroupView& group, const std::string& member, uint64_t term, TimePoint now)
+void applyAssumedPrimary(GroupView& group, const std::string& member, uint64_t term, TimePoint now)
 {
-    if (term > group.disprovedTerm)
-        takeOrderedLead(group, member, term, now);
+    if (term > group.discardedTerm)
+        applyOrderedPrimary(group, member, term, now);
 }
 
 // A term that follows from an order can be too high: "done" is also the answer to an order for the member that leads already. It gives way to a primary that
 // shows an older one once the order has had its time. Without that, a host that had denied such a lead believed no proof of it any more (no primary for 30 s and
 // more). An old primary's answer that comes late does not count: it was asked before.
-uint64_t getLeastTerm(const GroupView& group, TimePoint askedAt)
+uint64_t getMinTerm(const GroupView& group, TimePoint askedAt)
 {
-    bool isAssumed = group.lead.term > group.shownTerm;
-    return isAssumed && askedAt >= group.pendingUntil ? group.shownTerm : group.lead.term;
+    bool isAssumed = group.primary.term > group.provenTerm;
+    return isAssumed && askedAt >= group.pendingUntil ? group.provenTerm : group.primary.term;
 }
 
-void takeShownLead(GroupView& group, const std::string& member, uint64_t term, TimePoint askedAt, ShownTo shownTo)
+void applyProvenPrimary(GroupView& group, const std::string& member, uint64_t term, TimePoint askedAt, ProofRecipient shownTo)
 {
-    auto known = group.lead;
-    bool givesWay = term < known.term && term >= getLeastTerm(group, askedAt);
+    auto known = group.primary;
+    bool givesWay = term < known.term && term >= getMinTerm(group, askedAt);
     if (givesWay) {
-        group.disprovedTerm = known.term;
+        group.discardedTerm = known.term;
         known = { "", term, false };
     }
-    group.lead = shownTo == ShownTo::ThisHost ? decisions::applyPrimaryProof(known, member, term) : decisions::applyPrimaryReport(known, member, term);
-    group.shownTerm = std::max(group.shownTerm, term);
+    group.primary = shownTo == ProofRecipient::ThisHost ? decisions::applyPrimaryProof(known, member, term) : decisions::applyPrimaryReport(known, member, term);
+    group.provenTerm = std::max(group.provenTerm, term);
 }
 
-void takeShownTerm(GroupView& group, uint64_t term)
+void applyProvenTerm(GroupView& group, uint64_t term)
 {
-    group.lead = { "", term, false };
-    group.shownTerm = std::max(group.shownTerm, term);
+    group.primary = { "", term, false };
+    group.provenTerm = std::max(group.provenTerm, term);
 }
 
 // The order of decisions::rankForwarders().
@@ -155,7 +155,7 @@
 static void forgetLife(ClusterView& view, MemberView& member, TimePoint now)
 {
     auto& group = view.groups[member.listed.group];
-    group.lead = decisions::applyPrimaryDenial(group.lead, member.listed.id);
+    group.primary = decisions::applyPrimaryDenial(group.primary, member.listed.id);
     group.wasCompared = false; // with the process of before
     member.leavingSince.reset();
     member.troubleAt = {};
@@ -191,7 +191,7 @@
     if (std::ranges::find(group.members, listed.id) == group.members.end())
         group.members.push_back(listed.id);
     if (listed.saysPrimary && !startedAgain) // it has yet to show that it holds what it acknowledged
-        group.lead = decisions::applyPrimaryListing(group.lead, listed.id);
+        group.primary = decisions::applyPrimaryListing(group.primary, listed.id);
     return startedAgain ? MemberChange::StartedAgain : MemberChange::Taken;
 }
 
@@ -218,7 +218,7 @@
         view.forgottenRevision = std::max(view.forgottenRevision, view.members[id].revision);
         auto& group = view.groups[view.members[id].listed.group];
         std::erase(group.members, id);
-        group.lead = decisions::applyPrimaryDenial(group.lead, id);
+        group.primary = decisions::applyPrimaryDenial(group.primary, id);
         view.members.erase(id);
         view.rankings.erase(id);
     }
--- a/src/gateway/cluster_view.h
+++ b/src/gateway/cluster_view.h
@@ -18,20 +18,20 @@
     bool hasStartedAgain { false }; // under its id: it holds nothing until it has shown a position
     TimePoint troubleAt {}; // the last time a connection to it failed here
     TimePoint answeredAt {};
-    TimePoint leadAskedAt {}; // when this host last asked whether it leads, nobody being known to
+    TimePoint primaryQueriedAt {}; // when this host last asked whether it leads, nobody being known to
     decisions::LogProgress progress {}; // of its log
 
     TargetAddress getTarget() const { return { listed.id, listed.group, listed.address }; }
 };
 
 struct GroupView {
-    decisions::KnownPrimary lead {};
-    uint64_t shownTerm { 0 }; // the newest that a member showed. A lead of a newer term is assumed: it follows from an order
+    decisions::KnownPrimary primary {};
+    uint64_t provenTerm { 0 }; // the newest that a member showed. A lead of a newer term is assumed: it follows from an order
     decisions::FloorHistory floors {};
     TimePoint pendingUntil {}; // a change of primary was ordered; until then the new one may not know yet that it leads
-    uint64_t disprovedTerm { 0 }; // an assumed one that gave way: those that still assume it are not believed
+    uint64_t discardedTerm { 0 }; // an assumed one that gave way: those that still assume it are not believed
     TimePoint provenAt {}; // when the primary last showed this host itself that it leads
-    decisions::KnownPrimary refusedProof {}; // the last one that was not believed, as logged
+    decisions::KnownPrimary lastRejectedProof {}; // the last one that was not believed, as logged
     std::vector<std::string> members {}; // ids
     bool isComparing { false }; // its replicas are being asked what they hold
     bool wasCompared { false }; // enough of them have answered
@@ -68,23 +68,23 @@
 bool isFarBehind(const GroupView& group, const MemberView& member, TimePoint now);
 
 // A member said that it does not lead. One that was just made the primary is given time to become it.
-void denyLead(GroupView& group, const std::string& member, TimePoint now);
+void denyPrimary(GroupView& group, const std::string& member, TimePoint now);
 // A change of primary was ordered. The term is assumed until a member shows it.
-void takeOrderedLead(GroupView& group, const std::string& member, uint64_t term, TimePoint now);
+void applyOrderedPrimary(GroupView& group, const std::string& member, uint64_t term, TimePoint now);
 // Another host believes in that order, and shows nothing of it.
-void takeAssumedLead(GroupView& group, const std::string& member, uint64_t term, TimePoint now);
-enum class ShownTo {
+void applyAssumedPrimary(GroupView& group, const std::string& member, uint64_t term, TimePoint now);
+enum class ProofRecipient {
     ThisHost,
     AnotherHost, // which told this one
 };
 // A member showed that it leads, in answer to a question that was sent at `askedAt`.
-void takeShownLead(GroupView& group, const std::string& member, uint64_t term, TimePoint askedAt, ShownTo shownTo);
+void applyProvenPrimary(GroupView& group, const std::string& member, uint64_t term, TimePoint askedAt, ProofRecipient shownTo);
 // Members know the term, and nobody is known to lead in it.
-void takeShownTerm(GroupView& group, uint64_t term);
+void applyProvenTerm(GroupView& group, uint64_t term);
 // The newest term that a lead shown in answer to a question of `askedAt` must not be older than.
-uint64_t getLeastTerm(const GroupView& group, TimePoint askedAt);
+uint64_t getMinTerm(const GroupView& group, TimePoint askedAt);
 
-inline constexpr milliseconds kPromotionTakes { 1500 }; // the platform names some hundred ms; the slowest site that was seen takes 1,000
+inline constexpr milliseconds kPromotionGracePeriod { 1500 }; // the platform names some hundred ms; the slowest site that was seen takes 1,000
 
 void takeHost(ClusterView& view, const links::RegisteredHost& host);
 void dropHost(ClusterView& view, const std::string& name);
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -99,10 +99,10 @@
         base::setGauge(MetricFamily::PoolRunning, { { "member", member } }, load.running);
     }
     for (auto& [name, group] : m_view.groups) {
-        base::setGauge(MetricFamily::Term, { { "group", name } }, static_cast<double>(group.lead.term));
+        base::setGauge(MetricFamily::Term, { { "group", name } }, static_cast<double>(group.primary.term));
         if (!group.floors.isEmpty())
             base::setGauge(MetricFamily::FloorAge, { { "group", name } }, std::chrono::duration<double>(now - group.floors.floors.back().coveredUntil).count());
-        auto primary = m_view.members.find(group.lead.member);
+        auto primary = m_view.members.find(group.primary.member);
         if (primary != m_view.members.end() && primary->second.leavingSince)
             base::setGauge(MetricFamily::LeavingPrimary, { { "group", name } }, std::chrono::duration<double>(now - *primary->second.leavingSince).count());
     }
@@ -194,12 +194,12 @@
     observer.getKnown = [this](const TargetAddress& target) { return getKnownMark(m_view.groups[target.group]); };
     observer.onLostLog = [this](const TargetAddress& target, const Mark& position) {
         base::logEvent(LogClass::State, "primary-lost-log", { { "group", std::string_view(target.group) }, { "member", std::string_view(target.member) }, { "term", static_cast<int64_t>(position.term) }, { "position", static_cast<int64_t>(position.position) } });
-        takeLead(target.group, decisions::applyPrimaryDenial(m_view.groups[target.group].lead, target.member), "denied");
+        takeLead(target.group, decisions::applyPrimaryDenial(m_view.groups[target.group].primary, target.member), "denied");
     };
-    observer.leads = [this](const TargetAddress& target) { return m_view.groups[target.group].lead.member == target.member; };
+    observer.leads = [this](const TargetAddress& target) { return m_view.groups[target.group].primary.member == target.member; };
     observer.onLeads = [this](const TargetAddress& target, const Mark& position, TimePoint sentAt) {
-        takeShown(target.group, target.member, position.term, sentAt, ShownTo::ThisHost);
-        if (m_view.groups[target.group].lead.member == target.member) {
+        takeShown(target.group, target.member, position.term, sentAt, ProofRecipient::ThisHost);
+        if (m_view.groups[target.group].primary.member == target.member) {
             takeFloor(target.group, { position, sentAt });
             m_view.groups[target.group].provenAt = Clock::now();
             m_promoter.noteProof(target.group, Clock::now());
@@ -207,8 +207,8 @@
     };
     observer.onFollows = [this](const TargetAddress& target) {
         auto& group = m_view.groups[target.group];
-        auto before = group.lead;
-        denyLead(group, target.member, Clock::now());
+        auto before = group.primary;
+        denyPrimary(group, target.member, Clock::now());
         noteLead(target.group, before, "denied");
     };
     observer.onPosition = [this](const TargetAddress& target, const Mark& position) {
@@ -230,7 +230,7 @@
             return;
         it->second.troubleAt = Clock::now();
         base::logEvent(LogClass::State, "target-trouble", { { "member", std::string_view(target.member) }, { "group", std::string_view(target.group) }, { "reason", std::string_view(reason) } });
-        if (m_view.groups[target.group].lead.member == target.member)
+        if (m_view.groups[target.group].primary.member == target.member)
             raiseAlarm(target.group, reason);
     };
     observer.onRefused = [](const TargetAddress& target, size_t open, const std::string& reason) {
@@ -248,7 +248,7 @@
     if (now - alarmedAt < decisions::getAlarmInterval(m_view.hosts.size()))
         return;
     alarmedAt = now;
-    auto& leader = m_view.groups[group].lead.member;
+    auto& leader = m_view.groups[group].primary.member;
     for (auto& name : m_promoter.getOrderers(group)) {
         if (name != m_self.name)
             m_peers.sendAlarm(name, group, leader, reason);
@@ -290,7 +290,7 @@
         if (!m_view.members.contains(it.member()))
             continue;
         if (askedAt)
-            takeShown(it.group(), it.member(), it.term(), *askedAt, ShownTo::AnotherHost);
+            takeShown(it.group(), it.member(), it.term(), *askedAt, ProofRecipient::AnotherHost);
         else
             takeAssumed(it.group(), it.member(), it.term());
     }
@@ -312,7 +312,7 @@
     service.isTroubled = [this](const TargetAddress& target) { return isTroubled(target); };
     service.inquire = [this](const TargetAddress& target, std::function<void(const StatusReport&)> done) { inquire(target, std::move(done)); };
     service.onAlarm = [this](const std::string& group, const std::string& member, const std::string& reason) {
-        if (m_view.groups[group].lead.member == member || member.empty())
+        if (m_view.groups[group].primary.member == member || member.empty())
             m_promoter.raiseAlarm(group, reason);
     };
     service.onHoldWrites = [this](const std::string&, const std::string& member, milliseconds time) { holdWrites(member, time); };
@@ -571,16 +571,16 @@
     auto place = getPlace();
     for (auto& [id, member] : m_view.members) {
         // Asked again while nobody is known to lead: one answer that is missing or came too early would leave this host's callers without a primary for good.
-        if (m_view.groups[member.listed.group].lead.member.empty() && now - member.leadAskedAt >= kLeadAskInterval)
+        if (m_view.groups[member.listed.group].primary.member.empty() && now - member.primaryQueriedAt >= kLeadAskInterval)
             askWhetherItLeads(member);
-        bool leads = m_view.groups[member.listed.group].lead.member == id;
+        bool leads = m_view.groups[member.listed.group].primary.member == id;
         if ((leads || mustShow(member)) && isCarrier(m_view, m_peers, place, member))
             getPool(member.getTarget());
     }
     for (auto& [id, pool] : m_pools) {
         auto member = m_view.members.find(id);
         bool isKnown = member != m_view.members.end();
-        bool leads = isKnown && m_view.groups[member->second.listed.group].lead.member == id;
+        bool leads = isKnown && m_view.groups[member->second.listed.group].primary.member == id;
         pool->setLimits(getLimits(pool->getTarget())); // configuration and list may have come after the pool
         pool->setComparison(getComparison(pool->getTarget()));
         bool carries = isKnown && isCarrier(m_view, m_peers, place, member->second);
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -46,7 +46,7 @@
     void inquire(const TargetAddress& target, std::function<void(const StatusReport&)> done);
     void holdWrites(const std::string& member, milliseconds time);
     void takeLead(const std::string& group, const decisions::KnownPrimary& lead, std::string_view source);
-    void takeShown(const std::string& group, const std::string& member, uint64_t term, TimePoint askedAt, ShownTo shownTo);
+    void takeShown(const std::string& group, const std::string& member, uint64_t term, TimePoint askedAt, ProofRecipient shownTo);
     void takeOrdered(const std::string& group, const std::string& member, uint64_t term);
     void takeAssumed(const std::string& group, const std::string& member, uint64_t term);
     // Logs a change and tells the parts that go by it.
--- a/src/gateway/gateway_leads.cpp
+++ b/src/gateway/gateway_leads.cpp
@@ -24,7 +24,7 @@
 {
     auto& group = m_view.groups[target.group];
     bool isKnown = m_view.members.contains(target.member);
-    if (!isKnown || group.lead.member != target.member || canTellLostLog(group))
+    if (!isKnown || group.primary.member != target.member || canTellLostLog(group))
         return Comparison::NotNeeded;
     compareWithReplicas(target.group);
     if (canTellLostLog(group))
@@ -43,7 +43,7 @@
         return;
     group.isComparing = true;
     group.comparedAt = now;
-    auto& primary = m_view.members.at(group.lead.member).listed;
+    auto& primary = m_view.members.at(group.primary.member).listed;
     auto round = std::make_shared<ComparisonRound>(ComparisonRound { name, primary.id, primary.incarnation });
     std::vector<TargetAddress> targets;
     for (auto& id : group.members) {
@@ -75,7 +75,7 @@
     group.isComparing = false;
     m_view.isPlacementDue = true;
     auto primary = m_view.members.find(round.primary);
-    bool isSame = primary != m_view.members.end() && group.lead.member == round.primary && !isOtherLife(round.life, primary->second.listed.incarnation);
+    bool isSame = primary != m_view.members.end() && group.primary.member == round.primary && !isOtherLife(round.life, primary->second.listed.incarnation);
     if (!isSame) { // it is compared anew, if need be
         group.comparedAt = {};
         return;
@@ -92,52 +92,52 @@
 {
     if (!member.listed.saysPrimary || !isCarrier(m_view, m_peers, getPlace(), member))
         return;
-    member.leadAskedAt = Clock::now();
+    member.primaryQueriedAt = Clock::now();
     auto known = getKnownMark(m_view.groups[member.listed.group]);
-    inquire(member.getTarget(), [this, id = member.listed.id, name = member.listed.group, known, askedAt = member.leadAskedAt](const StatusReport& report) {
+    inquire(member.getTarget(), [this, id = member.listed.id, name = member.listed.group, known, askedAt = member.primaryQueriedAt](const StatusReport& report) {
         if (report.status.isPrimary && !decisions::hasLostLog(known, report.status.received))
-            takeShown(name, id, report.status.term, askedAt, ShownTo::ThisHost);
+            takeShown(name, id, report.status.term, askedAt, ProofRecipient::ThisHost);
     });
 }
 
 void Gateway::takeLead(const std::string& group, const decisions::KnownPrimary& lead, std::string_view source)
 {
-    auto& current = m_view.groups[group].lead;
+    auto& current = m_view.groups[group].primary;
     auto before = current;
     current = lead;
     noteLead(group, before, source);
 }
 
-void Gateway::takeShown(const std::string& group, const std::string& member, uint64_t term, TimePoint askedAt, ShownTo shownTo)
+void Gateway::takeShown(const std::string& group, const std::string& member, uint64_t term, TimePoint askedAt, ProofRecipient shownTo)
 {
     auto& belief = m_view.groups[group];
-    auto before = belief.lead;
-    takeShownLead(belief, member, term, askedAt, shownTo);
-    noteLead(group, before, shownTo == ShownTo::ThisHost ? "proof" : "told");
-    if (shownTo == ShownTo::ThisHost)
+    auto before = belief.primary;
+    applyProvenPrimary(belief, member, term, askedAt, shownTo);
+    noteLead(group, before, shownTo == ProofRecipient::ThisHost ? "proof" : "told");
+    if (shownTo == ProofRecipient::ThisHost)
         noteRefusedProof(group, member, term);
 }
 
 void Gateway::takeOrdered(const std::string& group, const std::string& member, uint64_t term)
 {
     auto& belief = m_view.groups[group];
-    auto before = belief.lead;
-    takeOrderedLead(belief, member, term, Clock::now());
+    auto before = belief.primary;
+    applyOrderedPrimary(belief, member, term, Clock::now());
     noteLead(group, before, "ordered");
 }
 
 void Gateway::takeAssumed(const std::string& group, const std::string& member, uint64_t term)
 {
     auto& belief = m_view.groups[group];
-    auto before = belief.lead;
-    takeAssumedLead(belief, member, term, Clock::now());
+    auto before = belief.primary;
+    applyAssumedPrimary(belief, member, term, Clock::now());
     noteLead(group, before, "told");
 }
 
 void Gateway::noteLead(const std::string& group, const decisions::KnownPrimary& before, std::string_view source)
 {
     auto& belief = m_view.groups[group];
-    auto& lead = belief.lead;
+    auto& lead = belief.primary;
     if (lead.member == before.member && lead.term == before.term)
         return;
     if (lead.member != before.member) { // another one was compared with its replicas
@@ -154,10 +154,10 @@
 {
     auto& belief = m_view.groups[group];
     decisions::KnownPrimary refused { member, term, true };
-    if (term >= belief.lead.term || refused == belief.refusedProof)
+    if (term >= belief.primary.term || refused == belief.lastRejectedProof)
         return;
-    belief.refusedProof = refused;
-    base::logEvent(LogClass::State, "proof-refused", { { "group", std::string_view(group) }, { "member", std::string_view(member) }, { "term", static_cast<int64_t>(term) }, { "known", std::string_view(belief.lead.member) }, { "known_term", static_cast<int64_t>(belief.lead.term) } });
+    belief.lastRejectedProof = refused;
+    base::logEvent(LogClass::State, "proof-refused", { { "group", std::string_view(group) }, { "member", std::string_view(member) }, { "term", static_cast<int64_t>(term) }, { "known", std::string_view(belief.primary.member) }, { "known_term", static_cast<int64_t>(belief.primary.term) } });
 }
 
 void Gateway::takeFloor(const std::string& group, const decisions::Floor& floor)
--- a/src/gateway/gateway_members.cpp
+++ b/src/gateway/gateway_members.cpp
@@ -92,10 +92,10 @@
     bool isFresh = !group.floors.isEmpty() && Clock::now() - group.floors.floors.back().coveredUntil < kProofMissed;
     if (before.saysPrimary == now.saysPrimary || isFresh)
         return;
-    if (now.saysPrimary && group.lead.member != now.id)
-        takeLead(now.group, { now.id, group.lead.term, false }, "listed");
+    if (now.saysPrimary && group.primary.member != now.id)
+        takeLead(now.group, { now.id, group.primary.term, false }, "listed");
     else if (!now.saysPrimary)
-        takeLead(now.group, decisions::applyPrimaryDenial(group.lead, now.id), "listed");
+        takeLead(now.group, decisions::applyPrimaryDenial(group.primary, now.id), "listed");
 }
 
 }
--- a/src/gateway/promoter.cpp
+++ b/src/gateway/promoter.cpp
@@ -220,7 +220,7 @@
 
 bool Promoter::mustHandOver(const GroupView& belief) const
 {
-    auto it = m_context.view.members.find(belief.lead.member);
+    auto it = m_context.view.members.find(belief.primary.member);
     return it != m_context.view.members.end() && (it->second.listed.isLeaving || it->second.unlistedAt);
 }
 
@@ -234,7 +234,7 @@
 std::optional<Promoter::Due> Promoter::findDue(const GroupView& belief, State& state, TimePoint now) const
 {
     auto rank = decisions::findRank(state.succession, m_context.self).value_or(0);
-    bool isLeaderless = belief.lead.member.empty();
+    bool isLeaderless = belief.primary.member.empty();
     if (!isLeaderless)
         state.leaderlessSince = {};
     else if (state.leaderlessSince == TimePoint {})
@@ -329,7 +329,7 @@
 
 asio::awaitable<void> Promoter::replace(std::string group, bool isPlanned, std::string cause)
 {
-    auto lead = m_context.view.groups[group].lead;
+    auto lead = m_context.view.groups[group].primary;
     auto began = Clock::now();
     base::logEvent(LogClass::State, "promotion-considered", { { "group", std::string_view(group) }, { "primary", std::string_view(lead.member) }, { "term", static_cast<int64_t>(lead.term) }, { "cause", std::string_view(cause) }, { "planned", isPlanned } });
     bool isDue = true;
@@ -354,25 +354,25 @@
     auto objection = isDue ? findObjection(group, occasion) : std::string_view();
     if (!objection.empty()) {
         isDue = false;
-        base::logEvent(LogClass::State, "promotion-held-back", { { "group", std::string_view(group) }, { "reason", objection }, { "member", std::string_view(belief.lead.member) }, { "term", static_cast<int64_t>(belief.lead.term) } });
+        base::logEvent(LogClass::State, "promotion-held-back", { { "group", std::string_view(group) }, { "reason", objection }, { "member", std::string_view(belief.primary.member) }, { "term", static_cast<int64_t>(belief.primary.term) } });
     }
     if (isDue) {
         auto& findings = replicas->findings;
         logEvidence(group, findings);
-        auto newestSeen = std::max(belief.shownTerm, decisions::findNewerTerm(findings, 0).value_or(0));
+        auto newestSeen = std::max(belief.provenTerm, decisions::findNewerTerm(findings, 0).value_or(0));
         auto leading = std::ranges::find_if(findings, [&](const MemberFinding& it) { return it.wasReached && it.saysPrimary && it.term >= newestSeen && it.member != lead.member; });
         auto limits = m_context.view.configuration.groups[group];
         auto successor = decisions::chooseSuccessor(findings, limits.synchronousReplicas, countListed(group));
-        auto before = belief.lead;
+        auto before = belief.primary;
         m_context.view.isPlacementDue = true;
         auto newerTerm = decisions::findNewerTerm(findings, lead.term);
-        if (leading != findings.end() && leading->term < getLeastTerm(belief, began))
+        if (leading != findings.end() && leading->term < getMinTerm(belief, began))
             base::logEvent(LogClass::State, "promotion-held-back", { { "group", std::string_view(group) }, { "reason", std::string_view("a member leads, and an order is not over yet") }, { "member", std::string_view(leading->member) }, { "term", static_cast<int64_t>(leading->term) } });
         else if (leading != findings.end()) {
-            takeShownLead(belief, leading->member, leading->term, began, ShownTo::ThisHost);
+            applyProvenPrimary(belief, leading->member, leading->term, began, ProofRecipient::ThisHost);
             m_context.noteLead(group, before, "proof");
         } else if (newerTerm) {
-            takeShownTerm(belief, *newerTerm);
+            applyProvenTerm(belief, *newerTerm);
             m_context.noteLead(group, before, "members");
             base::logEvent(LogClass::State, "promotion-held-back", { { "group", std::string_view(group) }, { "reason", std::string_view("members know a newer term") }, { "term", static_cast<int64_t>(*newerTerm) }, { "known", static_cast<int64_t>(lead.term) } });
         } else if (successor) {
@@ -388,7 +388,7 @@
     base::logEvent(LogClass::State, "promotion-ended", { { "group", std::string_view(group) }, { "ms", took.count() } });
     state.isWorking = false;
     state.alarmedAt = {};
-    state.notBefore = Clock::now() + (wasOrdered ? kPromotionTakes : kPauseAfter);
+    state.notBefore = Clock::now() + (wasOrdered ? kPromotionGracePeriod : kPauseAfter);
 }
 
 // A handover waits up to 0.8 s for a replica, an examination up to 2 s for answers, an order without an answer is repeated for up to 7.6 s. A primary that takes its word back
@@ -396,15 +396,15 @@
 std::string_view Promoter::findObjection(const std::string& group, const Occasion& occasion) const
 {
     auto& belief = m_context.view.groups[group];
-    if (decisions::isSuperseded(occasion.lead, belief.lead))
+    if (decisions::isSuperseded(occasion.lead, belief.primary))
         return "another primary became known meanwhile";
     if (occasion.isPlanned) {
-        bool isSame = belief.lead.member == occasion.lead.member; // or nobody is known to lead since, and the change is due all the more
+        bool isSame = belief.primary.member == occasion.lead.member; // or nobody is known to lead since, and the change is due all the more
         return !isSame || mustHandOver(belief) ? "" : "the primary does not leave any more";
     }
     auto& floors = belief.floors.floors;
-    bool hasShown = !floors.empty() && floors.back().coveredUntil > occasion.since && floors.back().mark.term == belief.lead.term;
-    return hasShown && !belief.lead.member.empty() ? "the primary showed meanwhile that it leads" : "";
+    bool hasShown = !floors.empty() && floors.back().coveredUntil > occasion.since && floors.back().mark.term == belief.primary.term;
+    return hasShown && !belief.primary.member.empty() ? "the primary showed meanwhile that it leads" : "";
 }
 
 // One decision: one token, one member. An order without an answer is repeated as it was; it may still be carried out.
@@ -440,8 +440,8 @@
         }
         if (isDone) {
             auto& belief = m_context.view.groups[group];
-            auto before = belief.lead;
-            takeOrderedLead(belief, member, newTerm, Clock::now());
+            auto before = belief.primary;
+            applyOrderedPrimary(belief, member, newTerm, Clock::now());
             m_context.noteLead(group, before, "ordered");
             m_context.peers.sendLead(group, member, newTerm);
             co_return true;
--- a/src/gateway/promoter_evidence.cpp
+++ b/src/gateway/promoter_evidence.cpp
@@ -116,7 +116,7 @@
     auto& deniedBy = examination->deniedBy;
     base::logEvent(LogClass::State, "primary-examined", { { "group", std::string_view(group) }, { "member", std::string_view(leader.member) }, { "witnesses", static_cast<int64_t>(witnesses.size()) }, { "reached_by", std::string_view(reachedBy) }, { "denied_to", std::string_view(deniedBy) } });
     if (reachedBy.empty() && !deniedBy.empty()) {
-        denyLead(m_context.view.groups[group], leader.member, Clock::now());
+        denyPrimary(m_context.view.groups[group], leader.member, Clock::now());
         co_return false;
     }
     co_return reachedBy.empty();
--- a/src/gateway/statement_router.cpp
+++ b/src/gateway/statement_router.cpp
@@ -91,7 +91,7 @@
     auto group = m_context.view.groups.find(routed.route.group);
     if (group == m_context.view.groups.end())
         return std::nullopt;
-    auto& leader = group->second.lead.member;
+    auto& leader = group->second.primary.member;
     if (routed.needsLeader) {
         auto it = m_context.view.members.find(leader);
         bool wasTried = std::ranges::find(routed.tried, leader) != routed.tried.end();
@@ -206,7 +206,7 @@
     bool isQueueFull = kind == ErrorKind::Overloaded && !outcome.wasSent;
     routed->wasOverloaded = routed->wasOverloaded || isQueueFull || (routed->wasTurnedAway && routed->attempts >= decisions::kMaxBusyAttempts);
     if (kind == ErrorKind::NotPrimary)
-        denyLead(m_context.view.groups[target.group], target.member, now);
+        denyPrimary(m_context.view.groups[target.group], target.member, now);
     if (kind == ErrorKind::TooStale)
         noteBehind(target, outcome.position, now);
     if (transaction)
@@ -260,7 +260,7 @@
     auto logClass = outcome.error || isLate ? LogClass::Failure : LogClass::Request;
     if (base::hasLogBudget(logClass)) {
         auto group = m_context.view.groups.find(routed.route.group);
-        std::string_view leader = group == m_context.view.groups.end() ? std::string_view() : std::string_view(group->second.lead.member);
+        std::string_view leader = group == m_context.view.groups.end() ? std::string_view() : std::string_view(group->second.primary.member);
         auto need = std::to_string(routed.need.term) + "." + std::to_string(routed.need.position);
         auto member = m_context.view.members.find(target.member);
         bool isLeaving = member != m_context.view.members.end() && member->second.leavingSince;
--- a/src/gateway/status_exchange.cpp
+++ b/src/gateway/status_exchange.cpp
@@ -30,12 +30,12 @@
         floor.set_age_us(getAgeUs(newest.coveredUntil, now));
         // Hosts that the orderer has no connection to hear of an order from those that have one; after the order's time an assumed term is told no more.
         bool isOrdered = isProven && now < group.pendingUntil;
-        if (group.lead.term != newest.mark.term && !isOrdered)
+        if (group.primary.term != newest.mark.term && !isOrdered)
             continue;
         auto& lead = *wire.add_leads();
         lead.set_group(name);
-        lead.set_member(group.lead.member);
-        lead.set_term(group.lead.term);
+        lead.set_member(group.primary.member);
+        lead.set_term(group.primary.term);
     }
 }
 
--- a/tests/unit/lead_terms_test.cpp
+++ b/tests/unit/lead_terms_test.cpp
@@ -14,7 +14,7 @@
 GroupView makeShown(const std::string& member, uint64_t term)
 {
     GroupView group;
-    takeShownLead(group, member, term, kStart, ShownTo::ThisHost);
+    applyProvenPrimary(group, member, term, kStart, ProofRecipient::ThisHost);
     return group;
 }
 
@@ -25,40 +25,40 @@
 BOOST_AUTO_TEST_CASE(an_assumed_term_is_kept_until_its_promotion_order_times_out)
 {
     auto group = makeShown("a", 1);
-    takeOrderedLead(group, "b", 2, kStart);
+    applyOrderedPrimary(group, "b", 2, kStart);
     // The old primary, asked before or during its replacement.
-    takeShownLead(group, "a", 1, kStart - milliseconds(1), ShownTo::ThisHost);
-    BOOST_TEST((group.lead == KnownPrimary { "b", 2, false }));
-    takeShownLead(group, "a", 1, group.pendingUntil - milliseconds(1), ShownTo::ThisHost);
-    BOOST_TEST((group.lead == KnownPrimary { "b", 2, false }));
+    applyProvenPrimary(group, "a", 1, kStart - milliseconds(1), ProofRecipient::ThisHost);
+    BOOST_TEST((group.primary == KnownPrimary { "b", 2, false }));
+    applyProvenPrimary(group, "a", 1, group.pendingUntil - milliseconds(1), ProofRecipient::ThisHost);
+    BOOST_TEST((group.primary == KnownPrimary { "b", 2, false }));
     // Asked after the timeout: the order had no effect.
-    takeShownLead(group, "a", 1, group.pendingUntil, ShownTo::ThisHost);
-    BOOST_TEST((group.lead == KnownPrimary { "a", 1, true }));
+    applyProvenPrimary(group, "a", 1, group.pendingUntil, ProofRecipient::ThisHost);
+    BOOST_TEST((group.primary == KnownPrimary { "a", 1, true }));
 }
 
 BOOST_AUTO_TEST_CASE(a_proven_term_is_never_replaced_by_an_older_one)
 {
     auto group = makeShown("a", 1);
-    takeOrderedLead(group, "b", 2, kStart);
-    takeShownLead(group, "b", 2, kStart + milliseconds(300), ShownTo::ThisHost);
-    BOOST_TEST((group.lead == KnownPrimary { "b", 2, true }));
-    for (auto shownTo : { ShownTo::ThisHost, ShownTo::AnotherHost })
-        takeShownLead(group, "a", 1, kStart + milliseconds(60000), shownTo);
-    BOOST_TEST((group.lead == KnownPrimary { "b", 2, true }));
-    takeShownTerm(group, 3); // known to members
-    takeShownLead(group, "b", 2, kStart + milliseconds(60000), ShownTo::ThisHost);
-    BOOST_TEST((group.lead == KnownPrimary { "", 3, false }));
+    applyOrderedPrimary(group, "b", 2, kStart);
+    applyProvenPrimary(group, "b", 2, kStart + milliseconds(300), ProofRecipient::ThisHost);
+    BOOST_TEST((group.primary == KnownPrimary { "b", 2, true }));
+    for (auto shownTo : { ProofRecipient::ThisHost, ProofRecipient::AnotherHost })
+        applyProvenPrimary(group, "a", 1, kStart + milliseconds(60000), shownTo);
+    BOOST_TEST((group.primary == KnownPrimary { "b", 2, true }));
+    applyProvenTerm(group, 3); // known to members
+    applyProvenPrimary(group, "b", 2, kStart + milliseconds(60000), ProofRecipient::ThisHost);
+    BOOST_TEST((group.primary == KnownPrimary { "", 3, false }));
 }
 
 // Guards against a primary that is promoted again and denies the assumed term: its proof of the actual term must still count.
 BOOST_AUTO_TEST_CASE(proof_of_a_lower_term_is_accepted_after_denial_of_a_term_that_was_too_high)
 {
-    for (auto shownTo : { ShownTo::ThisHost, ShownTo::AnotherHost }) {
+    for (auto shownTo : { ProofRecipient::ThisHost, ProofRecipient::AnotherHost }) {
         auto group = makeShown("a", 2);
-        takeOrderedLead(group, "a", 3, kStart);
-        group.lead = decisions::applyPrimaryDenial(group.lead, "a");
-        takeShownLead(group, "a", 2, group.pendingUntil + milliseconds(1), shownTo);
-        BOOST_TEST((group.lead == KnownPrimary { "a", 2, shownTo == ShownTo::ThisHost }));
+        applyOrderedPrimary(group, "a", 3, kStart);
+        group.primary = decisions::applyPrimaryDenial(group.primary, "a");
+        applyProvenPrimary(group, "a", 2, group.pendingUntil + milliseconds(1), shownTo);
+        BOOST_TEST((group.primary == KnownPrimary { "a", 2, shownTo == ProofRecipient::ThisHost }));
     }
 }
 
@@ -66,33 +66,33 @@
 BOOST_AUTO_TEST_CASE(an_assumed_term_is_not_replaced_by_one_older_than_the_proven_term)
 {
     auto group = makeShown("b", 2);
-    takeOrderedLead(group, "c", 3, kStart);
-    takeShownLead(group, "a", 1, kStart + milliseconds(60000), ShownTo::ThisHost);
-    BOOST_TEST((group.lead == KnownPrimary { "c", 3, false }));
+    applyOrderedPrimary(group, "c", 3, kStart);
+    applyProvenPrimary(group, "a", 1, kStart + milliseconds(60000), ProofRecipient::ThisHost);
+    BOOST_TEST((group.primary == KnownPrimary { "c", 3, false }));
 }
 
 // Guards against two hosts that keep reviving a discarded assumed term in each other.
 BOOST_AUTO_TEST_CASE(a_discarded_assumed_term_is_accepted_again_from_a_new_order_only)
 {
     auto group = makeShown("a", 2);
-    takeAssumedLead(group, "a", 3, kStart);
-    BOOST_TEST((group.lead == KnownPrimary { "a", 3, false }));
+    applyAssumedPrimary(group, "a", 3, kStart);
+    BOOST_TEST((group.primary == KnownPrimary { "a", 3, false }));
     auto now = group.pendingUntil + milliseconds(1);
-    takeShownLead(group, "a", 2, now, ShownTo::ThisHost);
-    takeAssumedLead(group, "a", 3, now);
-    BOOST_TEST((group.lead == KnownPrimary { "a", 2, true }));
-    takeOrderedLead(group, "b", 3, now); // the next promotion
-    BOOST_TEST((group.lead == KnownPrimary { "b", 3, false }));
+    applyProvenPrimary(group, "a", 2, now, ProofRecipient::ThisHost);
+    applyAssumedPrimary(group, "a", 3, now);
+    BOOST_TEST((group.primary == KnownPrimary { "a", 2, true }));
+    applyOrderedPrimary(group, "b", 3, now); // the next promotion
+    BOOST_TEST((group.primary == KnownPrimary { "b", 3, false }));
 }
 
 BOOST_AUTO_TEST_CASE(a_promotion_order_is_passed_on_while_it_is_pending)
 {
     ClusterView view;
     auto& group = view.groups["g"];
-    takeShownLead(group, "m", 2, kStart, ShownTo::ThisHost);
+    applyProvenPrimary(group, "m", 2, kStart, ProofRecipient::ThisHost);
     group.floors = decisions::addFloor({}, { { 2, 50 }, kStart });
     group.provenAt = kStart;
-    takeOrderedLead(group, "n", 3, kStart);
+    applyOrderedPrimary(group, "n", 3, kStart);
     peer::Pong wire;
     writeGroups(wire, view, false, kStart + milliseconds(500));
     BOOST_TEST(wire.leads_size() == 1);
@@ -110,9 +110,9 @@
         view.groups[name].floors = decisions::addFloor({}, { { 2, 50 }, kStart - milliseconds(200) });
         view.groups[name].provenAt = kStart;
     }
-    view.groups["f"].lead = { "m", 2, true };
-    view.groups["g"].lead = { "n", 3, false }; // assumed from a new order
-    view.groups["h"].lead = { "o", 2, true };
+    view.groups["f"].primary = { "m", 2, true };
+    view.groups["g"].primary = { "n", 3, false }; // assumed from a new order
+    view.groups["h"].primary = { "o", 2, true };
     peer::Pong wire;
     writeGroups(wire, view, false, kStart);
     BOOST_TEST(wire.leads_size() == 2); // an assumed term is not reported
--- a/tests/unit/member_life_test.cpp
+++ b/tests/unit/member_life_test.cpp
@@ -42,13 +42,13 @@
     BOOST_TEST((takeMember(view, makeMember(1000, 1, true), 1, {}, kStart) == MemberChange::Taken));
     auto& group = view.groups["g"];
     auto& member = view.members.at("m");
-    BOOST_TEST(group.lead.member == "m");
+    BOOST_TEST(group.primary.member == "m");
     member.progress = decisions::applyPosition(member.progress, { 3, 70 }, kStart);
     member.troubleAt = kStart;
     member.leavingSince = kStart;
     auto now = kStart + milliseconds(1000);
     BOOST_TEST((takeMember(view, makeMember(2000, 1, true), 2, {}, now) == MemberChange::StartedAgain));
-    BOOST_TEST(group.lead.member.empty()); // although the member reports to be primary
+    BOOST_TEST(group.primary.member.empty()); // although the member reports to be primary
     BOOST_TEST(mustShow(member));
     BOOST_TEST(!member.leavingSince.has_value());
     BOOST_TEST((member.troubleAt == TimePoint {}));
@@ -69,7 +69,7 @@
     moved.group = "other";
     BOOST_TEST((takeMember(view, moved, 2, {}, kStart) == MemberChange::StartedAgain));
     BOOST_TEST(view.groups["g"].members.empty());
-    BOOST_TEST(view.groups["g"].lead.member.empty());
+    BOOST_TEST(view.groups["g"].primary.member.empty());
     BOOST_TEST(view.groups["other"].members == std::vector<std::string> { "m" });
     takeMemberGone(view, "m", 3, kStart);
     forgetMembers(view, milliseconds(100), kStart + milliseconds(200));
--- a/tests/unit/relaying_test.cpp
+++ b/tests/unit/relaying_test.cpp
@@ -200,7 +200,7 @@
         milliseconds offset = any(100'000);
         ClusterView view;
         auto& group = view.groups["g"];
-        group.lead = { "m", 3, true };
+        group.primary = { "m", 3, true };
         group.floors = decisions::addFloor({}, { { 3, 70 }, TimePoint(askedAt + offset) });
         group.provenAt = TimePoint(now + offset);
         bool isFirst = true;
@@ -219,7 +219,7 @@
             BOOST_REQUIRE((provenAt <= TimePoint(askedAt + offset)));
             BOOST_REQUIRE(pong.leads_size() == 1);
             ClusterView next;
-            next.groups["g"].lead = decisions::applyPrimaryReport({}, pong.leads(0).member(), pong.leads(0).term());
+            next.groups["g"].primary = decisions::applyPrimaryReport({}, pong.leads(0).member(), pong.leads(0).term());
             next.groups["g"].floors = decisions::addFloor({}, { { pong.floors(0).mark().term(), pong.floors(0).mark().position() }, provenAt });
             view = next;
         }
@@ -233,7 +233,7 @@
     auto now = TimePoint(milliseconds(1'000'000));
     auto& group = view.groups["g"];
     group.floors = decisions::addFloor({}, { { 3, 70 }, now - milliseconds(100) });
-    group.lead = { "n", 4, false };
+    group.primary = { "n", 4, false };
     peer::Pong pong;
     writeGroups(pong, view, true, now);
     BOOST_TEST(pong.floors_size() == 1);
