--- a/src/gateway/cluster_view.cpp
+++ b/src/gateway/cluster_view.cpp
@@ -8,7 +8,7 @@
 {
     auto floor = decisions::getFloor(group.floors, decisions::kFarBehindThreshold, now);
     auto position = decisions::estimatePosition(member.progress, now);
-    return group.primary.member != member.listed.id && floor && position.term != 0 && position < *floor;
+    return group.primary.member != member.registration.id && floor && position.term != 0 && position < *floor;
 }
 
 bool acceptsNewOperations(const MemberView& member, milliseconds drainTime, TimePoint now)
@@ -111,7 +111,7 @@
 
 const std::vector<std::string>& getCarriers(ClusterView& view, const MemberView& member)
 {
-    return getRanked(view, member.listed.id, member.listed.dataCentre);
+    return getRanked(view, member.registration.id, member.registration.dataCentre);
 }
 
 const std::vector<std::string>& getRankedHosts(ClusterView& view, const std::string& group)
@@ -129,7 +129,7 @@
     return getRanked(view, "neighbours of " + self, "");
 }
 
-bool isOtherLife(const links::MemberIncarnation& before, const links::MemberIncarnation& now)
+bool isDifferentIncarnation(const links::MemberIncarnation& before, const links::MemberIncarnation& now)
 {
     if (before.startedAtMs != 0 && now.startedAtMs != 0)
         return before.startedAtMs != now.startedAtMs;
@@ -137,13 +137,13 @@
 }
 
 // Clocks of members differ: whatever speaks for it counts. Counts of members that started together differ by one, and by one for each word on a change of state or role.
-static constexpr uint64_t kCountsAlike = 3;
+static constexpr uint64_t kMaxSequenceSkew = 3;
 
-bool mayBeOlder(const links::MemberIncarnation& life, const links::MemberIncarnation& other)
+bool mayHaveStartedBefore(const links::MemberIncarnation& incarnation, const links::MemberIncarnation& other)
 {
-    bool isUnknown = (life.startedAtMs == 0 || other.startedAtMs == 0) && (life.sequence == 0 || other.sequence == 0);
-    bool isBornBefore = life.startedAtMs != 0 && life.startedAtMs < other.startedAtMs;
-    return isUnknown || isBornBefore || life.sequence > other.sequence + kCountsAlike;
+    bool isUnknown = (incarnation.startedAtMs == 0 || other.startedAtMs == 0) && (incarnation.sequence == 0 || other.sequence == 0);
+    bool hasEarlierStart = incarnation.startedAtMs != 0 && incarnation.startedAtMs < other.startedAtMs;
+    return isUnknown || hasEarlierStart || incarnation.sequence > other.sequence + kMaxSequenceSkew;
 }
 
 Mark getKnownMark(const GroupView& group)
@@ -152,50 +152,50 @@
 }
 
 // Addresses and rankings go by id; all that was seen of the process goes with it. Floors are the group's: what was acknowledged stays so.
-static void forgetLife(ClusterView& view, MemberView& member, TimePoint now)
+static void resetMember(ClusterView& view, MemberView& member, TimePoint now)
 {
-    auto& group = view.groups[member.listed.group];
-    group.primary = decisions::applyPrimaryDenial(group.primary, member.listed.id);
+    auto& group = view.groups[member.registration.group];
+    group.primary = decisions::applyPrimaryDenial(group.primary, member.registration.id);
     group.wasCompared = false; // with the process of before
     member.leavingSince.reset();
-    member.troubleAt = {};
-    member.answeredAt = {};
+    member.lastFailureAt = {};
+    member.lastAnswerAt = {};
     member.progress = {};
     member.progress.observedAt = now; // positions that others saw before say nothing
-    member.hasStartedAgain = true;
+    member.hasRestarted = true;
 }
 
-MemberChange takeMember(ClusterView& view, const links::RegisteredMember& listed, uint64_t revision, TimePoint leavingSince, TimePoint now)
+MemberChange applyMember(ClusterView& view, const links::RegisteredMember& registration, uint64_t revision, TimePoint leavingSince, TimePoint now)
 {
-    auto known = view.members.find(listed.id);
+    auto known = view.members.find(registration.id);
     if (known != view.members.end() && revision < known->second.revision)
         return MemberChange::Outdated;
-    bool hasMoved = known != view.members.end() && known->second.listed.group != listed.group;
-    bool startedAgain = hasMoved || (known != view.members.end() && isOtherLife(known->second.listed.incarnation, listed.incarnation));
+    bool hasMoved = known != view.members.end() && known->second.registration.group != registration.group;
+    bool isRestarted = hasMoved || (known != view.members.end() && isDifferentIncarnation(known->second.registration.incarnation, registration.incarnation));
     view.membersRevision = std::max(view.membersRevision, revision);
-    auto& member = view.members[listed.id];
-    if (startedAgain)
-        forgetLife(view, member, now);
+    auto& member = view.members[registration.id];
+    if (isRestarted)
+        resetMember(view, member, now);
     if (hasMoved) // a group that kept the id would name a member that is forgotten later
-        std::erase(view.groups[member.listed.group].members, listed.id);
+        std::erase(view.groups[member.registration.group].members, registration.id);
     member.revision = revision;
-    if (!listed.isLeaving)
+    if (!registration.isLeaving)
         member.leavingSince.reset();
     else if (!member.leavingSince)
         member.leavingSince = leavingSince;
-    if (member.listed.dataCentre != listed.dataCentre)
-        view.rankings.erase(listed.id);
-    member.listed = listed;
+    if (member.registration.dataCentre != registration.dataCentre)
+        view.rankings.erase(registration.id);
+    member.registration = registration;
     member.unlistedAt.reset();
-    auto& group = view.groups[listed.group];
-    if (std::ranges::find(group.members, listed.id) == group.members.end())
-        group.members.push_back(listed.id);
-    if (listed.saysPrimary && !startedAgain) // it has yet to show that it holds what it acknowledged
-        group.primary = decisions::applyPrimaryListing(group.primary, listed.id);
-    return startedAgain ? MemberChange::StartedAgain : MemberChange::Taken;
+    auto& group = view.groups[registration.group];
+    if (std::ranges::find(group.members, registration.id) == group.members.end())
+        group.members.push_back(registration.id);
+    if (registration.saysPrimary && !isRestarted) // it has yet to show that it holds what it acknowledged
+        group.primary = decisions::applyPrimaryListing(group.primary, registration.id);
+    return isRestarted ? MemberChange::Restarted : MemberChange::Applied;
 }
 
-bool takeMemberGone(ClusterView& view, const std::string& id, uint64_t revision, TimePoint now)
+bool markMemberUnlisted(ClusterView& view, const std::string& id, uint64_t revision, TimePoint now)
 {
     auto it = view.members.find(id);
     if (it == view.members.end() || revision < it->second.revision)
@@ -207,7 +207,7 @@
     return isNews;
 }
 
-std::vector<std::string> forgetMembers(ClusterView& view, milliseconds keep, TimePoint now)
+std::vector<std::string> removeUnlistedMembers(ClusterView& view, milliseconds keep, TimePoint now)
 {
     std::vector<std::string> forgotten;
     for (auto& [id, member] : view.members) {
@@ -215,8 +215,8 @@
             forgotten.push_back(id);
     }
     for (auto& id : forgotten) {
-        view.forgottenRevision = std::max(view.forgottenRevision, view.members[id].revision);
-        auto& group = view.groups[view.members[id].listed.group];
+        view.removedRevision = std::max(view.removedRevision, view.members[id].revision);
+        auto& group = view.groups[view.members[id].registration.group];
         std::erase(group.members, id);
         group.primary = decisions::applyPrimaryDenial(group.primary, id);
         view.members.erase(id);
--- a/src/gateway/cluster_view.h
+++ b/src/gateway/cluster_view.h
@@ -11,17 +11,17 @@
 namespace alderward::gateway {
 
 struct MemberView {
-    links::RegisteredMember listed {};
+    links::RegisteredMember registration {};
     uint64_t revision { 0 }; // of the change in the store that this rests on; what is older changes nothing
     std::optional<TimePoint> unlistedAt {}; // the store's list dropped it then; it may still lead
     std::optional<TimePoint> leavingSince {}; // empty: it does not leave
-    bool hasStartedAgain { false }; // under its id: it holds nothing until it has shown a position
-    TimePoint troubleAt {}; // the last time a connection to it failed here
-    TimePoint answeredAt {};
+    bool hasRestarted { false }; // under its id: it holds nothing until it has shown a position
+    TimePoint lastFailureAt {}; // the last time a connection to it failed here
+    TimePoint lastAnswerAt {};
     TimePoint primaryQueriedAt {}; // when this host last asked whether it leads, nobody being known to
     decisions::LogProgress progress {}; // of its log
 
-    TargetAddress getTarget() const { return { listed.id, listed.group, listed.address }; }
+    TargetAddress getTarget() const { return { registration.id, registration.group, registration.address }; }
 };
 
 struct GroupView {
@@ -30,7 +30,7 @@
     decisions::FloorHistory floors {};
     TimePoint pendingUntil {}; // a change of primary was ordered; until then the new one may not know yet that it leads
     uint64_t discardedTerm { 0 }; // an assumed one that gave way: those that still assume it are not believed
-    TimePoint provenAt {}; // when the primary last showed this host itself that it leads
+    TimePoint lastProofAt {}; // when the primary last showed this host itself that it leads
     decisions::KnownPrimary lastRejectedProof {}; // the last one that was not believed, as logged
     std::vector<std::string> members {}; // ids
     bool isComparing { false }; // its replicas are being asked what they hold
@@ -55,14 +55,14 @@
     bool hasMembers { false }; // the list of members was read at least once
     bool isPlacementDue { true }; // who leads, or what there is, has changed since this host last looked what it carries
     uint64_t membersRevision { 0 }; // of the newest change of a member that is known
-    uint64_t forgottenRevision { 0 }; // of the newest one of a member that was forgotten since
+    uint64_t removedRevision { 0 }; // of the newest one of a member that was forgotten since
 };
 
 // Whether a new operation may be sent to the member: it does not leave and is listed, or not for long.
 bool acceptsNewOperations(const MemberView& member, milliseconds drainTime, TimePoint now);
 
 // Whether nothing is known of what the member holds since it started again. Its carrier asks it; reads do not.
-inline bool mustShow(const MemberView& member) { return member.hasStartedAgain && member.progress.position.term == 0; }
+inline bool mustReportPosition(const MemberView& member) { return member.hasRestarted && member.progress.position.term == 0; }
 
 // Whether a member lacks commits that are older than replicas usually lack.
 bool isFarBehind(const GroupView& group, const MemberView& member, TimePoint now);
@@ -104,21 +104,21 @@
 // `revision`: of the change in the store. `leavingSince`: what to believe of a member that is listed as leaving and was not known to.
 enum class MemberChange {
     Outdated, // something newer is known
-    Taken,
-    StartedAgain, // another run of its process, or one of another group: what was known of the one before is forgotten
+    Applied,
+    Restarted, // another run of its process, or one of another group: what was known of the one before is forgotten
 };
-MemberChange takeMember(ClusterView& view, const links::RegisteredMember& listed, uint64_t revision, TimePoint leavingSince, TimePoint now);
+MemberChange applyMember(ClusterView& view, const links::RegisteredMember& registration, uint64_t revision, TimePoint leavingSince, TimePoint now);
 // Whether two entries under one id come from different runs of a process. A time of start that differs says so, whichever is later: clocks are set.
 // Where one of them does not say it, a count that went back does.
-bool isOtherLife(const links::MemberIncarnation& before, const links::MemberIncarnation& now);
+bool isDifferentIncarnation(const links::MemberIncarnation& before, const links::MemberIncarnation& now);
 // Whether the first of two members' processes may have started before the second, by what either of them says.
-bool mayBeOlder(const links::MemberIncarnation& life, const links::MemberIncarnation& other);
+bool mayHaveStartedBefore(const links::MemberIncarnation& incarnation, const links::MemberIncarnation& other);
 // The newest floor, or what a replica holds. A primary that is asked from now on holds it, or has lost its log.
 Mark getKnownMark(const GroupView& group);
 // Whether that can be told: a host that has just started knows no floor, and a primary that started again with nothing would be believed.
 inline bool canTellLostLog(const GroupView& group) { return !group.floors.isEmpty() || group.wasCompared; }
-bool takeMemberGone(ClusterView& view, const std::string& id, uint64_t revision, TimePoint now);
+bool markMemberUnlisted(ClusterView& view, const std::string& id, uint64_t revision, TimePoint now);
 // Forgets members that were unlisted for longer than `keep`. Returns their ids.
-std::vector<std::string> forgetMembers(ClusterView& view, milliseconds keep, TimePoint now);
+std::vector<std::string> removeUnlistedMembers(ClusterView& view, milliseconds keep, TimePoint now);
 
 }
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -184,7 +184,7 @@
     auto group = m_view.configuration.groups.find(target.group);
     auto most = group == m_view.configuration.groups.end() ? 0U : group->second.connectionsPerMember;
     auto member = m_view.members.find(target.member);
-    auto slots = member == m_view.members.end() ? 1U : std::max(1U, member->second.listed.slots);
+    auto slots = member == m_view.members.end() ? 1U : std::max(1U, member->second.registration.slots);
     return { std::max(2U, (most - std::min(most, kSpareConnections)) / 2), slots + 1, m_view.configuration.accounts.has_value() };
 }
 
@@ -201,7 +201,7 @@
         takeShown(target.group, target.member, position.term, sentAt, ProofRecipient::ThisHost);
         if (m_view.groups[target.group].primary.member == target.member) {
             takeFloor(target.group, { position, sentAt });
-            m_view.groups[target.group].provenAt = Clock::now();
+            m_view.groups[target.group].lastProofAt = Clock::now();
             m_promoter.noteProof(target.group, Clock::now());
         }
     };
@@ -221,14 +221,14 @@
         auto it = m_view.members.find(target.member);
         if (it == m_view.members.end())
             return;
-        it->second.answeredAt = Clock::now();
-        it->second.troubleAt = {};
+        it->second.lastAnswerAt = Clock::now();
+        it->second.lastFailureAt = {};
     };
     observer.onTrouble = [this](const TargetAddress& target, const std::string& reason) {
         auto it = m_view.members.find(target.member);
         if (it == m_view.members.end())
             return;
-        it->second.troubleAt = Clock::now();
+        it->second.lastFailureAt = Clock::now();
         base::logEvent(LogClass::State, "target-trouble", { { "member", std::string_view(target.member) }, { "group", std::string_view(target.group) }, { "reason", std::string_view(reason) } });
         if (m_view.groups[target.group].primary.member == target.member)
             raiseAlarm(target.group, reason);
@@ -264,7 +264,7 @@
 bool Gateway::isTroubled(const TargetAddress& target) const
 {
     auto it = m_view.members.find(target.member);
-    return it != m_view.members.end() && it->second.troubleAt != TimePoint {} && Clock::now() - it->second.troubleAt < kTroubleFor;
+    return it != m_view.members.end() && it->second.lastFailureAt != TimePoint {} && Clock::now() - it->second.lastFailureAt < kTroubleFor;
 }
 
 void Gateway::fillStatus(peer::Pong& message) const
@@ -469,7 +469,7 @@
             return;
         auto found = finding;
         auto member = m_view.members.find(target.member);
-        if (member != m_view.members.end() && member->second.answeredAt > began)
+        if (member != m_view.members.end() && member->second.lastAnswerAt > began)
             found.wasReached = true;
         auto call = std::move(*shared);
         *shared = nullptr;
@@ -536,7 +536,7 @@
     if (now - m_forgottenAt < kForgetInterval)
         return;
     m_forgottenAt = now;
-    for (auto& id : forgetMembers(m_view, kUnlistedFor, now)) {
+    for (auto& id : removeUnlistedMembers(m_view, kUnlistedFor, now)) {
         auto it = m_pools.find(id);
         if (it == m_pools.end())
             continue;
@@ -555,7 +555,7 @@
         auto member = m_view.members.find(id);
         bool isKnown = member != m_view.members.end();
         pool->setTakesNew(isKnown && acceptsNewOperations(member->second, getDrainTime(), now));
-        bool isBehind = isKnown && (mustShow(member->second) || isFarBehind(m_view.groups[member->second.listed.group], member->second, now));
+        bool isBehind = isKnown && (mustReportPosition(member->second) || isFarBehind(m_view.groups[member->second.registration.group], member->second, now));
         pool->setPositionInterval(isBehind && pool->isCarrier() ? kPositionInterval : milliseconds(0));
         pool->sweep(now);
     }
@@ -571,16 +571,16 @@
     auto place = getPlace();
     for (auto& [id, member] : m_view.members) {
         // Asked again while nobody is known to lead: one answer that is missing or came too early would leave this host's callers without a primary for good.
-        if (m_view.groups[member.listed.group].primary.member.empty() && now - member.primaryQueriedAt >= kLeadAskInterval)
+        if (m_view.groups[member.registration.group].primary.member.empty() && now - member.primaryQueriedAt >= kLeadAskInterval)
             askWhetherItLeads(member);
-        bool leads = m_view.groups[member.listed.group].primary.member == id;
-        if ((leads || mustShow(member)) && isCarrier(m_view, m_peers, place, member))
+        bool leads = m_view.groups[member.registration.group].primary.member == id;
+        if ((leads || mustReportPosition(member)) && isCarrier(m_view, m_peers, place, member))
             getPool(member.getTarget());
     }
     for (auto& [id, pool] : m_pools) {
         auto member = m_view.members.find(id);
         bool isKnown = member != m_view.members.end();
-        bool leads = isKnown && m_view.groups[member->second.listed.group].primary.member == id;
+        bool leads = isKnown && m_view.groups[member->second.registration.group].primary.member == id;
         pool->setLimits(getLimits(pool->getTarget())); // configuration and list may have come after the pool
         pool->setComparison(getComparison(pool->getTarget()));
         bool carries = isKnown && isCarrier(m_view, m_peers, place, member->second);
--- a/src/gateway/gateway_leads.cpp
+++ b/src/gateway/gateway_leads.cpp
@@ -43,7 +43,7 @@
         return;
     group.isComparing = true;
     group.comparedAt = now;
-    auto& primary = m_view.members.at(group.primary.member).listed;
+    auto& primary = m_view.members.at(group.primary.member).registration;
     auto round = std::make_shared<ComparisonRound>(ComparisonRound { name, primary.id, primary.incarnation });
     std::vector<TargetAddress> targets;
     for (auto& id : group.members) {
@@ -51,8 +51,8 @@
         if (id == primary.id || member.unlistedAt)
             continue;
         targets.push_back(member.getTarget());
-        bool isOlder = mayBeOlder(member.listed.incarnation, primary.incarnation);
-        round->replicas.push_back({ false, isOlder, !isOlder && mayBeOlder(primary.incarnation, member.listed.incarnation) });
+        bool isOlder = mayHaveStartedBefore(member.registration.incarnation, primary.incarnation);
+        round->replicas.push_back({ false, isOlder, !isOlder && mayHaveStartedBefore(primary.incarnation, member.registration.incarnation) });
     }
     round->left = targets.size();
     if (targets.empty())
@@ -75,7 +75,7 @@
     group.isComparing = false;
     m_view.isPlacementDue = true;
     auto primary = m_view.members.find(round.primary);
-    bool isSame = primary != m_view.members.end() && group.primary.member == round.primary && !isOtherLife(round.life, primary->second.listed.incarnation);
+    bool isSame = primary != m_view.members.end() && group.primary.member == round.primary && !isDifferentIncarnation(round.life, primary->second.registration.incarnation);
     if (!isSame) { // it is compared anew, if need be
         group.comparedAt = {};
         return;
@@ -90,11 +90,11 @@
 // A host that carries to a member which says that it leads finds out whether it does. Others prove the lead through this host only, so nobody would tell it.
 void Gateway::askWhetherItLeads(MemberView& member)
 {
-    if (!member.listed.saysPrimary || !isCarrier(m_view, m_peers, getPlace(), member))
+    if (!member.registration.saysPrimary || !isCarrier(m_view, m_peers, getPlace(), member))
         return;
     member.primaryQueriedAt = Clock::now();
-    auto known = getKnownMark(m_view.groups[member.listed.group]);
-    inquire(member.getTarget(), [this, id = member.listed.id, name = member.listed.group, known, askedAt = member.primaryQueriedAt](const StatusReport& report) {
+    auto known = getKnownMark(m_view.groups[member.registration.group]);
+    inquire(member.getTarget(), [this, id = member.registration.id, name = member.registration.group, known, askedAt = member.primaryQueriedAt](const StatusReport& report) {
         if (report.status.isPrimary && !decisions::hasLostLog(known, report.status.received))
             takeShown(name, id, report.status.term, askedAt, ProofRecipient::ThisHost);
     });
--- a/src/gateway/gateway_members.cpp
+++ b/src/gateway/gateway_members.cpp
@@ -18,12 +18,12 @@
 {
     auto known = m_view.members.find(member.id);
     bool wasKnown = known != m_view.members.end();
-    auto before = wasKnown ? known->second.listed : links::RegisteredMember {};
+    auto before = wasKnown ? known->second.registration : links::RegisteredMember {};
     bool wasUnlisted = wasKnown && known->second.unlistedAt;
-    auto change = takeMember(m_view, member, revision, leavingSince, Clock::now());
+    auto change = applyMember(m_view, member, revision, leavingSince, Clock::now());
     if (change == MemberChange::Outdated)
         return;
-    if (change == MemberChange::StartedAgain)
+    if (change == MemberChange::Restarted)
         endLife(member);
     takeRoleChange(before, member);
     m_partnersDue = m_partnersDue || !wasKnown;
@@ -49,7 +49,7 @@
 
 void Gateway::takeUnlisted(const std::string& id, uint64_t revision, std::string_view source)
 {
-    if (takeMemberGone(m_view, id, revision, Clock::now()))
+    if (markMemberUnlisted(m_view, id, revision, Clock::now()))
         base::logEvent(LogClass::State, "member-unlisted", { { "member", std::string_view(id) }, { "revision", static_cast<int64_t>(revision) }, { "source", source } });
 }
 
--- a/src/gateway/member_exchange.cpp
+++ b/src/gateway/member_exchange.cpp
@@ -6,7 +6,7 @@
 
 static void writeMember(peer::MemberEntry& wire, const MemberView& member, TimePoint now)
 {
-    auto& listed = member.listed;
+    auto& listed = member.registration;
     wire.set_id(listed.id);
     wire.set_group(listed.group);
     wire.set_address(listed.address);
@@ -24,7 +24,7 @@
 
 void writeMembers(peer::MembersAnswer& wire, const ClusterView& view, uint64_t since, TimePoint now)
 {
-    bool isWhole = view.forgottenRevision > since;
+    bool isWhole = view.removedRevision > since;
     wire.set_is_whole(isWhole);
     wire.set_revision(view.membersRevision);
     for (auto& [id, member] : view.members) {
--- a/src/gateway/partners.cpp
+++ b/src/gateway/partners.cpp
@@ -89,7 +89,7 @@
         auto& ranked = getCarriers(view, member);
         if (asksCarriers)
             addCarriers(partners, ranked, peers, self.name, intervals.forwarders);
-        else if (orders.groups.contains(member.listed.group))
+        else if (orders.groups.contains(member.registration.group))
             addCarriers(partners, ranked, peers, self.name, quiet);
         else
             addPredecessors(partners, ranked, self.name, quiet);
--- a/src/gateway/promoter.cpp
+++ b/src/gateway/promoter.cpp
@@ -221,7 +221,7 @@
 bool Promoter::mustHandOver(const GroupView& belief) const
 {
     auto it = m_context.view.members.find(belief.primary.member);
-    return it != m_context.view.members.end() && (it->second.listed.isLeaving || it->second.unlistedAt);
+    return it != m_context.view.members.end() && (it->second.registration.isLeaving || it->second.unlistedAt);
 }
 
 // What is to be done for a group, and since when.
--- a/src/gateway/promoter_evidence.cpp
+++ b/src/gateway/promoter_evidence.cpp
@@ -131,7 +131,7 @@
 
 asio::awaitable<void> Promoter::askReplica(MemberView member, bool isCandidate, std::shared_ptr<Replicas> replicas)
 {
-    bool isPromotable = isCandidate && !member.listed.isLeaving && !member.unlistedAt;
+    bool isPromotable = isCandidate && !member.registration.isLeaving && !member.unlistedAt;
     auto target = member.getTarget();
     auto known = getKnownMark(m_context.view.groups[target.group]);
     auto finding = co_await ask(m_context.self.host, target);
@@ -145,7 +145,7 @@
     // The platform answers an order for its present primary with "done" and changes nothing: no new term begins, and of the old one it is not believed. Where all replicas held
     // less than it, such a primary was ordered again and again, and callers had none.
     isPromotable = isPromotable && !(finding.status.isPrimary && hasLost);
-    replicas->findings.push_back({ member.listed.id, finding.wasReached, finding.status.isPrimary && !hasLost, finding.status.term, finding.status.received, isPromotable });
+    replicas->findings.push_back({ member.registration.id, finding.wasReached, finding.status.isPrimary && !hasLost, finding.status.term, finding.status.received, isPromotable });
     replicas->latch.countDown();
 }
 
--- a/src/gateway/statement_router.cpp
+++ b/src/gateway/statement_router.cpp
@@ -47,8 +47,8 @@
     if (!m_context.peers.isUsable(host))
         return false;
     // A host that answers may still not know the member, or not reach it.
-    auto load = m_context.peers.getLoad(host, member.listed.id);
-    return !(load && load->unreachable()) && !m_context.peers.lacksMember(host, member.listed.id);
+    auto load = m_context.peers.getLoad(host, member.registration.id);
+    return !(load && load->unreachable()) && !m_context.peers.lacksMember(host, member.registration.id);
 }
 
 std::string StatementRouter::chooseCarrier(const MemberView& member) const
@@ -62,23 +62,23 @@
 {
     auto now = Clock::now();
     decisions::Candidate candidate;
-    candidate.isUsable = !member.listed.isLeaving && !member.unlistedAt && !mustShow(member);
-    candidate.isPrimary = member.listed.id == leader;
-    candidate.wasTried = std::ranges::find(routed.tried, member.listed.id) != routed.tried.end();
+    candidate.isUsable = !member.registration.isLeaving && !member.unlistedAt && !mustReportPosition(member);
+    candidate.isPrimary = member.registration.id == leader;
+    candidate.wasTried = std::ranges::find(routed.tried, member.registration.id) != routed.tried.end();
     candidate.position = decisions::estimatePosition(member.progress, now);
     candidate.positionAge = std::chrono::duration_cast<milliseconds>(now - std::max(member.progress.observedAt, member.progress.lastRefusalAt));
     candidate.wasBehind = member.progress.lastRefusalAt != TimePoint {};
-    candidate.isFarBehind = isFarBehind(m_context.view.groups.at(member.listed.group), member, now);
-    candidate.slots = std::max(1U, member.listed.slots);
+    candidate.isFarBehind = isFarBehind(m_context.view.groups.at(member.registration.group), member, now);
+    candidate.slots = std::max(1U, member.registration.slots);
     auto carrier = chooseCarrier(member);
     if (carrier == m_context.name) {
         auto load = m_context.getPool(member.getTarget())->getLoad();
         candidate.queued = load.waiting + load.running;
         candidate.statementMs = load.workMs;
-        candidate.roundTripMs = member.listed.dataCentre == m_context.dataCentre ? 0 : kOwnDistanceGuessMs;
+        candidate.roundTripMs = member.registration.dataCentre == m_context.dataCentre ? 0 : kOwnDistanceGuessMs;
     } else {
         candidate.roundTripMs = m_context.peers.getDistanceMs(carrier);
-        if (auto load = m_context.peers.getLoad(carrier, member.listed.id)) {
+        if (auto load = m_context.peers.getLoad(carrier, member.registration.id)) {
             candidate.queued = load->waiting() + load->running();
             candidate.statementMs = load->work_ms();
         }
--- a/src/gateway/status_exchange.cpp
+++ b/src/gateway/status_exchange.cpp
@@ -20,7 +20,7 @@
         if (group.floors.isEmpty())
             continue;
         auto& newest = group.floors.floors.back();
-        bool isProven = now - group.provenAt <= kProofToldFor;
+        bool isProven = now - group.lastProofAt <= kProofToldFor;
         bool isHeard = withHeard && now - newest.coveredUntil <= kHeardToldFor;
         if (!isProven && !isHeard)
             continue;
--- a/tests/unit/comparison_test.cpp
+++ b/tests/unit/comparison_test.cpp
@@ -49,14 +49,14 @@
 
 BOOST_AUTO_TEST_CASE(either_start_time_or_sequence_may_show_an_older_process)
 {
-    BOOST_TEST(mayBeOlder({ 1000, 1 }, { 1001, 1 }));
-    BOOST_TEST(!mayBeOlder({ 1001, 1 }, { 1000, 1 }));
-    BOOST_TEST(!mayBeOlder({ 1000, 1 }, { 1000, 1 }));
-    BOOST_TEST(mayBeOlder({ 0, 40 }, { 0, 3 }));
-    BOOST_TEST(!mayBeOlder({ 0, 41 }, { 0, 40 })); // processes that started together count at different times
-    BOOST_TEST(!mayBeOlder({ 0, 43 }, { 0, 40 })); // a leave and two role changes also count
-    BOOST_TEST(mayBeOlder({ 5000, 40 }, { 1000, 3 })); // wrong clock
-    BOOST_TEST(mayBeOlder({ 0, 0 }, { 0, 0 })); // nothing is reported
+    BOOST_TEST(mayHaveStartedBefore({ 1000, 1 }, { 1001, 1 }));
+    BOOST_TEST(!mayHaveStartedBefore({ 1001, 1 }, { 1000, 1 }));
+    BOOST_TEST(!mayHaveStartedBefore({ 1000, 1 }, { 1000, 1 }));
+    BOOST_TEST(mayHaveStartedBefore({ 0, 40 }, { 0, 3 }));
+    BOOST_TEST(!mayHaveStartedBefore({ 0, 41 }, { 0, 40 })); // processes that started together count at different times
+    BOOST_TEST(!mayHaveStartedBefore({ 0, 43 }, { 0, 40 })); // a leave and two role changes also count
+    BOOST_TEST(mayHaveStartedBefore({ 5000, 40 }, { 1000, 3 })); // wrong clock
+    BOOST_TEST(mayHaveStartedBefore({ 0, 0 }, { 0, 0 })); // nothing is reported
 }
 
 // Guards against trusting a restarted primary because of a comparison with its previous process.
@@ -64,11 +64,11 @@
 {
     ClusterView view;
     links::RegisteredMember member { .id = "m", .group = "g", .address = "10.0.0.1:1", .dataCentre = "a", .slots = 2, .saysPrimary = true, .incarnation = { 1000, 1 } };
-    takeMember(view, member, 1, {}, kStart);
+    applyMember(view, member, 1, {}, kStart);
     view.groups["g"].wasCompared = true;
     BOOST_TEST(canTellLostLog(view.groups["g"]));
     member.incarnation = { 2000, 1 };
-    BOOST_TEST((takeMember(view, member, 2, {}, kStart) == MemberChange::StartedAgain));
+    BOOST_TEST((applyMember(view, member, 2, {}, kStart) == MemberChange::Restarted));
     BOOST_TEST(!canTellLostLog(view.groups["g"]));
 }
 
--- a/tests/unit/gateway_decisions_test.cpp
+++ b/tests/unit/gateway_decisions_test.cpp
@@ -179,7 +179,7 @@
     listed.id = "m";
     listed.group = "g";
     listed.dataCentre = "a";
-    takeMember(view, listed, 1, {}, {});
+    applyMember(view, listed, 1, {}, {});
     auto& member = view.members.at("m");
     auto before = getCarriers(view, member);
     BOOST_REQUIRE(before.size() == 3u);
@@ -211,7 +211,7 @@
             dropHost(view, name);
     }
     listed.dataCentre = "b"; // another process may register under the same id
-    takeMember(view, listed, 1, {}, {});
+    applyMember(view, listed, 1, {}, {});
     BOOST_TEST(getCarriers(view, member)[0] == "b1");
     BOOST_TEST(getRankedHosts(view, "g").size() == 3u);
 }
--- a/tests/unit/lead_terms_test.cpp
+++ b/tests/unit/lead_terms_test.cpp
@@ -91,13 +91,13 @@
     auto& group = view.groups["g"];
     applyProvenPrimary(group, "m", 2, kStart, ProofRecipient::ThisHost);
     group.floors = decisions::addFloor({}, { { 2, 50 }, kStart });
-    group.provenAt = kStart;
+    group.lastProofAt = kStart;
     applyOrderedPrimary(group, "n", 3, kStart);
     peer::Pong wire;
     writeGroups(wire, view, false, kStart + milliseconds(500));
     BOOST_TEST(wire.leads_size() == 1);
     BOOST_TEST((findLeadTimes(wire, kStart).at(0) == std::nullopt)); // reported without proof
-    group.provenAt = group.pendingUntil;
+    group.lastProofAt = group.pendingUntil;
     peer::Pong later;
     writeGroups(later, view, false, group.pendingUntil);
     BOOST_TEST(later.leads_size() == 0);
@@ -108,7 +108,7 @@
     ClusterView view;
     for (auto* name : { "f", "g", "h" }) {
         view.groups[name].floors = decisions::addFloor({}, { { 2, 50 }, kStart - milliseconds(200) });
-        view.groups[name].provenAt = kStart;
+        view.groups[name].lastProofAt = kStart;
     }
     view.groups["f"].primary = { "m", 2, true };
     view.groups["g"].primary = { "n", 3, false }; // assumed from a new order
--- a/tests/unit/member_exchange_test.cpp
+++ b/tests/unit/member_exchange_test.cpp
@@ -19,12 +19,12 @@
 {
     for (auto& it : answer.members()) {
         if (it.is_unlisted())
-            takeMemberGone(view, it.id(), it.revision(), sentAt);
+            markMemberUnlisted(view, it.id(), it.revision(), sentAt);
         else
-            takeMember(view, readMember(it), it.revision(), sentAt - milliseconds(it.leaving_ms()), kStart);
+            applyMember(view, readMember(it), it.revision(), sentAt - milliseconds(it.leaving_ms()), kStart);
     }
     for (auto& id : findMissing(answer, view))
-        takeMemberGone(view, id, answer.revision(), sentAt);
+        markMemberUnlisted(view, id, answer.revision(), sentAt);
 }
 
 }
@@ -56,35 +56,35 @@
 BOOST_AUTO_TEST_CASE(only_changes_since_the_known_revision_are_sent_with_their_age)
 {
     ClusterView upToDate;
-    takeMember(upToDate, makeMember("old"), 5, {}, kStart);
-    takeMember(upToDate, makeMember("leaves", true), 12, kStart, kStart);
+    applyMember(upToDate, makeMember("old"), 5, {}, kStart);
+    applyMember(upToDate, makeMember("leaves", true), 12, kStart, kStart);
     peer::MembersAnswer answer;
     writeMembers(answer, upToDate, 5, kStart + milliseconds(3000));
     BOOST_REQUIRE(answer.members_size() == 1);
     BOOST_TEST(answer.members(0).id() == "leaves");
     ClusterView outdated;
-    takeMember(outdated, makeMember("old"), 5, {}, kStart);
-    takeMember(outdated, makeMember("leaves"), 4, {}, kStart);
+    applyMember(outdated, makeMember("old"), 5, {}, kStart);
+    applyMember(outdated, makeMember("leaves"), 4, {}, kStart);
     applyAnswer(outdated, answer, kStart + milliseconds(3000));
     BOOST_TEST((outdated.members.at("leaves").leavingSince == kStart)); // not since the answer arrived
-    BOOST_TEST((outdated.members.at("leaves").listed == upToDate.members.at("leaves").listed));
+    BOOST_TEST((outdated.members.at("leaves").registration == upToDate.members.at("leaves").registration));
     BOOST_TEST(outdated.membersRevision == 12u);
 }
 
 BOOST_AUTO_TEST_CASE(changes_with_an_older_revision_are_ignored)
 {
     ClusterView view;
-    BOOST_TEST((takeMember(view, makeMember("m", true), 9, kStart, kStart) == MemberChange::Taken));
-    BOOST_TEST((takeMember(view, makeMember("m"), 8, kStart, kStart) == MemberChange::Outdated));
-    BOOST_TEST(view.members.at("m").listed.isLeaving);
-    BOOST_TEST(!takeMemberGone(view, "m", 8, kStart));
+    BOOST_TEST((applyMember(view, makeMember("m", true), 9, kStart, kStart) == MemberChange::Applied));
+    BOOST_TEST((applyMember(view, makeMember("m"), 8, kStart, kStart) == MemberChange::Outdated));
+    BOOST_TEST(view.members.at("m").registration.isLeaving);
+    BOOST_TEST(!markMemberUnlisted(view, "m", 8, kStart));
     BOOST_TEST(!view.members.at("m").unlistedAt.has_value());
-    BOOST_TEST(takeMemberGone(view, "m", 10, kStart));
-    BOOST_TEST((takeMember(view, makeMember("m"), 9, kStart, kStart) == MemberChange::Outdated)); // the watch delivers missed changes in order
+    BOOST_TEST(markMemberUnlisted(view, "m", 10, kStart));
+    BOOST_TEST((applyMember(view, makeMember("m"), 9, kStart, kStart) == MemberChange::Outdated)); // the watch delivers missed changes in order
     BOOST_TEST(view.members.at("m").unlistedAt.has_value());
-    BOOST_TEST((takeMember(view, makeMember("m"), 11, kStart, kStart) == MemberChange::Taken));
+    BOOST_TEST((applyMember(view, makeMember("m"), 11, kStart, kStart) == MemberChange::Applied));
     BOOST_TEST(!view.members.at("m").unlistedAt.has_value());
-    BOOST_TEST(!takeMemberGone(view, "nobody", 99, kStart));
+    BOOST_TEST(!markMemberUnlisted(view, "nobody", 99, kStart));
 }
 
 BOOST_AUTO_TEST_CASE(forgotten_members_are_detected_by_their_absence_from_a_whole_answer)
@@ -92,11 +92,11 @@
     ClusterView upToDate;
     ClusterView outdated;
     for (auto* view : { &upToDate, &outdated }) {
-        takeMember(*view, makeMember("a"), 1, {}, kStart);
-        takeMember(*view, makeMember("b"), 2, {}, kStart);
+        applyMember(*view, makeMember("a"), 1, {}, kStart);
+        applyMember(*view, makeMember("b"), 2, {}, kStart);
     }
-    takeMemberGone(upToDate, "a", 7, kStart);
-    BOOST_REQUIRE(forgetMembers(upToDate, milliseconds(4000), kStart + milliseconds(5000)).size() == 1);
+    markMemberUnlisted(upToDate, "a", 7, kStart);
+    BOOST_REQUIRE(removeUnlistedMembers(upToDate, milliseconds(4000), kStart + milliseconds(5000)).size() == 1);
     peer::MembersAnswer answer;
     writeMembers(answer, upToDate, outdated.membersRevision, kStart + milliseconds(5000));
     BOOST_TEST(answer.is_whole());
--- a/tests/unit/member_life_test.cpp
+++ b/tests/unit/member_life_test.cpp
@@ -20,59 +20,59 @@
 
 BOOST_AUTO_TEST_CASE(a_different_start_time_is_another_incarnation_whichever_is_later)
 {
-    BOOST_TEST(!isOtherLife({ 1000, 5 }, { 1000, 9 }));
-    BOOST_TEST(isOtherLife({ 1000, 5 }, { 2000, 6 }));
-    BOOST_TEST(isOtherLife({ 2000, 5 }, { 1000, 6 })); // the member's clock was set back
-    BOOST_TEST(isOtherLife({ 1000, 5 }, { 4102444800000, 6 })); // or is years ahead: start times are compared for equality only
-    BOOST_TEST(!isOtherLife({ 1000, 9 }, { 1000, 1 })); // an equal start time takes precedence over the sequence
+    BOOST_TEST(!isDifferentIncarnation({ 1000, 5 }, { 1000, 9 }));
+    BOOST_TEST(isDifferentIncarnation({ 1000, 5 }, { 2000, 6 }));
+    BOOST_TEST(isDifferentIncarnation({ 2000, 5 }, { 1000, 6 })); // the member's clock was set back
+    BOOST_TEST(isDifferentIncarnation({ 1000, 5 }, { 4102444800000, 6 })); // or is years ahead: start times are compared for equality only
+    BOOST_TEST(!isDifferentIncarnation({ 1000, 9 }, { 1000, 1 })); // an equal start time takes precedence over the sequence
 }
 
 BOOST_AUTO_TEST_CASE(without_a_start_time_a_lower_sequence_is_another_incarnation)
 {
-    BOOST_TEST(isOtherLife({ 0, 9 }, { 0, 1 }));
-    BOOST_TEST(!isOtherLife({ 0, 9 }, { 0, 9 }));
-    BOOST_TEST(!isOtherLife({ 0, 9 }, { 0, 40 }));
-    BOOST_TEST(isOtherLife({ 1000, 9 }, { 0, 1 }));
-    BOOST_TEST(!isOtherLife({ 1000, 9 }, { 0, 10 })); // the start time is missing, but the sequence does not indicate a restart
+    BOOST_TEST(isDifferentIncarnation({ 0, 9 }, { 0, 1 }));
+    BOOST_TEST(!isDifferentIncarnation({ 0, 9 }, { 0, 9 }));
+    BOOST_TEST(!isDifferentIncarnation({ 0, 9 }, { 0, 40 }));
+    BOOST_TEST(isDifferentIncarnation({ 1000, 9 }, { 0, 1 }));
+    BOOST_TEST(!isDifferentIncarnation({ 1000, 9 }, { 0, 10 })); // the start time is missing, but the sequence does not indicate a restart
 }
 
 BOOST_AUTO_TEST_CASE(observations_of_the_previous_incarnation_are_discarded)
 {
     ClusterView view;
-    BOOST_TEST((takeMember(view, makeMember(1000, 1, true), 1, {}, kStart) == MemberChange::Taken));
+    BOOST_TEST((applyMember(view, makeMember(1000, 1, true), 1, {}, kStart) == MemberChange::Applied));
     auto& group = view.groups["g"];
     auto& member = view.members.at("m");
     BOOST_TEST(group.primary.member == "m");
     member.progress = decisions::applyPosition(member.progress, { 3, 70 }, kStart);
-    member.troubleAt = kStart;
+    member.lastFailureAt = kStart;
     member.leavingSince = kStart;
     auto now = kStart + milliseconds(1000);
-    BOOST_TEST((takeMember(view, makeMember(2000, 1, true), 2, {}, now) == MemberChange::StartedAgain));
+    BOOST_TEST((applyMember(view, makeMember(2000, 1, true), 2, {}, now) == MemberChange::Restarted));
     BOOST_TEST(group.primary.member.empty()); // although the member reports to be primary
-    BOOST_TEST(mustShow(member));
+    BOOST_TEST(mustReportPosition(member));
     BOOST_TEST(!member.leavingSince.has_value());
-    BOOST_TEST((member.troubleAt == TimePoint {}));
+    BOOST_TEST((member.lastFailureAt == TimePoint {}));
     // A late observation of the previous process has no effect.
     member.progress = decisions::applyPosition(member.progress, { 3, 71 }, now - milliseconds(1));
-    BOOST_TEST(mustShow(member));
+    BOOST_TEST(mustReportPosition(member));
     member.progress = decisions::applyPosition(member.progress, { 3, 2 }, now + milliseconds(1));
-    BOOST_TEST(!mustShow(member));
-    BOOST_TEST((takeMember(view, makeMember(1000, 9), 1, {}, now) == MemberChange::Outdated)); // the old entry arrives late
+    BOOST_TEST(!mustReportPosition(member));
+    BOOST_TEST((applyMember(view, makeMember(1000, 9), 1, {}, now) == MemberChange::Outdated)); // the old entry arrives late
 }
 
 // Guards against a crash: an id left in two groups and forgotten in one made the lookup by id fail.
 BOOST_AUTO_TEST_CASE(a_member_that_moves_to_another_group_leaves_the_previous_one)
 {
     ClusterView view;
-    takeMember(view, makeMember(1000, 1, true), 1, {}, kStart);
+    applyMember(view, makeMember(1000, 1, true), 1, {}, kStart);
     auto moved = makeMember(1000, 2);
     moved.group = "other";
-    BOOST_TEST((takeMember(view, moved, 2, {}, kStart) == MemberChange::StartedAgain));
+    BOOST_TEST((applyMember(view, moved, 2, {}, kStart) == MemberChange::Restarted));
     BOOST_TEST(view.groups["g"].members.empty());
     BOOST_TEST(view.groups["g"].primary.member.empty());
     BOOST_TEST(view.groups["other"].members == std::vector<std::string> { "m" });
-    takeMemberGone(view, "m", 3, kStart);
-    forgetMembers(view, milliseconds(100), kStart + milliseconds(200));
+    markMemberUnlisted(view, "m", 3, kStart);
+    removeUnlistedMembers(view, milliseconds(100), kStart + milliseconds(200));
     for (auto& [name, group] : view.groups)
         BOOST_TEST(group.members.empty(), name);
 }
--- a/tests/unit/relaying_test.cpp
+++ b/tests/unit/relaying_test.cpp
@@ -33,7 +33,7 @@
             member.id = fmt::format("m{}", i);
             member.group = fmt::format("g{}", i / 3);
             member.dataCentre = fmt::format("dc{}", i % kDataCentres);
-            takeMember(view, member, 1, {}, {});
+            applyMember(view, member, 1, {}, {});
         }
     }
 
@@ -202,7 +202,7 @@
         auto& group = view.groups["g"];
         group.primary = { "m", 3, true };
         group.floors = decisions::addFloor({}, { { 3, 70 }, TimePoint(askedAt + offset) });
-        group.provenAt = TimePoint(now + offset);
+        group.lastProofAt = TimePoint(now + offset);
         bool isFirst = true;
         for (int hop = 0; hop < 3; ++hop) {
             now += any(900);
