--- a/src/gateway/cluster_view.cpp
+++ b/src/gateway/cluster_view.cpp
@@ -146,9 +146,9 @@
     return isUnknown || hasEarlierStart || incarnation.sequence > other.sequence + kMaxSequenceSkew;
 }
 
-Mark getKnownMark(const GroupView& group)
+Mark getNewestKnownMark(const GroupView& group)
 {
-    return group.floors.isEmpty() ? group.heldByReplicas : std::max(group.heldByReplicas, group.floors.floors.back().mark);
+    return group.floors.isEmpty() ? group.newestReplicaMark : std::max(group.newestReplicaMark, group.floors.floors.back().mark);
 }
 
 // Addresses and rankings go by id; all that was seen of the process goes with it. Floors are the group's: what was acknowledged stays so.
@@ -156,7 +156,7 @@
 {
     auto& group = view.groups[member.registration.group];
     group.primary = decisions::applyPrimaryDenial(group.primary, member.registration.id);
-    group.wasCompared = false; // with the process of before
+    group.wasComparedWithReplicas = false; // with the process of before
     member.leavingSince.reset();
     member.lastFailureAt = {};
     member.lastAnswerAt = {};
--- a/src/gateway/cluster_view.h
+++ b/src/gateway/cluster_view.h
@@ -33,11 +33,11 @@
     TimePoint lastProofAt {}; // when the primary last showed this host itself that it leads
     decisions::KnownPrimary lastRejectedProof {}; // the last one that was not believed, as logged
     std::vector<std::string> members {}; // ids
-    bool isComparing { false }; // its replicas are being asked what they hold
-    bool wasCompared { false }; // enough of them have answered
-    bool lacksAnswers { false }; // too few did, the last time: the primary is not believed
-    TimePoint comparedAt {}; // when they were last asked
-    Mark heldByReplicas {}; // the most that any of them said to hold
+    bool isQueryingReplicas { false }; // its replicas are being asked what they hold
+    bool wasComparedWithReplicas { false }; // enough of them have answered
+    bool lacksReplicaAnswers { false }; // too few did, the last time: the primary is not believed
+    TimePoint replicasQueriedAt {}; // when they were last asked
+    Mark newestReplicaMark {}; // the most that any of them said to hold
 };
 
 // Hosts in the order in which they are asked, kept between uses. See getCarriers() and getRankedHosts().
@@ -114,9 +114,9 @@
 // Whether the first of two members' processes may have started before the second, by what either of them says.
 bool mayHaveStartedBefore(const links::MemberIncarnation& incarnation, const links::MemberIncarnation& other);
 // The newest floor, or what a replica holds. A primary that is asked from now on holds it, or has lost its log.
-Mark getKnownMark(const GroupView& group);
+Mark getNewestKnownMark(const GroupView& group);
 // Whether that can be told: a host that has just started knows no floor, and a primary that started again with nothing would be believed.
-inline bool canTellLostLog(const GroupView& group) { return !group.floors.isEmpty() || group.wasCompared; }
+inline bool canDetectLostLog(const GroupView& group) { return !group.floors.isEmpty() || group.wasComparedWithReplicas; }
 bool markMemberUnlisted(ClusterView& view, const std::string& id, uint64_t revision, TimePoint now);
 // Forgets members that were unlisted for longer than `keep`. Returns their ids.
 std::vector<std::string> removeUnlistedMembers(ClusterView& view, milliseconds keep, TimePoint now);
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -191,7 +191,7 @@
 PoolObserver Gateway::makeObserver()
 {
     PoolObserver observer;
-    observer.getKnown = [this](const TargetAddress& target) { return getKnownMark(m_view.groups[target.group]); };
+    observer.getKnown = [this](const TargetAddress& target) { return getNewestKnownMark(m_view.groups[target.group]); };
     observer.onLostLog = [this](const TargetAddress& target, const Mark& position) {
         base::logEvent(LogClass::State, "primary-lost-log", { { "group", std::string_view(target.group) }, { "member", std::string_view(target.member) }, { "term", static_cast<int64_t>(position.term) }, { "position", static_cast<int64_t>(position.position) } });
         takeLead(target.group, decisions::applyPrimaryDenial(m_view.groups[target.group].primary, target.member), "denied");
--- a/src/gateway/gateway_leads.cpp
+++ b/src/gateway/gateway_leads.cpp
@@ -24,12 +24,12 @@
 {
     auto& group = m_view.groups[target.group];
     bool isKnown = m_view.members.contains(target.member);
-    if (!isKnown || group.primary.member != target.member || canTellLostLog(group))
+    if (!isKnown || group.primary.member != target.member || canDetectLostLog(group))
         return Comparison::NotNeeded;
     compareWithReplicas(target.group);
-    if (canTellLostLog(group))
+    if (canDetectLostLog(group))
         return Comparison::NotNeeded;
-    return group.lacksAnswers ? Comparison::LacksAnswers : Comparison::UnderWay;
+    return group.lacksReplicaAnswers ? Comparison::LacksAnswers : Comparison::UnderWay;
 }
 
 // A host that has just started knows no floor, and would take the word of a primary that started again with nothing. Replicas of its term hold nothing
@@ -39,10 +39,10 @@
 {
     auto now = Clock::now();
     auto& group = m_view.groups[name];
-    if (group.isComparing || now - group.comparedAt < kCompareInterval)
+    if (group.isQueryingReplicas || now - group.replicasQueriedAt < kCompareInterval)
         return;
-    group.isComparing = true;
-    group.comparedAt = now;
+    group.isQueryingReplicas = true;
+    group.replicasQueriedAt = now;
     auto& primary = m_view.members.at(group.primary.member).registration;
     auto round = std::make_shared<ComparisonRound>(ComparisonRound { name, primary.id, primary.incarnation });
     std::vector<TargetAddress> targets;
@@ -62,7 +62,7 @@
             auto& group = m_view.groups[round->group];
             round->replicas[i].hasAnswered = report.status.term != 0;
             if (report.status.term != 0)
-                group.heldByReplicas = std::max(group.heldByReplicas, report.status.received);
+                group.newestReplicaMark = std::max(group.newestReplicaMark, report.status.received);
             if (--round->left == 0)
                 endComparison(*round);
         });
@@ -72,19 +72,19 @@
 void Gateway::endComparison(const ComparisonRound& round)
 {
     auto& group = m_view.groups[round.group];
-    group.isComparing = false;
+    group.isQueryingReplicas = false;
     m_view.isPlacementDue = true;
     auto primary = m_view.members.find(round.primary);
     bool isSame = primary != m_view.members.end() && group.primary.member == round.primary && !isDifferentIncarnation(round.life, primary->second.registration.incarnation);
     if (!isSame) { // it is compared anew, if need be
-        group.comparedAt = {};
+        group.replicasQueriedAt = {};
         return;
     }
-    group.wasCompared = decisions::canTrustPrimary(round.replicas);
-    group.lacksAnswers = !group.wasCompared;
+    group.wasComparedWithReplicas = decisions::canTrustPrimary(round.replicas);
+    group.lacksReplicaAnswers = !group.wasComparedWithReplicas;
     auto answered = std::ranges::count_if(round.replicas, &decisions::QueriedReplica::hasAnswered);
     auto older = std::ranges::count_if(round.replicas, &decisions::QueriedReplica::mayPredatePrimary);
-    base::logEvent(LogClass::State, "replicas-compared", { { "group", std::string_view(round.group) }, { "member", std::string_view(round.primary) }, { "replicas", static_cast<int64_t>(round.replicas.size()) }, { "older", static_cast<int64_t>(older) }, { "answered", static_cast<int64_t>(answered) }, { "enough", group.wasCompared }, { "term", static_cast<int64_t>(group.heldByReplicas.term) }, { "position", static_cast<int64_t>(group.heldByReplicas.position) } });
+    base::logEvent(LogClass::State, "replicas-compared", { { "group", std::string_view(round.group) }, { "member", std::string_view(round.primary) }, { "replicas", static_cast<int64_t>(round.replicas.size()) }, { "older", static_cast<int64_t>(older) }, { "answered", static_cast<int64_t>(answered) }, { "enough", group.wasComparedWithReplicas }, { "term", static_cast<int64_t>(group.newestReplicaMark.term) }, { "position", static_cast<int64_t>(group.newestReplicaMark.position) } });
 }
 
 // A host that carries to a member which says that it leads finds out whether it does. Others prove the lead through this host only, so nobody would tell it.
@@ -93,7 +93,7 @@
     if (!member.registration.saysPrimary || !isCarrier(m_view, m_peers, getPlace(), member))
         return;
     member.primaryQueriedAt = Clock::now();
-    auto known = getKnownMark(m_view.groups[member.registration.group]);
+    auto known = getNewestKnownMark(m_view.groups[member.registration.group]);
     inquire(member.getTarget(), [this, id = member.registration.id, name = member.registration.group, known, askedAt = member.primaryQueriedAt](const StatusReport& report) {
         if (report.status.isPrimary && !decisions::hasLostLog(known, report.status.received))
             takeShown(name, id, report.status.term, askedAt, ProofRecipient::ThisHost);
@@ -141,8 +141,8 @@
     if (lead.member == before.member && lead.term == before.term)
         return;
     if (lead.member != before.member) { // another one was compared with its replicas
-        belief.wasCompared = false;
-        belief.lacksAnswers = false;
+        belief.wasComparedWithReplicas = false;
+        belief.lacksReplicaAnswers = false;
     }
     m_view.isPlacementDue = true;
     m_promoter.noteNewLead(group);
--- a/src/gateway/promoter_evidence.cpp
+++ b/src/gateway/promoter_evidence.cpp
@@ -82,7 +82,7 @@
 
 asio::awaitable<void> Promoter::examine(std::string witness, TargetAddress leader, std::shared_ptr<Examination> examination)
 {
-    auto known = getKnownMark(m_context.view.groups[leader.group]);
+    auto known = getNewestKnownMark(m_context.view.groups[leader.group]);
     auto finding = co_await ask(witness, leader);
     // One that has lost what it acknowledged is no primary to be reached.
     bool hasLost = finding.status.term != 0 && decisions::hasLostLog(known, finding.status.received);
@@ -133,7 +133,7 @@
 {
     bool isPromotable = isCandidate && !member.registration.isLeaving && !member.unlistedAt;
     auto target = member.getTarget();
-    auto known = getKnownMark(m_context.view.groups[target.group]);
+    auto known = getNewestKnownMark(m_context.view.groups[target.group]);
     auto finding = co_await ask(m_context.self.host, target);
     auto witnesses = chooseWitnesses(); // a path may be broken for this host only
     if (finding.status.term == 0 && !witnesses.empty()) {
--- a/tests/unit/comparison_test.cpp
+++ b/tests/unit/comparison_test.cpp
@@ -65,11 +65,11 @@
     ClusterView view;
     links::RegisteredMember member { .id = "m", .group = "g", .address = "10.0.0.1:1", .dataCentre = "a", .slots = 2, .saysPrimary = true, .incarnation = { 1000, 1 } };
     applyMember(view, member, 1, {}, kStart);
-    view.groups["g"].wasCompared = true;
-    BOOST_TEST(canTellLostLog(view.groups["g"]));
+    view.groups["g"].wasComparedWithReplicas = true;
+    BOOST_TEST(canDetectLostLog(view.groups["g"]));
     member.incarnation = { 2000, 1 };
     BOOST_TEST((applyMember(view, member, 2, {}, kStart) == MemberChange::Restarted));
-    BOOST_TEST(!canTellLostLog(view.groups["g"]));
+    BOOST_TEST(!canDetectLostLog(view.groups["g"]));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/unit/member_life_test.cpp
+++ b/tests/unit/member_life_test.cpp
@@ -80,9 +80,9 @@
 BOOST_AUTO_TEST_CASE(a_primary_whose_log_is_behind_its_acknowledged_writes_has_lost_its_log)
 {
     GroupView group;
-    BOOST_TEST(!decisions::hasLostLog(getKnownMark(group), { 1, 0 })); // no position is known
+    BOOST_TEST(!decisions::hasLostLog(getNewestKnownMark(group), { 1, 0 })); // no position is known
     group.floors = decisions::addFloor({}, { { 2, 50 }, kStart });
-    auto known = getKnownMark(group); // taken when the query is sent, so that reordered answers do not matter
+    auto known = getNewestKnownMark(group); // taken when the query is sent, so that reordered answers do not matter
     group.floors = decisions::addFloor(group.floors, { { 2, 60 }, kStart + milliseconds(500) });
     BOOST_TEST(decisions::hasLostLog(known, { 2, 49 }));
     BOOST_TEST(!decisions::hasLostLog(known, { 2, 50 }));
