--- a/src/gateway/cluster_view.cpp
+++ b/src/gateway/cluster_view.cpp
@@ -67,39 +67,39 @@
 }
 
 // The order of decisions::rankForwarders().
-static void insertHost(const ClusterView& view, const std::string& key, Ranking& ranking, const std::string& host)
+static void insertHost(const ClusterView& view, const std::string& key, HostRanking& ranking, const std::string& host)
 {
     auto rank = [&](const std::string& name) { return std::tuple(view.hosts.at(name).dataCentre == ranking.dataCentre, decisions::getHostWeight(key, name), name); };
     auto own = rank(host);
-    auto place = std::ranges::partition_point(ranking.hosts, [&](const std::string& it) { return rank(it) > own; });
-    ranking.hosts.insert(place, host);
+    auto position = std::ranges::partition_point(ranking.hosts, [&](const std::string& it) { return rank(it) > own; });
+    ranking.hosts.insert(position, host);
 }
 
-void takeHost(ClusterView& view, const links::RegisteredHost& host)
+void updateHost(ClusterView& view, const links::RegisteredHost& host)
 {
     auto known = view.hosts.find(host.name);
-    bool isMoved = known != view.hosts.end() && known->second.dataCentre != host.dataCentre;
-    if (isMoved)
-        dropHost(view, host.name);
-    bool isNew = known == view.hosts.end() || isMoved;
+    bool hasMoved = known != view.hosts.end() && known->second.dataCentre != host.dataCentre;
+    if (hasMoved)
+        removeHost(view, host.name);
+    bool isNew = known == view.hosts.end() || hasMoved;
     view.hosts[host.name] = host;
-    // Put into each ranking at its place: ranking all hosts anew for all members takes longer than hosts take to come.
+    // Put into each ranking at its position: ranking all hosts anew for all members takes longer than hosts take to come.
     for (auto& [key, ranking] : view.rankings) {
         if (isNew)
             insertHost(view, key, ranking, host.name);
     }
 }
 
-void dropHost(ClusterView& view, const std::string& name)
+void removeHost(ClusterView& view, const std::string& name)
 {
     view.hosts.erase(name);
     for (auto& [key, ranking] : view.rankings)
         std::erase(ranking.hosts, name);
 }
 
-static const std::vector<std::string>& getRanked(ClusterView& view, const std::string& key, const std::string& dataCentre)
+static const std::vector<std::string>& getHostRanking(ClusterView& view, const std::string& key, const std::string& dataCentre)
 {
-    auto [it, isNew] = view.rankings.try_emplace(key, Ranking { dataCentre });
+    auto [it, isNew] = view.rankings.try_emplace(key, HostRanking { dataCentre });
     if (isNew) {
         std::vector<decisions::ForwarderHost> hosts;
         for (auto& [name, host] : view.hosts)
@@ -109,24 +109,24 @@
     return it->second.hosts;
 }
 
-const std::vector<std::string>& getCarriers(ClusterView& view, const MemberView& member)
+const std::vector<std::string>& getForwarders(ClusterView& view, const MemberView& member)
 {
-    return getRanked(view, member.registration.id, member.registration.dataCentre);
+    return getHostRanking(view, member.registration.id, member.registration.dataCentre);
 }
 
 const std::vector<std::string>& getRankedHosts(ClusterView& view, const std::string& group)
 {
-    return getRanked(view, group, "");
+    return getHostRanking(view, group, "");
 }
 
 const std::vector<std::string>& getRelayOrder(ClusterView& view, const std::string& dataCentre)
 {
-    return getRanked(view, "watchers of " + dataCentre, dataCentre);
+    return getHostRanking(view, "watchers of " + dataCentre, dataCentre);
 }
 
 const std::vector<std::string>& getNeighbours(ClusterView& view, const std::string& self)
 {
-    return getRanked(view, "neighbours of " + self, "");
+    return getHostRanking(view, "neighbours of " + self, "");
 }
 
 bool isDifferentIncarnation(const links::MemberIncarnation& before, const links::MemberIncarnation& now)
--- a/src/gateway/cluster_view.h
+++ b/src/gateway/cluster_view.h
@@ -41,7 +41,7 @@
 };
 
 // Hosts in the order in which they are asked, kept between uses. See getCarriers() and getRankedHosts().
-struct Ranking {
+struct HostRanking {
     std::string dataCentre {}; // whose hosts come first; empty: none
     std::vector<std::string> hosts {};
 };
@@ -50,8 +50,8 @@
     links::GatewayConfiguration configuration {};
     std::map<std::string, MemberView> members {}; // by id
     std::map<std::string, GroupView> groups {};
-    std::map<std::string, links::RegisteredHost> hosts {}; // by name, this one included; changed through takeHost() and dropHost()
-    std::map<std::string, Ranking> rankings {}; // by member or group
+    std::map<std::string, links::RegisteredHost> hosts {}; // by name, this one included; changed through updateHost() and removeHost()
+    std::map<std::string, HostRanking> rankings {}; // by member or group
     bool hasMembers { false }; // the list of members was read at least once
     bool isPlacementDue { true }; // who leads, or what there is, has changed since this host last looked what it carries
     uint64_t membersRevision { 0 }; // of the newest change of a member that is known
@@ -86,12 +86,12 @@
 
 inline constexpr milliseconds kPromotionGracePeriod { 1500 }; // the platform names some hundred ms; the slowest site that was seen takes 1,000
 
-void takeHost(ClusterView& view, const links::RegisteredHost& host);
-void dropHost(ClusterView& view, const std::string& name);
+void updateHost(ClusterView& view, const links::RegisteredHost& host);
+void removeHost(ClusterView& view, const std::string& name);
 
 // All hosts in the order in which they are asked to carry to a member, be they up or not: that differs from moment to moment, the
 // order only when a host comes or goes. Statements ask for it, so it is kept.
-const std::vector<std::string>& getCarriers(ClusterView& view, const MemberView& member);
+const std::vector<std::string>& getForwarders(ClusterView& view, const MemberView& member);
 // All hosts in the order in which they are asked to be in charge of a group.
 const std::vector<std::string>& getRankedHosts(ClusterView& view, const std::string& group);
 
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -57,7 +57,7 @@
 tl::expected<void, std::string> Gateway::begin()
 {
     m_startedAt = Clock::now();
-    takeHost(m_view, m_self);
+    updateHost(m_view, m_self);
     if (auto listening = m_peers.listen(m_settings.peerAddress); !listening)
         return listening;
     if (auto listening = links::listenOn(m_acceptor, m_settings.callerAddress); !listening)
@@ -399,7 +399,7 @@
         if (host.name == m_self.name)
             return;
         m_hostsGoneAt.erase(host.name);
-        takeHost(m_view, host);
+        updateHost(m_view, host);
         m_hostsDue = true;
     };
     events.onHostGone = [this](const std::string& name) {
@@ -434,7 +434,7 @@
         if (m_peers.isAnswering(name) || (now - since < kListedAgain && m_peers.isUp(name)))
             continue;
         m_hostsGoneAt.erase(name);
-        dropHost(m_view, name);
+        removeHost(m_view, name);
         m_hostsDue = true;
     }
     if (m_hostsDue)
--- a/src/gateway/partners.cpp
+++ b/src/gateway/partners.cpp
@@ -86,7 +86,7 @@
     for (auto& name : orders.orderers)
         addPartner(partners, name, { quiet });
     for (auto& [id, member] : view.members) {
-        auto& ranked = getCarriers(view, member);
+        auto& ranked = getForwarders(view, member);
         if (asksCarriers)
             addCarriers(partners, ranked, peers, self.name, intervals.forwarders);
         else if (orders.groups.contains(member.registration.group))
@@ -112,7 +112,7 @@
 
 bool isCarrier(ClusterView& view, const Peers& peers, const HostPlace& self, const MemberView& member)
 {
-    auto& ranked = getCarriers(view, member);
+    auto& ranked = getForwarders(view, member);
     auto first = std::ranges::find_if(ranked, [&](const std::string& name) { return name == self.name ? !self.isDraining : peers.isUsable(name); });
     return first != ranked.end() && *first == self.name;
 }
--- a/src/gateway/promoter_evidence.cpp
+++ b/src/gateway/promoter_evidence.cpp
@@ -101,7 +101,7 @@
     auto witnesses = chooseWitnesses();
     // Those that carry to it, in their order, know it best.
     auto member = m_context.view.members.find(leader.member);
-    auto carriers = member == m_context.view.members.end() ? std::vector<std::string>() : getCarriers(m_context.view, member->second);
+    auto carriers = member == m_context.view.members.end() ? std::vector<std::string>() : getForwarders(m_context.view, member->second);
     for (auto& name : carriers) {
         bool isIn = name == m_context.self.host || std::ranges::find(witnesses, name) != witnesses.end();
         if (!isIn && m_context.peers.isUp(name) && witnesses.size() < kWitnesses)
--- a/src/gateway/statement_router.cpp
+++ b/src/gateway/statement_router.cpp
@@ -53,7 +53,7 @@
 
 std::string StatementRouter::chooseCarrier(const MemberView& member) const
 {
-    auto& ranked = getCarriers(m_context.view, member);
+    auto& ranked = getForwarders(m_context.view, member);
     auto first = std::ranges::find_if(ranked, [&](const std::string& host) { return mayCarry(host, member); });
     return first == ranked.end() ? m_context.name : *first;
 }
--- a/tests/unit/gateway_decisions_test.cpp
+++ b/tests/unit/gateway_decisions_test.cpp
@@ -174,45 +174,45 @@
 {
     gateway::ClusterView view;
     for (auto* name : { "a1", "a2", "b1" })
-        takeHost(view, { name, "", std::string(name).substr(0, 1), 1 });
+        updateHost(view, { name, "", std::string(name).substr(0, 1), 1 });
     links::RegisteredMember listed;
     listed.id = "m";
     listed.group = "g";
     listed.dataCentre = "a";
     applyMember(view, listed, 1, {}, {});
     auto& member = view.members.at("m");
-    auto before = getCarriers(view, member);
+    auto before = getForwarders(view, member);
     BOOST_REQUIRE(before.size() == 3u);
     BOOST_TEST(before[2] == "b1");
-    dropHost(view, before[0]);
-    BOOST_TEST(getCarriers(view, member)[0] == before[1]);
-    takeHost(view, { before[0], "", "a", 2 });
-    BOOST_TEST((getCarriers(view, member) == before));
-    takeHost(view, { before[0], "", "a", 3 }); // restarted
-    BOOST_TEST((getCarriers(view, member) == before));
-    takeHost(view, { before[0], "", "c", 4 }); // moved to another data centre
-    BOOST_TEST(getCarriers(view, member)[0] == before[1]);
-    takeHost(view, { before[0], "", "a", 5 });
+    removeHost(view, before[0]);
+    BOOST_TEST(getForwarders(view, member)[0] == before[1]);
+    updateHost(view, { before[0], "", "a", 2 });
+    BOOST_TEST((getForwarders(view, member) == before));
+    updateHost(view, { before[0], "", "a", 3 }); // restarted
+    BOOST_TEST((getForwarders(view, member) == before));
+    updateHost(view, { before[0], "", "c", 4 }); // moved to another data centre
+    BOOST_TEST(getForwarders(view, member)[0] == before[1]);
+    updateHost(view, { before[0], "", "a", 5 });
     // After any sequence of changes, cached rankings equal newly computed ones.
     for (int i = 0; i < 300; ++i) {
         auto name = "h" + std::to_string(i * 7 % 40);
         if (view.hosts.contains(name) && i % 3 == 0)
-            dropHost(view, name);
+            removeHost(view, name);
         else
-            takeHost(view, { name, "", i % 2 == 0 ? "a" : "b", static_cast<uint64_t>(i) });
-        auto kept = getCarriers(view, member);
+            updateHost(view, { name, "", i % 2 == 0 ? "a" : "b", static_cast<uint64_t>(i) });
+        auto kept = getForwarders(view, member);
         auto keptForGroup = getRankedHosts(view, "g");
         view.rankings.clear();
-        BOOST_REQUIRE((getCarriers(view, member) == kept));
+        BOOST_REQUIRE((getForwarders(view, member) == kept));
         BOOST_REQUIRE((getRankedHosts(view, "g") == keptForGroup));
     }
     for (auto& [name, host] : std::map(view.hosts)) {
         if (name.starts_with("h"))
-            dropHost(view, name);
+            removeHost(view, name);
     }
     listed.dataCentre = "b"; // another process may register under the same id
     applyMember(view, listed, 1, {}, {});
-    BOOST_TEST(getCarriers(view, member)[0] == "b1");
+    BOOST_TEST(getForwarders(view, member)[0] == "b1");
     BOOST_TEST(getRankedHosts(view, "g").size() == 3u);
 }
 
--- a/tests/unit/relaying_test.cpp
+++ b/tests/unit/relaying_test.cpp
@@ -26,7 +26,7 @@
     {
         for (size_t i = 0; i < hostCount; ++i) {
             hosts.push_back({ fmt::format("h{}", i), "127.0.0.1:1", fmt::format("dc{}", i % kDataCentres), 1 });
-            takeHost(view, hosts.back());
+            updateHost(view, hosts.back());
         }
         for (size_t i = 0; i < groups * 3; ++i) {
             links::RegisteredMember member;
@@ -106,7 +106,7 @@
             BOOST_TEST(own.at(relay).isRelay);
             tellLoads += own.at(relay).tellsLoads ? 1 : 0;
             for (auto& [id, member] : fleet.view.members) {
-                auto& carrier = getCarriers(fleet.view, member).front();
+                auto& carrier = getForwarders(fleet.view, member).front();
                 BOOST_REQUIRE((carrier == relay || chosen.at(relay).contains(carrier)));
             }
         }
@@ -137,7 +137,7 @@
         ++self;
     auto asked = fleet.choose(self, {}, true);
     for (auto& [id, member] : fleet.view.members) {
-        auto& carrier = getCarriers(fleet.view, member).front();
+        auto& carrier = getForwarders(fleet.view, member).front();
         BOOST_TEST((carrier == fleet.hosts[self].name || asked.contains(carrier)));
     }
 }
@@ -152,7 +152,7 @@
     auto partners = fleet.choose(self, { { "h7", "h8" }, { "g3" } });
     BOOST_TEST(partners.contains("h7"));
     for (auto& id : fleet.view.groups.at("g3").members) {
-        auto& carrier = getCarriers(fleet.view, fleet.view.members.at(id)).front();
+        auto& carrier = getForwarders(fleet.view, fleet.view.members.at(id)).front();
         BOOST_TEST((carrier == fleet.hosts[self].name || partners.contains(carrier)));
     }
     BOOST_TEST(partners.size() >= 20u);
