--- a/src/gateway/directory.cpp
+++ b/src/gateway/directory.cpp
@@ -26,14 +26,14 @@
 static constexpr milliseconds kStartCallLimit { 400 }; // ten times an answer from another region, and more than a slow store's 60 times 4 ms
 static constexpr milliseconds kProbeWait { 300 }; // of a watch that is to show whether the store is in reach: a host without it leaves its tasks to others
 static constexpr unsigned kStartShortCalls = 2; // in a row, then one with the whole limit: a store may be slower than that
-static constexpr milliseconds kRelayKnownIn { 100 }; // a host that has read the store chooses its relays within this; then it needs no watch of its own
-static constexpr milliseconds kToldFor { 1500 }; // a host that a relay tells all changes reads the store itself after this long without word
+static constexpr milliseconds kRelaySelectionDelay { 100 }; // a host that has read the store chooses its relays within this; then it needs no watch of its own
+static constexpr milliseconds kRelayTimeout { 1500 }; // a host that a relay tells all changes reads the store itself after this long without word
 static constexpr milliseconds kLostPause { 6000 }; // spread by half: relays say within an exchange that the store is back, this is for when they cannot
 static constexpr unsigned kSpreadFailures = 3; // the pause after so many is half a second to a second and a half
-static constexpr milliseconds kToldCheck { 100 }; // between two looks whether that is so
+static constexpr milliseconds kRelayCheckInterval { 100 }; // between two looks whether that is so
 static constexpr size_t kLogMost = 2000; // changes kept for others: more than all hosts of a site bring that restart within a second
 static constexpr size_t kLogBytesMost = 1 << 20;
-static constexpr size_t kToldValueMost = 32 << 10; // bytes; 300 client accounts. A larger value would fill a relay's link: each host reads it itself
+static constexpr size_t kMaxRelayedValueSize = 32 << 10; // bytes; 300 client accounts. A larger value would fill a relay's link: each host reads it itself
 static constexpr double kStartRetryMs = 60; // pause, spread by half
 
 static milliseconds getStartRetryPause()
@@ -106,7 +106,7 @@
 {
     if (version <= m_version || m_mustReread)
         return;
-    if (isToldByRelay()) { // it comes that way, unless something is amiss
+    if (isFollowingRelay()) { // it comes that way, unless something is amiss
         m_heardVersion = decisions::applyReportedChange(m_heardVersion, version, m_version, Clock::now());
         if (!decisions::isWatchSilent(m_heardVersion, m_version, Clock::now()))
             return;
@@ -177,9 +177,9 @@
             isGood = co_await readConfiguration();
             m_mustReread = !isGood;
         }
-        if (isGood && isToldByRelay()) {
+        if (isGood && isFollowingRelay()) {
             m_failures = 0;
-            co_await base::sleepFor(kToldCheck);
+            co_await base::sleepFor(kRelayCheckInterval);
             continue;
         }
         if (isGood)
@@ -190,9 +190,9 @@
     }
 }
 
-bool Directory::leavesStoreToRelays() const
+bool Directory::waitsForRelays() const
 {
-    return m_isLostByRelays && m_hasRelay && !m_isWatcher && m_version != 0;
+    return m_isStoreLostByRelays && m_hasRelay && !m_isWatcher && m_version != 0;
 }
 
 // The pause after a failed call. While the relays have lost the store as well, it is gone for all: a host that is none waits until one has it again, or for
@@ -201,10 +201,10 @@
 asio::awaitable<void> Directory::waitForStore(milliseconds pause)
 {
     auto began = Clock::now();
-    bool wasLeft = leavesStoreToRelays();
+    bool wasLeft = waitsForRelays();
     auto spread = decisions::jitterRetryAfter(kLostPause, base::getRandom());
-    while (leavesStoreToRelays() && !m_mustReread && Clock::now() - began < spread && !m_isEnding)
-        co_await base::sleepFor(kToldCheck);
+    while (waitsForRelays() && !m_mustReread && Clock::now() - began < spread && !m_isEnding)
+        co_await base::sleepFor(kRelayCheckInterval);
     co_await base::sleepFor(wasLeft ? decisions::getRetryPause(kSpreadFailures, base::getRandom()) : pause);
 }
 
@@ -240,7 +240,7 @@
     }
     takeAll(items, *revision);
     m_answeredAt = Clock::now();
-    m_toldAt = m_answeredAt;
+    m_relayedAt = m_answeredAt;
     m_revision = *revision;
     m_log.clear();
     m_logBytes = 0;
@@ -248,7 +248,7 @@
     m_mustList = false;
     setReachable(true, "listed");
     m_events.onMembersRead();
-    co_await base::sleepFor(kRelayKnownIn);
+    co_await base::sleepFor(kRelaySelectionDelay);
     co_return true;
 }
 
@@ -294,8 +294,8 @@
             if (it.revision <= m_revision && m_revision != since)
                 continue;
             m_newestChange = std::max(m_newestChange, it.revision);
-            ToldChange change { it, isRecent ? std::optional(now) : std::nullopt, now };
-            if (m_logSince != 0) // else a relay has told changes meanwhile, and the log would have a gap
+            RelayedChange change { it, isRecent ? std::optional(now) : std::nullopt, now };
+            if (m_logSince != 0) // else a relay has relayed changes meanwhile, and the log would have a gap
                 logChange(change);
             takeItem(it, change.changedAt);
         }
@@ -318,12 +318,12 @@
     co_return false;
 }
 
-void Directory::logChange(const ToldChange& change)
+void Directory::logChange(const RelayedChange& change)
 {
     m_log.push_back(change);
     auto& item = m_log.back().item;
     if (item.key == m_platform.getConfigurationKey())
-        item.value = m_platform.replaceKeysWithDigests(item.value); // what stands here is told to other hosts: keys of client accounts leave no host
+        item.value = m_platform.replaceKeysWithDigests(item.value); // what stands here is relayed to other hosts: keys of client accounts leave no host
     m_logBytes += item.value.size();
     while (m_log.size() > kLogMost || m_logBytes > kLogBytesMost) {
         m_logSince = std::max(m_logSince, m_log.front().item.revision);
@@ -333,29 +333,29 @@
 }
 
 // A host that has lost the store knows of no change: it must not say that there is none.
-ToldChanges Directory::getChanges(uint64_t since) const
+RelayedChanges Directory::getChanges(uint64_t since) const
 {
-    ToldChanges told;
+    RelayedChanges relayed;
     bool isSure = m_isReachable && !m_isInDoubt && !m_mustList && m_isWatcher && m_logSince != 0;
     if (!isSure || since < m_logSince || since > m_revision)
-        return told;
-    auto first = std::ranges::upper_bound(m_log, since, {}, [](const ToldChange& it) { return it.item.revision; });
+        return relayed;
+    auto first = std::ranges::upper_bound(m_log, since, {}, [](const RelayedChange& it) { return it.item.revision; });
     for (auto it = first; it != m_log.end(); ++it) {
-        told.changes.push_back(*it);
-        told.changes.back().isLarge = it->item.value.size() > kToldValueMost;
+        relayed.changes.push_back(*it);
+        relayed.changes.back().isLarge = it->item.value.size() > kMaxRelayedValueSize;
     }
-    told.until = m_revision;
-    return told;
+    relayed.untilRevision = m_revision;
+    return relayed;
 }
 
-void Directory::takeChanges(const ToldChanges& told)
+void Directory::applyRelayedChanges(const RelayedChanges& relayed)
 {
-    if (told.until == 0 || m_mustList || m_isWatcher)
+    if (relayed.untilRevision == 0 || m_mustList || m_isWatcher)
         return;
-    m_toldAt = Clock::now();
-    if (told.until < m_revision) // this host has read the store later than its relay
+    m_relayedAt = Clock::now();
+    if (relayed.untilRevision < m_revision) // this host has read the store later than its relay
         return;
-    for (auto& it : told.changes) {
+    for (auto& it : relayed.changes) {
         if (it.item.revision <= m_revision)
             continue;
         m_newestChange = std::max(m_newestChange, it.item.revision);
@@ -366,15 +366,15 @@
         else
             m_mustList = true;
     }
-    m_revision = told.until;
-    m_answeredAt = m_toldAt;
+    m_revision = relayed.untilRevision;
+    m_answeredAt = m_relayedAt;
     m_logSince = 0; // it has not read these itself
 }
 
 // The store answers the renewals of this host's lease all the while: without one there is a doubt, and the host looks itself.
-bool Directory::isToldByRelay() const
+bool Directory::isFollowingRelay() const
 {
-    return m_hasRelay && !m_isWatcher && !m_mustList && m_isReachable && !m_isInDoubt && Clock::now() - m_toldAt < kToldFor;
+    return m_hasRelay && !m_isWatcher && !m_mustList && m_isReachable && !m_isInDoubt && Clock::now() - m_relayedAt < kRelayTimeout;
 }
 
 void Directory::takeItem(const links::StoreItem& item, std::optional<TimePoint> changedAt)
@@ -517,7 +517,7 @@
             continue;
         }
         co_await base::sleepFor(step);
-        if (Clock::now() - renewedAt < m_timings.lease / 3 || leavesStoreToRelays())
+        if (Clock::now() - renewedAt < m_timings.lease / 3 || waitsForRelays())
             continue;
         renewedAt = Clock::now();
         auto renewed = co_await m_platform.getStore().renewLease(m_lease, getDeadline());
--- a/src/gateway/directory.h
+++ b/src/gateway/directory.h
@@ -28,17 +28,17 @@
 };
 
 // A change in the store, and when the host that reads there heard of it.
-struct ToldChange {
+struct RelayedChange {
     links::StoreItem item {};
     std::optional<base::TimePoint> changedAt {}; // on this host's clock; empty: it may be long ago
-    base::TimePoint heardAt {};
+    base::TimePoint receivedAt {};
     bool isLarge { false }; // the value is left out
 };
 
 // All changes behind a revision, oldest first.
-struct ToldChanges {
-    std::vector<ToldChange> changes {};
-    uint64_t until { 0 }; // revision; 0: the teller cannot say
+struct RelayedChanges {
+    std::vector<RelayedChange> changes {};
+    uint64_t untilRevision { 0 }; // revision; 0: the teller cannot say
 };
 
 struct DirectoryTimings {
@@ -60,7 +60,7 @@
     // Whether this host looks often itself, or has a relay that tells it what changes.
     void setWatcher(bool isWatcher, bool hasRelay);
     // Whether all relays of this host say that they have lost the store: it looks for the store's return seldom then, they look often.
-    void setLostByRelays(bool isLost) { m_isLostByRelays = isLost; }
+    void setStoreLostByRelays(bool isLost) { m_isStoreLostByRelays = isLost; }
     // The newest change that this host has seen, for other hosts.
     uint64_t getNewestChange() const { return m_newestChange; }
     // Another host has seen `change`: if ours does not bring it, our watch has fallen silent.
@@ -69,9 +69,9 @@
     boost::asio::awaitable<bool> writeNearAccounts(size_t shard, std::set<std::string> accounts);
     // What changed in the store behind a revision, for a host that has this one for a relay. Only what this host's own watches brought: hearsay is not
     // passed on.
-    ToldChanges getChanges(uint64_t since) const;
+    RelayedChanges getChanges(uint64_t since) const;
     // What a relay told. While one does, this host holds no watch of its own, and a change costs the store a few answers and not one a host.
-    void takeChanges(const ToldChanges& told);
+    void applyRelayedChanges(const RelayedChanges& relayed);
     // Up to which all changes are known; 0 until the store was read.
     uint64_t getRevision() const { return m_mustList ? 0 : m_revision; }
     // Whether the last call that told so was answered. Found out within kProbeWait and an answer's time once there is a doubt.
@@ -88,13 +88,13 @@
     boost::asio::awaitable<bool> writeEntry();
     void cancelWatch();
     void doubtStore();
-    bool leavesStoreToRelays() const;
+    bool waitsForRelays() const;
     boost::asio::awaitable<void> waitForStore(base::milliseconds pause);
     base::milliseconds getWatchWait() const;
     void takeAll(const std::vector<links::StoreItem>& items, uint64_t revision);
     void takeItem(const links::StoreItem& item, std::optional<base::TimePoint> changedAt);
-    void logChange(const ToldChange& change);
-    bool isToldByRelay() const;
+    void logChange(const RelayedChange& change);
+    bool isFollowingRelay() const;
     void takeConfiguration(const links::StoreItem& item);
     void takeHost(const links::StoreItem& item);
     void takeNearAccounts(const links::StoreItem& item);
@@ -112,19 +112,19 @@
     uint64_t m_version { 0 }; // of the configuration
     uint64_t m_lease { 0 }; // 0: no entry of ours is known to stand
     std::set<std::string> m_known; // keys
-    base::TimePoint m_answeredAt {}; // when the store last told all that had changed
+    base::TimePoint m_answeredAt {}; // when the store last relayed all that had changed
     uint64_t m_newestChange { 0 }; // revision of the newest change that a watch brought; the store's own revision moves with more than these
     decisions::ReportedChange m_heard {};
     base::milliseconds m_watchPause { 0 }; // the last
-    std::deque<ToldChange> m_log {}; // changes that this host's watches brought, for those that it relays to
+    std::deque<RelayedChange> m_log {}; // changes that this host's watches brought, for those that it relays to
     size_t m_logBytes { 0 };
     uint64_t m_logSince { 0 }; // the log holds all changes behind this revision up to m_revision; 0: it holds none
-    base::TimePoint m_toldAt {}; // when a relay last told all changes
+    base::TimePoint m_relayedAt {}; // when a relay last relayed all changes
     decisions::ReportedChange m_heardVersion {}; // of the configuration
     unsigned m_failures { 0 }; // in a row
     bool m_isWatcher { true };
     bool m_hasRelay { false };
-    bool m_isLostByRelays { false };
+    bool m_isStoreLostByRelays { false };
     bool m_isInterrupted { false };
     bool m_isInDoubt { false }; // the store may be out of reach: the next watch finds out
     unsigned m_listTries { 0 }; // pages asked for so far
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -280,7 +280,7 @@
 void Gateway::takeStatus(const peer::Pong& message, TimePoint sentAt)
 {
     if (message.entries_until() != 0)
-        m_directory.takeChanges(readChanges(message, sentAt));
+        m_directory.applyRelayedChanges(readChanges(message, sentAt));
     m_directory.refreshConfiguration(message.configuration());
     m_directory.hearChange(message.change());
     auto leadTimes = findLeadTimes(message, sentAt);
@@ -450,7 +450,7 @@
     bool isWatcher = std::ranges::find(relays, m_self.name) != relays.end() || getPlace().isAskedToRelay;
     bool hasRelay = std::ranges::any_of(partners, [](auto& it) { return it.second.tellsLoads; });
     m_directory.setWatcher(isWatcher, hasRelay);
-    m_directory.setLostByRelays(std::ranges::none_of(partners, [this](auto& it) { return it.second.isRelay && m_peers.getAbility(it.first).hasStore; }));
+    m_directory.setStoreLostByRelays(std::ranges::none_of(partners, [this](auto& it) { return it.second.isRelay && m_peers.getAbility(it.first).hasStore; }));
     if (relays == m_relays)
         return;
     m_relays = relays;
--- a/src/gateway/member_exchange.cpp
+++ b/src/gateway/member_exchange.cpp
@@ -47,9 +47,9 @@
     return member;
 }
 
-void writeChanges(peer::Pong& wire, const ToldChanges& told, TimePoint now)
+void writeChanges(peer::Pong& wire, const RelayedChanges& told, TimePoint now)
 {
-    wire.set_entries_until(told.until);
+    wire.set_entries_until(told.untilRevision);
     for (auto& it : told.changes) {
         auto& entry = *wire.add_entries();
         entry.set_key(it.item.key);
@@ -59,14 +59,14 @@
         if (!it.isLarge)
             entry.set_value(it.item.value);
         entry.set_is_old(!it.changedAt);
-        entry.set_age_us(static_cast<uint64_t>(std::chrono::duration_cast<std::chrono::microseconds>(now - it.heardAt).count()));
+        entry.set_age_us(static_cast<uint64_t>(std::chrono::duration_cast<std::chrono::microseconds>(now - it.receivedAt).count()));
     }
 }
 
-ToldChanges readChanges(const peer::Pong& wire, TimePoint sentAt)
+RelayedChanges readChanges(const peer::Pong& wire, TimePoint sentAt)
 {
-    ToldChanges told;
-    told.until = wire.entries_until();
+    RelayedChanges told;
+    told.untilRevision = wire.entries_until();
     for (auto& it : wire.entries()) {
         auto heardAt = sentAt - std::chrono::microseconds(it.age_us());
         links::StoreItem item { .key = it.key(), .value = it.value(), .revision = it.revision(), .isDeleted = it.is_deleted() };
--- a/src/gateway/member_exchange.h
+++ b/src/gateway/member_exchange.h
@@ -16,9 +16,9 @@
 links::RegisteredMember readMember(const peer::MemberEntry& wire);
 
 // Changes in the store that a relay tells.
-void writeChanges(peer::Pong& wire, const ToldChanges& told, TimePoint now);
+void writeChanges(peer::Pong& wire, const RelayedChanges& told, TimePoint now);
 // `sentAt`: before the time at which they were told.
-ToldChanges readChanges(const peer::Pong& wire, TimePoint sentAt);
+RelayedChanges readChanges(const peer::Pong& wire, TimePoint sentAt);
 
 // Members that the answer says by their absence are gone.
 std::vector<std::string> findMissing(const peer::MembersAnswer& wire, const ClusterView& view);
--- a/tests/unit/member_exchange_test.cpp
+++ b/tests/unit/member_exchange_test.cpp
@@ -34,8 +34,8 @@
 // A change that a relay forwards late must not look as if it had just happened.
 BOOST_AUTO_TEST_CASE(forwarded_changes_carry_their_age)
 {
-    ToldChanges told;
-    told.until = 12;
+    RelayedChanges told;
+    told.untilRevision = 12;
     told.changes.push_back({ { .key = "a", .value = "1", .revision = 10 }, kStart, kStart });
     told.changes.push_back({ { .key = "b", .revision = 11, .isDeleted = true }, std::nullopt, kStart });
     told.changes.push_back({ { .key = "c", .value = "large", .revision = 12 }, kStart, kStart, true });
@@ -43,7 +43,7 @@
     writeChanges(wire, told, kStart + milliseconds(400));
     auto sentAt = kStart + milliseconds(50'000); // on the receiver's clock
     auto heard = readChanges(wire, sentAt);
-    BOOST_TEST(heard.until == 12u);
+    BOOST_TEST(heard.untilRevision == 12u);
     BOOST_REQUIRE(heard.changes.size() == 3u);
     BOOST_TEST((heard.changes[0].changedAt == sentAt - milliseconds(400)));
     BOOST_TEST(heard.changes[0].item.value == "1");
