--- a/src/gateway/directory.cpp
+++ b/src/gateway/directory.cpp
@@ -20,7 +20,7 @@
 using base::TimePoint;
 using links::StoreErrorKind;
 
-static constexpr milliseconds kAtOnce { 100 }; // an answer to a watch within this stood ready: one way there and back is 40 ms at most on the sites that were seen
+static constexpr milliseconds kImmediateResponse { 100 }; // an answer to a watch within this stood ready: one way there and back is 40 ms at most on the sites that were seen
 // A host that starts serves nobody until it has read the store, so it asks more often, and gives up sooner on a call that may have been lost with
 // the store's absence: on a store that came back 0.7 s after all hosts, the first was ready after 0.6 s, the last after 1.1 s without this.
 static constexpr milliseconds kStartCallLimit { 400 }; // ten times an answer from another region, and more than a slow store's 60 times 4 ms
@@ -107,8 +107,8 @@
     if (version <= m_version || m_mustReread)
         return;
     if (isFollowingRelay()) { // it comes that way, unless something is amiss
-        m_heardVersion = decisions::applyReportedChange(m_heardVersion, version, m_version, Clock::now());
-        if (!decisions::isWatchSilent(m_heardVersion, m_version, Clock::now()))
+        m_reportedVersion = decisions::applyReportedChange(m_reportedVersion, version, m_version, Clock::now());
+        if (!decisions::isWatchSilent(m_reportedVersion, m_version, Clock::now()))
             return;
     }
     base::logEvent(LogClass::State, "configuration-behind", { { "here", static_cast<int64_t>(m_version) }, { "elsewhere", static_cast<int64_t>(version) } });
@@ -130,33 +130,33 @@
     m_platform.getStore().cancelWatch();
 }
 
-void Directory::hearChange(uint64_t change)
+void Directory::applyReportedRevision(uint64_t change)
 {
     if (!m_isReachable)
         return;
     auto now = Clock::now();
     auto seen = std::max(m_newestChange, m_revision);
-    m_heard = decisions::applyReportedChange(m_heard, change, seen, now);
-    if (!decisions::isWatchSilent(m_heard, seen, now))
+    m_reportedChange = decisions::applyReportedChange(m_reportedChange, change, seen, now);
+    if (!decisions::isWatchSilent(m_reportedChange, seen, now))
         return;
-    base::logEvent(LogClass::State, "watch-silent", { { "here", static_cast<int64_t>(seen) }, { "elsewhere", static_cast<int64_t>(m_heard.revision) } });
-    m_heard = {};
-    doubtStore();
+    base::logEvent(LogClass::State, "watch-silent", { { "here", static_cast<int64_t>(seen) }, { "elsewhere", static_cast<int64_t>(m_reportedChange.revision) } });
+    m_reportedChange = {};
+    startProbe();
 }
 
 // A watch that this host breaks off says nothing of the store, and one that is silent would be waited for in vain. So the next is a short one:
 // a host that broke off each watch after 1.5 s went on for 14 s without the store and never knew.
-void Directory::doubtStore()
+void Directory::startProbe()
 {
-    if (m_isInDoubt)
+    if (m_isProbing)
         return;
-    m_isInDoubt = true;
+    m_isProbing = true;
     cancelWatch();
 }
 
 milliseconds Directory::getWatchWait() const
 {
-    if (m_isInDoubt || !m_isReachable)
+    if (m_isProbing || !m_isReachable)
         return std::min(kProbeWait, m_timings.watchWait);
     return m_isWatcher ? m_timings.watchWait : std::max(m_timings.watchWait, m_timings.longWatchWait);
 }
@@ -201,11 +201,11 @@
 asio::awaitable<void> Directory::waitForStore(milliseconds pause)
 {
     auto began = Clock::now();
-    bool wasLeft = waitsForRelays();
+    bool hadWaited = waitsForRelays();
     auto spread = decisions::jitterRetryAfter(kLostPause, base::getRandom());
     while (waitsForRelays() && !m_mustReread && Clock::now() - began < spread && !m_isEnding)
         co_await base::sleepFor(kRelayCheckInterval);
-    co_await base::sleepFor(wasLeft ? decisions::getRetryPause(kSpreadFailures, base::getRandom()) : pause);
+    co_await base::sleepFor(hadWaited ? decisions::getRetryPause(kSpreadFailures, base::getRandom()) : pause);
 }
 
 asio::awaitable<bool> Directory::readConfiguration()
@@ -239,8 +239,8 @@
         std::ranges::move(page->items, std::back_inserter(items));
     }
     takeAll(items, *revision);
-    m_answeredAt = Clock::now();
-    m_relayedAt = m_answeredAt;
+    m_syncedAt = Clock::now();
+    m_relayedAt = m_syncedAt;
     m_revision = *revision;
     m_log.clear();
     m_logBytes = 0;
@@ -284,12 +284,12 @@
     }
     auto changes = co_await m_platform.getStore().watch("", since, getWatchWait());
     if (changes) {
-        m_isInDoubt = false;
+        m_isProbing = false;
         setReachable(true, "watch answered");
         auto now = Clock::now();
-        bool wasAtOnce = now - askedAt < kAtOnce; // what stood ready may have waited for as long as this host could not ask
-        bool isRecent = !wasAtOnce || now - m_answeredAt <= decisions::kSilentWatchThreshold;
-        m_answeredAt = now;
+        bool wasImmediate = now - askedAt < kImmediateResponse; // what stood ready may have waited for as long as this host could not ask
+        bool isRecent = !wasImmediate || now - m_syncedAt <= decisions::kSilentWatchThreshold;
+        m_syncedAt = now;
         for (auto& it : changes->items) {
             if (it.revision <= m_revision && m_revision != since)
                 continue;
@@ -301,14 +301,14 @@
         }
         m_revision = std::max(m_revision, changes->revision);
         if (!changes->items.empty()) {
-            m_watchPause = decisions::getWatchPause(m_watchPause, wasAtOnce);
+            m_watchPause = decisions::getWatchPause(m_watchPause, wasImmediate);
             co_await base::sleepFor(m_watchPause);
         }
         co_return true;
     }
     if (m_mustReread || m_isInterrupted) // we broke it off ourselves
         co_return true;
-    m_isInDoubt = false;
+    m_isProbing = false;
     if (changes.error().kind == StoreErrorKind::HistoryLost) {
         base::logEvent(LogClass::State, "history-lost", { { "revision", static_cast<int64_t>(m_revision) } });
         m_mustList = true;
@@ -336,8 +336,8 @@
 RelayedChanges Directory::getChanges(uint64_t since) const
 {
     RelayedChanges relayed;
-    bool isSure = m_isReachable && !m_isInDoubt && !m_mustList && m_isWatcher && m_logSince != 0;
-    if (!isSure || since < m_logSince || since > m_revision)
+    bool canAnswer = m_isReachable && !m_isProbing && !m_mustList && m_isWatcher && m_logSince != 0;
+    if (!canAnswer || since < m_logSince || since > m_revision)
         return relayed;
     auto first = std::ranges::upper_bound(m_log, since, {}, [](const RelayedChange& it) { return it.item.revision; });
     for (auto it = first; it != m_log.end(); ++it) {
@@ -367,14 +367,14 @@
             m_mustList = true;
     }
     m_revision = relayed.untilRevision;
-    m_answeredAt = m_relayedAt;
+    m_syncedAt = m_relayedAt;
     m_logSince = 0; // it has not read these itself
 }
 
 // The store answers the renewals of this host's lease all the while: without one there is a doubt, and the host looks itself.
 bool Directory::isFollowingRelay() const
 {
-    return m_hasRelay && !m_isWatcher && !m_mustList && m_isReachable && !m_isInDoubt && Clock::now() - m_relayedAt < kRelayTimeout;
+    return m_hasRelay && !m_isWatcher && !m_mustList && m_isReachable && !m_isProbing && Clock::now() - m_relayedAt < kRelayTimeout;
 }
 
 void Directory::takeItem(const links::StoreItem& item, std::optional<TimePoint> changedAt)
@@ -526,7 +526,7 @@
         if (renewed.error().kind == StoreErrorKind::NotFound)
             m_lease = 0;
         else
-            doubtStore();
+            startProbe();
     }
 }
 
--- a/src/gateway/directory.h
+++ b/src/gateway/directory.h
@@ -64,7 +64,7 @@
     // The newest change that this host has seen, for other hosts.
     uint64_t getNewestChange() const { return m_newestChange; }
     // Another host has seen `change`: if ours does not bring it, our watch has fallen silent.
-    void hearChange(uint64_t change);
+    void applyReportedRevision(uint64_t change);
     // Writes down which accounts of a shard come near to their quotas. Returns whether that worked.
     boost::asio::awaitable<bool> writeNearAccounts(size_t shard, std::set<std::string> accounts);
     // What changed in the store behind a revision, for a host that has this one for a relay. Only what this host's own watches brought: hearsay is not
@@ -77,7 +77,7 @@
     // Whether the last call that told so was answered. Found out within kProbeWait and an answer's time once there is a doubt.
     bool isReachable() const { return m_isReachable; }
     // Whether this host may miss changes: the store is lost, or a change that others know has not come.
-    bool mayMissChanges() const { return !m_isReachable || m_isInDoubt; }
+    bool mayMissChanges() const { return !m_isReachable || m_isProbing; }
 
 private:
     boost::asio::awaitable<void> follow();
@@ -87,7 +87,7 @@
     boost::asio::awaitable<void> keepEntry();
     boost::asio::awaitable<bool> writeEntry();
     void cancelWatch();
-    void doubtStore();
+    void startProbe();
     bool waitsForRelays() const;
     boost::asio::awaitable<void> waitForStore(base::milliseconds pause);
     base::milliseconds getWatchWait() const;
@@ -112,21 +112,21 @@
     uint64_t m_version { 0 }; // of the configuration
     uint64_t m_lease { 0 }; // 0: no entry of ours is known to stand
     std::set<std::string> m_known; // keys
-    base::TimePoint m_answeredAt {}; // when the store last relayed all that had changed
+    base::TimePoint m_syncedAt {}; // when the store last relayed all that had changed
     uint64_t m_newestChange { 0 }; // revision of the newest change that a watch brought; the store's own revision moves with more than these
-    decisions::ReportedChange m_heard {};
+    decisions::ReportedChange m_reportedChange {};
     base::milliseconds m_watchPause { 0 }; // the last
     std::deque<RelayedChange> m_log {}; // changes that this host's watches brought, for those that it relays to
     size_t m_logBytes { 0 };
     uint64_t m_logSince { 0 }; // the log holds all changes behind this revision up to m_revision; 0: it holds none
     base::TimePoint m_relayedAt {}; // when a relay last relayed all changes
-    decisions::ReportedChange m_heardVersion {}; // of the configuration
+    decisions::ReportedChange m_reportedVersion {}; // of the configuration
     unsigned m_failures { 0 }; // in a row
     bool m_isWatcher { true };
     bool m_hasRelay { false };
     bool m_isStoreLostByRelays { false };
     bool m_isInterrupted { false };
-    bool m_isInDoubt { false }; // the store may be out of reach: the next watch finds out
+    bool m_isProbing { false }; // the store may be out of reach: the next watch finds out
     unsigned m_listTries { 0 }; // pages asked for so far
     unsigned m_entryTries { 0 }; // since the entry was last written
     bool m_mustList { true };
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -282,7 +282,7 @@
     if (message.entries_until() != 0)
         m_directory.applyRelayedChanges(readChanges(message, sentAt));
     m_directory.refreshConfiguration(message.configuration());
-    m_directory.hearChange(message.change());
+    m_directory.applyReportedRevision(message.change());
     auto leadTimes = findLeadTimes(message, sentAt);
     for (int i = 0; i < message.leads_size(); ++i) {
         auto& it = message.leads(i);
@@ -351,7 +351,7 @@
     };
     service.onPing = [this](const std::string&, const peer::Ping& ping) {
         m_directory.refreshConfiguration(ping.configuration());
-        m_directory.hearChange(ping.change());
+        m_directory.applyReportedRevision(ping.change());
     };
     service.onPong = [this](const std::string&, const peer::Pong& pong, TimePoint sentAt) { takeStatus(pong, sentAt); };
     service.answerMembers = [this](const peer::MembersQuestion& question, peer::MembersAnswer& answer) {
