--- a/src/gateway/directory.cpp
+++ b/src/gateway/directory.cpp
@@ -215,7 +215,7 @@
         setReachable(item.error().kind == StoreErrorKind::NotFound, item.error().reason);
         co_return item.error().kind == StoreErrorKind::NotFound;
     }
-    takeConfiguration(*item);
+    applyConfigurationItem(*item);
     co_return true;
 }
 
@@ -238,7 +238,7 @@
         hasMore = page->hasMore && !page->items.empty();
         std::ranges::move(page->items, std::back_inserter(items));
     }
-    takeAll(items, *revision);
+    applyList(items, *revision);
     m_syncedAt = Clock::now();
     m_relayedAt = m_syncedAt;
     m_revision = *revision;
@@ -247,27 +247,27 @@
     m_logSince = *revision;
     m_mustList = false;
     setReachable(true, "listed");
-    m_events.onMembersRead();
+    m_events.onMembersListed();
     co_await base::sleepFor(kRelaySelectionDelay);
     co_return true;
 }
 
 // Hosts before members: whoever knows members and no other host takes itself for the one that carries to all of them.
-void Directory::takeAll(const std::vector<links::StoreItem>& items, uint64_t revision)
+void Directory::applyList(const std::vector<links::StoreItem>& items, uint64_t revision)
 {
     auto membersPrefix = m_platform.getMembersPrefix();
     auto isMember = [&](const links::StoreItem& it) { return it.key.starts_with(membersPrefix); };
     std::set<std::string> listed;
-    for (bool takesMembers : { false, true }) {
+    for (bool appliesMembers : { false, true }) {
         for (auto& it : items) {
             listed.insert(it.key);
-            if (isMember(it) == takesMembers)
-                takeItem(it, std::nullopt);
+            if (isMember(it) == appliesMembers)
+                applyItem(it, std::nullopt);
         }
     }
     for (auto& key : std::set(m_known)) {
         if (!listed.contains(key))
-            takeItem({ .key = key, .revision = revision, .isDeleted = true }, std::nullopt);
+            applyItem({ .key = key, .revision = revision, .isDeleted = true }, std::nullopt);
     }
     m_known = listed;
 }
@@ -297,7 +297,7 @@
             RelayedChange change { it, isRecent ? std::optional(now) : std::nullopt, now };
             if (m_logSince != 0) // else a relay has relayed changes meanwhile, and the log would have a gap
                 logChange(change);
-            takeItem(it, change.changedAt);
+            applyItem(it, change.changedAt);
         }
         m_revision = std::max(m_revision, changes->revision);
         if (!changes->items.empty()) {
@@ -360,7 +360,7 @@
             continue;
         m_newestChange = std::max(m_newestChange, it.item.revision);
         if (!it.isLarge)
-            takeItem(it.item, it.changedAt);
+            applyItem(it.item, it.changedAt);
         else if (it.item.key == m_platform.getConfigurationKey())
             m_mustReread = true;
         else
@@ -377,12 +377,12 @@
     return m_hasRelay && !m_isWatcher && !m_mustList && m_isReachable && !m_isProbing && Clock::now() - m_relayedAt < kRelayTimeout;
 }
 
-void Directory::takeItem(const links::StoreItem& item, std::optional<TimePoint> changedAt)
+void Directory::applyItem(const links::StoreItem& item, std::optional<TimePoint> changedAt)
 {
     auto members = m_platform.getMembersPrefix();
     if (item.key == m_platform.getConfigurationKey()) {
         if (!item.isDeleted)
-            takeConfiguration(item);
+            applyConfigurationItem(item);
         return;
     }
     if (item.isDeleted)
@@ -391,7 +391,7 @@
         m_known.insert(item.key);
     if (item.key.starts_with(members)) {
         if (item.isDeleted) {
-            m_events.onMemberGone(item.key.substr(members.size()), item.revision);
+            m_events.onMemberRemoved(item.key.substr(members.size()), item.revision);
             return;
         }
         auto member = m_platform.parseMember(item.key, item.value);
@@ -400,18 +400,18 @@
             return;
         }
         // It names no member to use: one that it named before is out of use, as if the entry were gone.
-        noteUnreadable(item, member.error());
-        m_events.onMemberGone(item.key.substr(members.size()), item.revision);
+        reportUnreadable(item, member.error());
+        m_events.onMemberRemoved(item.key.substr(members.size()), item.revision);
     } else if (item.key.starts_with(kHostsPrefix))
-        takeHost(item);
-    else if (item.key.starts_with(kSuccessionPrefix))
-        m_events.onSuccession(item.key.substr(kSuccessionPrefix.size()), item);
+        applyHost(item);
+    else if (item.key.starts_with(kCoordinatorRecordPrefix))
+        m_events.onCoordinatorRecord(item.key.substr(kCoordinatorRecordPrefix.size()), item);
     else if (item.key.starts_with(kQuotaPrefix) && !item.isDeleted)
-        takeNearAccounts(item);
+        applyNearQuotaAccounts(item);
 }
 
 // A version below the one in force is an old answer: it never goes back.
-void Directory::takeConfiguration(const links::StoreItem& item)
+void Directory::applyConfigurationItem(const links::StoreItem& item)
 {
     auto configuration = m_platform.parseConfiguration(item.value);
     if (!configuration) {
@@ -424,7 +424,7 @@
     m_events.onConfiguration(*configuration);
 }
 
-void Directory::takeHost(const links::StoreItem& item)
+void Directory::applyHost(const links::StoreItem& item)
 {
     auto name = item.key.substr(kHostsPrefix.size());
     if (item.isDeleted) {
@@ -432,18 +432,18 @@
             base::logEvent(LogClass::State, "entry-lost", { { "reason", std::string_view("the store dropped this host's entry") } });
             m_lease = 0; // keepEntry() writes it anew
         }
-        m_events.onHostGone(name);
+        m_events.onHostRemoved(name);
         return;
     }
     if (auto host = parseHost(name, item.value)) {
         m_events.onHost(*host);
         return;
     }
-    noteUnreadable(item, "no host's entry");
-    m_events.onHostGone(name);
+    reportUnreadable(item, "no host's entry");
+    m_events.onHostRemoved(name);
 }
 
-asio::awaitable<bool> Directory::writeNearAccounts(size_t shard, std::set<std::string> accounts)
+asio::awaitable<bool> Directory::writeNearQuotaAccounts(size_t shard, std::set<std::string> accounts)
 {
     links::StoreItem item;
     item.key = fmt::format("{}{}", kQuotaPrefix, shard);
@@ -454,8 +454,8 @@
     co_return written.has_value();
 }
 
-// As writeNearAccounts() writes it. Another writer may have put something else there.
-void Directory::takeNearAccounts(const links::StoreItem& item)
+// As writeNearQuotaAccounts() writes it. Another writer may have put something else there.
+void Directory::applyNearQuotaAccounts(const links::StoreItem& item)
 {
     boost::system::error_code ec;
     auto value = json::parse(item.value, ec);
@@ -464,7 +464,7 @@
     auto number = std::string_view(item.key).substr(kQuotaPrefix.size());
     bool isNumber = !number.empty() && std::from_chars(number.data(), number.data() + number.size(), shard).ptr == number.data() + number.size();
     if (!list || !isNumber) {
-        noteUnreadable(item, "no list of accounts");
+        reportUnreadable(item, "no list of accounts");
         return;
     }
     std::set<std::string> accounts;
@@ -472,11 +472,11 @@
         if (it.is_string())
             accounts.emplace(it.as_string());
     }
-    m_events.onNearAccounts(shard, accounts);
+    m_events.onNearQuotaAccounts(shard, accounts);
 }
 
 // A line a change, not a heartbeat: the store tells of an entry when more than its count has changed.
-void Directory::noteUnreadable(const links::StoreItem& item, const std::string& reason)
+void Directory::reportUnreadable(const links::StoreItem& item, const std::string& reason)
 {
     base::incrementCounter(base::MetricFamily::EntriesRefused, { { "result", "unreadable" } });
     base::logEvent(LogClass::State, "entry-unreadable", { { "key", std::string_view(item.key) }, { "reason", std::string_view(reason) }, { "revision", static_cast<int64_t>(item.revision) } });
--- a/src/gateway/directory.h
+++ b/src/gateway/directory.h
@@ -12,19 +12,19 @@
 // Keys of the product's own in the store.
 inline constexpr std::string_view kOwnPrefix = "alderward/";
 inline constexpr std::string_view kHostsPrefix = "alderward/hosts/";
-inline constexpr std::string_view kSuccessionPrefix = "alderward/succession/";
+inline constexpr std::string_view kCoordinatorRecordPrefix = "alderward/succession/";
 inline constexpr std::string_view kQuotaPrefix = "alderward/quota/";
 
 struct DirectoryEvents {
     std::function<void(const links::GatewayConfiguration&)> onConfiguration;
     // `changedAt`: when this host, or the one that told it, heard of the change; empty: it may be long ago.
     std::function<void(const links::RegisteredMember&, uint64_t revision, std::optional<base::TimePoint> changedAt)> onMember;
-    std::function<void(const std::string& id, uint64_t revision)> onMemberGone;
-    std::function<void()> onMembersRead; // the list of members was read whole
+    std::function<void(const std::string& id, uint64_t revision)> onMemberRemoved;
+    std::function<void()> onMembersListed; // the list of members was read whole
     std::function<void(const links::RegisteredHost&)> onHost;
-    std::function<void(const std::string& name)> onHostGone;
-    std::function<void(const std::string& group, const links::StoreItem&)> onSuccession;
-    std::function<void(size_t shard, const std::set<std::string>& accounts)> onNearAccounts; // whose quotas may be used up
+    std::function<void(const std::string& name)> onHostRemoved;
+    std::function<void(const std::string& group, const links::StoreItem&)> onCoordinatorRecord;
+    std::function<void(size_t shard, const std::set<std::string>& accounts)> onNearQuotaAccounts; // whose quotas may be used up
 };
 
 // A change in the store, and when the host that reads there heard of it.
@@ -66,7 +66,7 @@
     // Another host has seen `change`: if ours does not bring it, our watch has fallen silent.
     void applyReportedRevision(uint64_t change);
     // Writes down which accounts of a shard come near to their quotas. Returns whether that worked.
-    boost::asio::awaitable<bool> writeNearAccounts(size_t shard, std::set<std::string> accounts);
+    boost::asio::awaitable<bool> writeNearQuotaAccounts(size_t shard, std::set<std::string> accounts);
     // What changed in the store behind a revision, for a host that has this one for a relay. Only what this host's own watches brought: hearsay is not
     // passed on.
     RelayedChanges getChanges(uint64_t since) const;
@@ -91,14 +91,14 @@
     bool waitsForRelays() const;
     boost::asio::awaitable<void> waitForStore(base::milliseconds pause);
     base::milliseconds getWatchWait() const;
-    void takeAll(const std::vector<links::StoreItem>& items, uint64_t revision);
-    void takeItem(const links::StoreItem& item, std::optional<base::TimePoint> changedAt);
+    void applyList(const std::vector<links::StoreItem>& items, uint64_t revision);
+    void applyItem(const links::StoreItem& item, std::optional<base::TimePoint> changedAt);
     void logChange(const RelayedChange& change);
     bool isFollowingRelay() const;
-    void takeConfiguration(const links::StoreItem& item);
-    void takeHost(const links::StoreItem& item);
-    void takeNearAccounts(const links::StoreItem& item);
-    void noteUnreadable(const links::StoreItem& item, const std::string& reason);
+    void applyConfigurationItem(const links::StoreItem& item);
+    void applyHost(const links::StoreItem& item);
+    void applyNearQuotaAccounts(const links::StoreItem& item);
+    void reportUnreadable(const links::StoreItem& item, const std::string& reason);
     void setReachable(bool isReachable, const std::string& reason);
     base::TimePoint getDeadline() const;
     base::TimePoint getStartDeadline(unsigned tries) const;
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -393,8 +393,8 @@
     events.onMember = [this](const links::RegisteredMember& member, uint64_t revision, std::optional<TimePoint> changedAt) {
         takeListed(member, revision, changedAt ? *changedAt : decisions::estimateLeavingSince(getDrainTime(), Clock::now()), "listed");
     };
-    events.onMemberGone = [this](const std::string& id, uint64_t revision) { takeUnlisted(id, revision, "listed"); };
-    events.onMembersRead = [this] { m_view.hasMembers = true; };
+    events.onMemberRemoved = [this](const std::string& id, uint64_t revision) { takeUnlisted(id, revision, "listed"); };
+    events.onMembersListed = [this] { m_view.hasMembers = true; };
     events.onHost = [this](const links::RegisteredHost& host) {
         if (host.name == m_self.name)
             return;
@@ -402,18 +402,18 @@
         updateHost(m_view, host);
         m_hostsDue = true;
     };
-    events.onHostGone = [this](const std::string& name) {
+    events.onHostRemoved = [this](const std::string& name) {
         if (name != m_self.name && m_view.hosts.contains(name))
             m_hostsGoneAt[name] = Clock::now();
     };
-    events.onSuccession = [this](const std::string& group, const links::StoreItem& item) { m_promoter.takeSuccession(group, item); };
-    events.onNearAccounts = [this](size_t shard, const std::set<std::string>& accounts) { m_quotas.takeWritten(shard, accounts); };
+    events.onCoordinatorRecord = [this](const std::string& group, const links::StoreItem& item) { m_promoter.takeSuccession(group, item); };
+    events.onNearQuotaAccounts = [this](size_t shard, const std::set<std::string>& accounts) { m_quotas.takeWritten(shard, accounts); };
     return events;
 }
 
 void Gateway::writeNearAccounts(size_t shard, const std::set<std::string>& accounts, std::function<void(bool)> done)
 {
-    asio::co_spawn(m_context, m_directory.writeNearAccounts(shard, accounts), [done = std::move(done)](const std::exception_ptr& error, bool isDone) { done(!error && isDone); });
+    asio::co_spawn(m_context, m_directory.writeNearQuotaAccounts(shard, accounts), [done = std::move(done)](const std::exception_ptr& error, bool isDone) { done(!error && isDone); });
 }
 
 void Gateway::tellPeers()
--- a/src/gateway/promoter.cpp
+++ b/src/gateway/promoter.cpp
@@ -301,7 +301,7 @@
 
 asio::awaitable<void> Promoter::writeSuccession(std::string group, decisions::CoordinatorRecord succession, uint64_t revision)
 {
-    auto key = std::string(kSuccessionPrefix) + group;
+    auto key = std::string(kCoordinatorRecordPrefix) + group;
     links::StoreChange change;
     change.expected.emplace_back(key, revision);
     change.puts.push_back({ .key = key, .value = decisions::formatCoordinatorRecord(succession) });
