--- a/src/gateway/directory.cpp
+++ b/src/gateway/directory.cpp
@@ -23,22 +23,22 @@
 static constexpr milliseconds kImmediateResponse { 100 }; // an answer to a watch within this stood ready: one way there and back is 40 ms at most on the sites that were seen
 // A host that starts serves nobody until it has read the store, so it asks more often, and gives up sooner on a call that may have been lost with
 // the store's absence: on a store that came back 0.7 s after all hosts, the first was ready after 0.6 s, the last after 1.1 s without this.
-static constexpr milliseconds kStartCallLimit { 400 }; // ten times an answer from another region, and more than a slow store's 60 times 4 ms
+static constexpr milliseconds kStartupCallTimeout { 400 }; // ten times an answer from another region, and more than a slow store's 60 times 4 ms
 static constexpr milliseconds kProbeWait { 300 }; // of a watch that is to show whether the store is in reach: a host without it leaves its tasks to others
-static constexpr unsigned kStartShortCalls = 2; // in a row, then one with the whole limit: a store may be slower than that
+static constexpr unsigned kStartupShortCalls = 2; // in a row, then one with the whole limit: a store may be slower than that
 static constexpr milliseconds kRelaySelectionDelay { 100 }; // a host that has read the store chooses its relays within this; then it needs no watch of its own
 static constexpr milliseconds kRelayTimeout { 1500 }; // a host that a relay tells all changes reads the store itself after this long without word
-static constexpr milliseconds kLostPause { 6000 }; // spread by half: relays say within an exchange that the store is back, this is for when they cannot
-static constexpr unsigned kSpreadFailures = 3; // the pause after so many is half a second to a second and a half
+static constexpr milliseconds kStoreLostPause { 6000 }; // spread by half: relays say within an exchange that the store is back, this is for when they cannot
+static constexpr unsigned kStoreReturnFailures = 3; // the pause after so many is half a second to a second and a half
 static constexpr milliseconds kRelayCheckInterval { 100 }; // between two looks whether that is so
-static constexpr size_t kLogMost = 2000; // changes kept for others: more than all hosts of a site bring that restart within a second
-static constexpr size_t kLogBytesMost = 1 << 20;
+static constexpr size_t kMaxLoggedChanges = 2000; // changes kept for others: more than all hosts of a site bring that restart within a second
+static constexpr size_t kMaxLogBytes = 1 << 20;
 static constexpr size_t kMaxRelayedValueSize = 32 << 10; // bytes; 300 client accounts. A larger value would fill a relay's link: each host reads it itself
-static constexpr double kStartRetryMs = 60; // pause, spread by half
+static constexpr double kStartupRetryMs = 60; // pause, spread by half
 
-static milliseconds getStartRetryPause()
+static milliseconds getStartupRetryPause()
 {
-    return milliseconds(static_cast<int64_t>(kStartRetryMs * (0.5 + base::getRandom())));
+    return milliseconds(static_cast<int64_t>(kStartupRetryMs * (0.5 + base::getRandom())));
 }
 
 static std::string formatHost(const links::RegisteredHost& host)
@@ -77,24 +77,24 @@
 
 TimePoint Directory::getDeadline() const
 {
-    return Clock::now() + m_timings.callLimit;
+    return Clock::now() + m_timings.callTimeout;
 }
 
-TimePoint Directory::getStartDeadline(unsigned tries) const
+TimePoint Directory::getStartupDeadline(unsigned attempts) const
 {
-    bool isShort = tries % (kStartShortCalls + 1) < kStartShortCalls;
-    return isShort ? Clock::now() + std::min(kStartCallLimit, m_timings.callLimit) : getDeadline();
+    bool isShort = attempts % (kStartupShortCalls + 1) < kStartupShortCalls;
+    return isShort ? Clock::now() + std::min(kStartupCallTimeout, m_timings.callTimeout) : getDeadline();
 }
 
-void Directory::begin()
+void Directory::start()
 {
     asio::co_spawn(m_context, follow(), asio::detached);
-    asio::co_spawn(m_context, keepEntry(), asio::detached);
+    asio::co_spawn(m_context, maintainEntry(), asio::detached);
 }
 
-asio::awaitable<void> Directory::end()
+asio::awaitable<void> Directory::stop()
 {
-    m_isEnding = true;
+    m_isStopping = true;
     if (m_lease == 0)
         co_return;
     links::StoreChange change;
@@ -104,14 +104,14 @@
 
 void Directory::refreshConfiguration(uint64_t version)
 {
-    if (version <= m_version || m_mustReread)
+    if (version <= m_configurationVersion || m_mustReread)
         return;
     if (isFollowingRelay()) { // it comes that way, unless something is amiss
-        m_reportedVersion = decisions::applyReportedChange(m_reportedVersion, version, m_version, Clock::now());
-        if (!decisions::isWatchSilent(m_reportedVersion, m_version, Clock::now()))
+        m_reportedVersion = decisions::applyReportedChange(m_reportedVersion, version, m_configurationVersion, Clock::now());
+        if (!decisions::isWatchSilent(m_reportedVersion, m_configurationVersion, Clock::now()))
             return;
     }
-    base::logEvent(LogClass::State, "configuration-behind", { { "here", static_cast<int64_t>(m_version) }, { "elsewhere", static_cast<int64_t>(version) } });
+    base::logEvent(LogClass::State, "configuration-behind", { { "here", static_cast<int64_t>(m_configurationVersion) }, { "elsewhere", static_cast<int64_t>(version) } });
     m_mustReread = true;
     m_platform.getStore().cancelWatch();
 }
@@ -171,28 +171,28 @@
 
 asio::awaitable<void> Directory::follow()
 {
-    while (!m_isEnding) {
-        bool isGood = true;
+    while (!m_isStopping) {
+        bool isOk = true;
         if (m_mustReread) {
-            isGood = co_await readConfiguration();
-            m_mustReread = !isGood;
+            isOk = co_await readConfiguration();
+            m_mustReread = !isOk;
         }
-        if (isGood && isFollowingRelay()) {
-            m_failures = 0;
+        if (isOk && isFollowingRelay()) {
+            m_failureCount = 0;
             co_await base::sleepFor(kRelayCheckInterval);
             continue;
         }
-        if (isGood)
-            isGood = m_mustList ? co_await readAll() : co_await watchOnce();
-        m_failures = isGood ? 0 : m_failures + 1;
-        if (!isGood)
-            co_await waitForStore(m_version == 0 ? getStartRetryPause() : decisions::getRetryPause(m_failures, base::getRandom()));
+        if (isOk)
+            isOk = m_mustList ? co_await readAll() : co_await watchOnce();
+        m_failureCount = isOk ? 0 : m_failureCount + 1;
+        if (!isOk)
+            co_await waitForStore(m_configurationVersion == 0 ? getStartupRetryPause() : decisions::getRetryPause(m_failureCount, base::getRandom()));
     }
 }
 
 bool Directory::waitsForRelays() const
 {
-    return m_isStoreLostByRelays && m_hasRelay && !m_isWatcher && m_version != 0;
+    return m_isStoreLostByRelays && m_hasRelay && !m_isWatcher && m_configurationVersion != 0;
 }
 
 // The pause after a failed call. While the relays have lost the store as well, it is gone for all: a host that is none waits until one has it again, or for
@@ -201,11 +201,11 @@
 asio::awaitable<void> Directory::waitForStore(milliseconds pause)
 {
     auto began = Clock::now();
-    bool hadWaited = waitsForRelays();
-    auto spread = decisions::jitterRetryAfter(kLostPause, base::getRandom());
-    while (waitsForRelays() && !m_mustReread && Clock::now() - began < spread && !m_isEnding)
+    bool mustWait = waitsForRelays();
+    auto maxWait = decisions::jitterRetryAfter(kStoreLostPause, base::getRandom());
+    while (waitsForRelays() && !m_mustReread && Clock::now() - began < maxWait && !m_isStopping)
         co_await base::sleepFor(kRelayCheckInterval);
-    co_await base::sleepFor(hadWaited ? decisions::getRetryPause(kSpreadFailures, base::getRandom()) : pause);
+    co_await base::sleepFor(mustWait ? decisions::getRetryPause(kStoreReturnFailures, base::getRandom()) : pause);
 }
 
 asio::awaitable<bool> Directory::readConfiguration()
@@ -227,8 +227,8 @@
     std::optional<uint64_t> revision;
     for (bool hasMore = true; hasMore;) {
         auto after = items.empty() ? std::string() : items.back().key;
-        auto deadline = m_version == 0 ? getStartDeadline(m_listTries) : getDeadline();
-        ++m_listTries;
+        auto deadline = m_configurationVersion == 0 ? getStartupDeadline(m_listAttempts) : getDeadline();
+        ++m_listAttempts;
         auto page = co_await m_platform.getStore().list("", after, false, deadline);
         if (!page) {
             setReachable(false, page.error().reason);
@@ -242,9 +242,9 @@
     m_syncedAt = Clock::now();
     m_relayedAt = m_syncedAt;
     m_revision = *revision;
-    m_log.clear();
-    m_logBytes = 0;
-    m_logSince = *revision;
+    m_changeLog.clear();
+    m_changeLogBytes = 0;
+    m_logStartsAfter = *revision;
     m_mustList = false;
     setReachable(true, "listed");
     m_events.onMembersListed();
@@ -265,11 +265,11 @@
                 applyItem(it, std::nullopt);
         }
     }
-    for (auto& key : std::set(m_known)) {
+    for (auto& key : std::set(m_knownKeys)) {
         if (!listed.contains(key))
             applyItem({ .key = key, .revision = revision, .isDeleted = true }, std::nullopt);
     }
-    m_known = listed;
+    m_knownKeys = listed;
 }
 
 asio::awaitable<bool> Directory::watchOnce()
@@ -277,10 +277,10 @@
     m_isInterrupted = false;
     auto askedAt = Clock::now();
     auto since = m_revision;
-    if (m_logSince == 0) {
-        m_log.clear();
-        m_logBytes = 0;
-        m_logSince = since;
+    if (m_logStartsAfter == 0) {
+        m_changeLog.clear();
+        m_changeLogBytes = 0;
+        m_logStartsAfter = since;
     }
     auto changes = co_await m_platform.getStore().watch("", since, getWatchWait());
     if (changes) {
@@ -295,7 +295,7 @@
                 continue;
             m_newestChange = std::max(m_newestChange, it.revision);
             RelayedChange change { it, isRecent ? std::optional(now) : std::nullopt, now };
-            if (m_logSince != 0) // else a relay has relayed changes meanwhile, and the log would have a gap
+            if (m_logStartsAfter != 0) // else a relay has relayed changes meanwhile, and the log would have a gap
                 logChange(change);
             applyItem(it, change.changedAt);
         }
@@ -320,15 +320,15 @@
 
 void Directory::logChange(const RelayedChange& change)
 {
-    m_log.push_back(change);
-    auto& item = m_log.back().item;
+    m_changeLog.push_back(change);
+    auto& item = m_changeLog.back().item;
     if (item.key == m_platform.getConfigurationKey())
         item.value = m_platform.replaceKeysWithDigests(item.value); // what stands here is relayed to other hosts: keys of client accounts leave no host
-    m_logBytes += item.value.size();
-    while (m_log.size() > kLogMost || m_logBytes > kLogBytesMost) {
-        m_logSince = std::max(m_logSince, m_log.front().item.revision);
-        m_logBytes -= m_log.front().item.value.size();
-        m_log.pop_front();
+    m_changeLogBytes += item.value.size();
+    while (m_changeLog.size() > kMaxLoggedChanges || m_changeLogBytes > kMaxLogBytes) {
+        m_logStartsAfter = std::max(m_logStartsAfter, m_changeLog.front().item.revision);
+        m_changeLogBytes -= m_changeLog.front().item.value.size();
+        m_changeLog.pop_front();
     }
 }
 
@@ -336,11 +336,11 @@
 RelayedChanges Directory::getChanges(uint64_t since) const
 {
     RelayedChanges relayed;
-    bool canAnswer = m_isReachable && !m_isProbing && !m_mustList && m_isWatcher && m_logSince != 0;
-    if (!canAnswer || since < m_logSince || since > m_revision)
+    bool canAnswer = m_isReachable && !m_isProbing && !m_mustList && m_isWatcher && m_logStartsAfter != 0;
+    if (!canAnswer || since < m_logStartsAfter || since > m_revision)
         return relayed;
-    auto first = std::ranges::upper_bound(m_log, since, {}, [](const RelayedChange& it) { return it.item.revision; });
-    for (auto it = first; it != m_log.end(); ++it) {
+    auto first = std::ranges::upper_bound(m_changeLog, since, {}, [](const RelayedChange& it) { return it.item.revision; });
+    for (auto it = first; it != m_changeLog.end(); ++it) {
         relayed.changes.push_back(*it);
         relayed.changes.back().isLarge = it->item.value.size() > kMaxRelayedValueSize;
     }
@@ -368,7 +368,7 @@
     }
     m_revision = relayed.untilRevision;
     m_syncedAt = m_relayedAt;
-    m_logSince = 0; // it has not read these itself
+    m_logStartsAfter = 0; // it has not read these itself
 }
 
 // The store answers the renewals of this host's lease all the while: without one there is a doubt, and the host looks itself.
@@ -386,9 +386,9 @@
         return;
     }
     if (item.isDeleted)
-        m_known.erase(item.key);
+        m_knownKeys.erase(item.key);
     else
-        m_known.insert(item.key);
+        m_knownKeys.insert(item.key);
     if (item.key.starts_with(members)) {
         if (item.isDeleted) {
             m_events.onMemberRemoved(item.key.substr(members.size()), item.revision);
@@ -418,9 +418,9 @@
         base::logEvent(LogClass::State, "configuration-refused", { { "reason", std::string_view(configuration.error()) } });
         return;
     }
-    if (configuration->version <= m_version)
+    if (configuration->version <= m_configurationVersion)
         return;
-    m_version = configuration->version;
+    m_configurationVersion = configuration->version;
     m_events.onConfiguration(*configuration);
 }
 
@@ -428,7 +428,7 @@
 {
     auto name = item.key.substr(kHostsPrefix.size());
     if (item.isDeleted) {
-        if (name == m_self.name && m_lease != 0 && !m_isEnding) {
+        if (name == m_self.name && m_lease != 0 && !m_isStopping) {
             base::logEvent(LogClass::State, "entry-lost", { { "reason", std::string_view("the store dropped this host's entry") } });
             m_lease = 0; // keepEntry() writes it anew
         }
@@ -485,8 +485,8 @@
 asio::awaitable<bool> Directory::writeEntry()
 {
     auto& store = m_platform.getStore();
-    auto deadline = getStartDeadline(m_entryTries);
-    ++m_entryTries;
+    auto deadline = getStartupDeadline(m_entryAttempts);
+    ++m_entryAttempts;
     auto lease = co_await store.grantLease(m_timings.lease, deadline);
     if (!lease)
         co_return false;
@@ -500,20 +500,20 @@
     if (!written)
         co_return false;
     m_lease = *lease;
-    m_entryTries = 0;
+    m_entryAttempts = 0;
     co_return true;
 }
 
-asio::awaitable<void> Directory::keepEntry()
+asio::awaitable<void> Directory::maintainEntry()
 {
     auto step = milliseconds(100);
     auto renewedAt = Clock::now();
-    while (!m_isEnding) {
+    while (!m_isStopping) {
         if (m_lease == 0) {
             bool isWritten = co_await writeEntry();
             renewedAt = Clock::now();
             if (!isWritten)
-                co_await waitForStore(decisions::getRetryPause(m_entryTries, base::getRandom()));
+                co_await waitForStore(decisions::getRetryPause(m_entryAttempts, base::getRandom()));
             continue;
         }
         co_await base::sleepFor(step);
--- a/src/gateway/directory.h
+++ b/src/gateway/directory.h
@@ -42,7 +42,7 @@
 };
 
 struct DirectoryTimings {
-    base::milliseconds callLimit { 1000 };
+    base::milliseconds callTimeout { 1000 };
     base::milliseconds watchWait { 2000 };
     base::milliseconds longWatchWait { 25000 }; // of hosts that hear of changes from others
     base::milliseconds lease { 6000 };
@@ -52,9 +52,9 @@
 public:
     Directory(boost::asio::io_context& context, links::PlatformAdapter& platform, links::RegisteredHost self, DirectoryTimings timings, DirectoryEvents events);
 
-    void begin();
+    void start();
     // Stops following and withdraws this host's entry.
-    boost::asio::awaitable<void> end();
+    boost::asio::awaitable<void> stop();
     // Another host has a newer configuration than this one: look at once.
     void refreshConfiguration(uint64_t version);
     // Whether this host looks often itself, or has a relay that tells it what changes.
@@ -84,7 +84,7 @@
     boost::asio::awaitable<bool> readAll();
     boost::asio::awaitable<bool> readConfiguration();
     boost::asio::awaitable<bool> watchOnce();
-    boost::asio::awaitable<void> keepEntry();
+    boost::asio::awaitable<void> maintainEntry();
     boost::asio::awaitable<bool> writeEntry();
     void cancelWatch();
     void startProbe();
@@ -101,7 +101,7 @@
     void reportUnreadable(const links::StoreItem& item, const std::string& reason);
     void setReachable(bool isReachable, const std::string& reason);
     base::TimePoint getDeadline() const;
-    base::TimePoint getStartDeadline(unsigned tries) const;
+    base::TimePoint getStartupDeadline(unsigned attempts) const;
 
     boost::asio::io_context& m_context;
     links::PlatformAdapter& m_platform;
@@ -109,30 +109,30 @@
     DirectoryTimings m_timings;
     DirectoryEvents m_events;
     uint64_t m_revision { 0 }; // all changes up to this one are known
-    uint64_t m_version { 0 }; // of the configuration
+    uint64_t m_configurationVersion { 0 }; // of the configuration
     uint64_t m_lease { 0 }; // 0: no entry of ours is known to stand
-    std::set<std::string> m_known; // keys
+    std::set<std::string> m_knownKeys; // keys
     base::TimePoint m_syncedAt {}; // when the store last relayed all that had changed
     uint64_t m_newestChange { 0 }; // revision of the newest change that a watch brought; the store's own revision moves with more than these
     decisions::ReportedChange m_reportedChange {};
     base::milliseconds m_watchPause { 0 }; // the last
-    std::deque<RelayedChange> m_log {}; // changes that this host's watches brought, for those that it relays to
-    size_t m_logBytes { 0 };
-    uint64_t m_logSince { 0 }; // the log holds all changes behind this revision up to m_revision; 0: it holds none
+    std::deque<RelayedChange> m_changeLog {}; // changes that this host's watches brought, for those that it relays to
+    size_t m_changeLogBytes { 0 };
+    uint64_t m_logStartsAfter { 0 }; // the log holds all changes behind this revision up to m_revision; 0: it holds none
     base::TimePoint m_relayedAt {}; // when a relay last relayed all changes
     decisions::ReportedChange m_reportedVersion {}; // of the configuration
-    unsigned m_failures { 0 }; // in a row
+    unsigned m_failureCount { 0 }; // in a row
     bool m_isWatcher { true };
     bool m_hasRelay { false };
     bool m_isStoreLostByRelays { false };
     bool m_isInterrupted { false };
     bool m_isProbing { false }; // the store may be out of reach: the next watch finds out
-    unsigned m_listTries { 0 }; // pages asked for so far
-    unsigned m_entryTries { 0 }; // since the entry was last written
+    unsigned m_listAttempts { 0 }; // pages asked for so far
+    unsigned m_entryAttempts { 0 }; // since the entry was last written
     bool m_mustList { true };
     bool m_mustReread { false };
     bool m_isReachable { false };
-    bool m_isEnding { false };
+    bool m_isStopping { false };
 };
 
 }
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -79,7 +79,7 @@
             return tl::make_unexpected(metrics.error());
         m_metrics = std::move(*metrics);
     }
-    m_directory.begin();
+    m_directory.start();
     m_sweep = m_timers.subscribe(m_context.get_executor(), kSweepInterval, [this] { sweep(); });
     base::logEvent(LogClass::State, "start", { { "version", std::string_view(ALDERWARD_VERSION) }, { "data_centre", std::string_view(m_settings.dataCentre) }, { "incarnation", static_cast<int64_t>(m_self.incarnation) } });
     return {};
@@ -635,7 +635,7 @@
 {
     auto cut = static_cast<int64_t>(m_sessions.size());
     m_peers.stop();
-    co_await m_directory.end();
+    co_await m_directory.stop();
     co_await base::sleepFor(kLastAnswers);
     base::logEvent(LogClass::State, "stop", { { "sessions_cut", cut } });
     base::flushEventLog();
