--- a/src/gateway/caller_session.cpp
+++ b/src/gateway/caller_session.cpp
@@ -12,8 +12,8 @@
 using decisions::Statement;
 using decisions::StatementKind;
 
-static constexpr size_t kPreparedMost = 256; // names in one session; bounds its memory
-static constexpr size_t kValuesMost = 256;
+static constexpr size_t kMaxPreparedStatements = 256; // names in one session; bounds its memory
+static constexpr size_t kMaxVariables = 256;
 
 CallerSession::CallerSession(SessionContext context, uint64_t number)
     : m_context(std::move(context))
@@ -22,20 +22,20 @@
 {
 }
 
-void CallerSession::begin(boost::asio::ip::tcp::socket socket)
+void CallerSession::start(boost::asio::ip::tcp::socket socket)
 {
     auto self = shared_from_this();
     m_channel->start(
-        std::move(socket), [self](std::string_view message) { self->takeMessage(message); }, [self](const std::string& reason) { self->close(reason); });
+        std::move(socket), [self](std::string_view message) { self->handleMessage(message); }, [self](const std::string& reason) { self->close(reason); });
 }
 
-void CallerSession::takeMessage(std::string_view message)
+void CallerSession::handleMessage(std::string_view message)
 {
     auto parsed = m_context.codec.parseCallerMessage(message);
     if (auto* hello = std::get_if<links::OpenSession>(&parsed); hello && !m_isOpen) {
         open(*hello);
     } else if (auto* statement = std::get_if<Statement>(&parsed); statement && m_isOpen) {
-        take(*statement);
+        handleStatement(*statement);
     } else if (std::holds_alternative<links::EndSession>(parsed)) {
         close("ended by the caller");
     } else {
@@ -46,22 +46,22 @@
 }
 
 // A host that has just started knows within some tens of ms whether the database exists. Afterwards its store is away, and nobody waits for that.
-bool CallerSession::mustWait() const
+bool CallerSession::mustWaitForConfiguration() const
 {
-    return m_context.view.configuration.version == 0 && !m_context.isDraining && Clock::now() < m_context.waitsUntil;
+    return m_context.view.configuration.version == 0 && !m_context.isDraining && Clock::now() < m_context.configurationDeadline;
 }
 
 void CallerSession::open(const links::OpenSession& message)
 {
-    if (mustWait()) {
-        m_opening = message;
+    if (mustWaitForConfiguration()) {
+        m_pendingOpen = message;
         m_channel->setReadingPaused(true);
         return;
     }
     m_database = message.database;
     auto& configuration = m_context.view.configuration;
     auto it = configuration.routes.find(m_database);
-    m_key = message.key;
+    m_keyDigest = message.key;
     if (it != configuration.routes.end())
         m_route = it->second;
     auto account = findOwnAccount();
@@ -81,7 +81,7 @@
         return;
     }
     m_account = *account;
-    m_keyCheckedIn = configuration.version;
+    m_keyCheckedVersion = configuration.version;
     m_isOpen = true;
     m_channel->send(m_context.codec.formatReady(SessionState::Idle));
     m_channel->setReadingPaused(false);
@@ -92,23 +92,23 @@
     auto& accounts = m_context.view.configuration.accounts;
     if (!accounts)
         return std::string();
-    if (auto* account = decisions::findAccount(*accounts, m_key))
+    if (auto* account = decisions::findAccount(*accounts, m_keyDigest))
         return account->name;
     return m_route.isPublic ? std::optional<std::string>("") : std::nullopt;
 }
 
 // A key can be taken away, or given to another account, while its session is open. Between transactions a key that moved counts for its new account.
-bool CallerSession::hasLostKey()
+bool CallerSession::isKeyLost()
 {
     auto version = m_context.view.configuration.version;
-    if (!m_isOpen || version == m_keyCheckedIn)
+    if (!m_isOpen || version == m_keyCheckedVersion)
         return false;
     auto account = findOwnAccount();
     bool isInTransaction = m_state != SessionState::Idle;
     if (!account || (isInTransaction && *account != m_account))
         return true;
     m_account = *account;
-    m_keyCheckedIn = version;
+    m_keyCheckedVersion = version;
     return false;
 }
 
@@ -118,7 +118,7 @@
 }
 
 // The caller hears it in answer to what it asked, and nothing of an open transaction is kept.
-void CallerSession::refuseKey()
+void CallerSession::answerLostKey()
 {
     logLostKey();
     if (m_transaction)
@@ -130,7 +130,7 @@
 }
 
 // Nothing was asked: an error says why the session ends.
-void CallerSession::endWithoutKey()
+void CallerSession::closeForLostKey()
 {
     logLostKey();
     m_channel->send(m_context.codec.formatError({ ErrorKind::UnknownKey, "the key is not known any more" }));
@@ -147,14 +147,14 @@
         m_route = {};
 }
 
-void CallerSession::take(const Statement& statement)
+void CallerSession::handleStatement(const Statement& statement)
 {
     m_isRunning = true;
     m_channel->setReadingPaused(true); // one at a time: the next one's answer depends on this one's
     if (m_state == SessionState::Idle)
         refreshRoute();
-    if (hasLostKey()) {
-        refuseKey();
+    if (isKeyLost()) {
+        answerLostKey();
         return;
     }
     if (m_route.database.empty()) {
@@ -162,12 +162,12 @@
         return;
     }
     if (m_state == SessionState::Failed) {
-        endFailed(statement);
+        endFailedTransaction(statement);
         return;
     }
     switch (statement.kind) {
     case StatementKind::SetVariable:
-        setValue(statement);
+        setVariable(statement);
         break;
     case StatementKind::Prepare:
         prepare(statement);
@@ -190,19 +190,19 @@
     }
 }
 
-void CallerSession::setValue(const Statement& statement)
+void CallerSession::setVariable(const Statement& statement)
 {
-    if (m_values.size() >= kValuesMost && !m_values.contains(statement.name)) {
+    if (m_variables.size() >= kMaxVariables && !m_variables.contains(statement.name)) {
         answerError(ErrorKind::BadRequest, "too many values in one session");
         return;
     }
-    m_values[statement.name] = statement.argument;
+    m_variables[statement.name] = statement.argument;
     answerOk();
 }
 
 void CallerSession::prepare(const Statement& statement)
 {
-    if (m_prepared.size() >= kPreparedMost && !m_prepared.contains(statement.name)) {
+    if (m_prepared.size() >= kMaxPreparedStatements && !m_prepared.contains(statement.name)) {
         answerError(ErrorKind::BadRequest, "too many prepared statements in one session");
         return;
     }
@@ -228,7 +228,7 @@
     m_state = SessionState::InTransaction;
     m_isReadOnly = statement.kind == StatementKind::BeginReadOnly;
     m_hasWritten = false;
-    m_spent = {};
+    m_transactionTime = {};
     m_transaction.reset();
     answerOk();
 }
@@ -247,7 +247,7 @@
 }
 
 // The transaction was rolled back when it failed; here the caller ends it for itself.
-void CallerSession::endFailed(const Statement& statement)
+void CallerSession::endFailedTransaction(const Statement& statement)
 {
     bool isEnd = statement.kind == StatementKind::Commit || statement.kind == StatementKind::Rollback;
     if (!isEnd) {
@@ -261,20 +261,20 @@
         answerError(ErrorKind::TransactionAborted, "the transaction had failed and was rolled back");
 }
 
-bool CallerSession::fillRouted(RoutedStatement& routed, const Statement& statement)
+bool CallerSession::fillRoutedStatement(RoutedStatement& routed, const Statement& statement)
 {
     auto now = Clock::now();
-    m_askedAt = now;
+    m_statementArrivedAt = now;
     routed.route = m_route;
     routed.session = m_name;
     routed.arrivedAt = now;
     routed.order.statement = statement;
-    routed.order.values = m_values;
+    routed.order.values = m_variables;
     routed.order.priority = m_route.priority;
     routed.order.account = m_account;
     routed.order.database = static_cast<uint32_t>(decisions::getHash(m_route.database));
     bool isInTransaction = m_state == SessionState::InTransaction;
-    routed.order.objective = decisions::getObjectiveEnd(now, m_route.objective, isInTransaction ? m_spent : TimePoint::duration());
+    routed.order.objective = decisions::getObjectiveEnd(now, m_route.objective, isInTransaction ? m_transactionTime : TimePoint::duration());
     routed.order.deadline = now + m_route.statementLimit;
     if (statement.kind != StatementKind::Execute)
         return true;
@@ -294,55 +294,55 @@
         answerError(ErrorKind::BadRequest, "no transaction is open");
         return;
     }
-    if (!fillRouted(routed, statement)) {
+    if (!fillRoutedStatement(routed, statement)) {
         answerError(ErrorKind::UnknownStatement, "nothing is prepared under this name");
         return;
     }
     auto self = shared_from_this();
     auto ran = routed.order.statement;
-    auto done = [self, ran](const Outcome& outcome, const std::optional<TransactionHandle>& transaction) { self->takeOutcome(ran, outcome, transaction); };
+    auto done = [self, ran](const Outcome& outcome, const std::optional<TransactionHandle>& transaction) { self->handleOutcome(ran, outcome, transaction); };
     if (m_transaction) {
         m_context.router.runNext(*m_transaction, std::move(routed), done);
         return;
     }
     bool isOpening = m_state == SessionState::InTransaction;
     routed.order.kind = isOpening ? OrderKind::Begin : OrderKind::Single;
-    bool readsOnly = isOpening ? m_isReadOnly : !ran.isWrite;
-    routed.needsLeader = !readsOnly || m_route.consistency == decisions::Consistency::Primary;
+    bool isReadOnly = isOpening ? m_isReadOnly : !ran.isWrite;
+    routed.needsLeader = !isReadOnly || m_route.consistency == decisions::Consistency::Primary;
     if (!routed.needsLeader) {
         auto mark = decisions::getReadMark(m_route, m_context.view.groups[m_route.group].floors, m_lastCommit, routed.arrivedAt);
         routed.needsLeader = !mark; // no floor is young enough: the leader itself proves freshness
         routed.need = mark.value_or(Mark {});
     }
-    routed.order.isReadOnly = readsOnly && !routed.needsLeader;
+    routed.order.isReadOnly = isReadOnly && !routed.needsLeader;
     m_context.router.run(std::move(routed), done);
 }
 
 // What the caller is told. A promise that nothing is kept is made only where no commit can have arrived.
-decisions::Error CallerSession::translate(const Statement& statement, const decisions::Error& error, bool wasSent) const
+decisions::Error CallerSession::translateError(const Statement& statement, const decisions::Error& error, bool wasSent) const
 {
     bool isInTransaction = m_state == SessionState::InTransaction;
     bool isCommit = statement.kind == StatementKind::Commit;
-    bool mayBeKept = (isCommit && m_hasWritten) || (!isInTransaction && statement.isWrite);
-    bool isUnclear = error.kind == ErrorKind::OutcomeUnknown || error.kind == ErrorKind::StatementTimedOut || error.kind == ErrorKind::Internal;
-    if (isUnclear && mayBeKept && wasSent)
+    bool mayBeCommitted = (isCommit && m_hasWritten) || (!isInTransaction && statement.isWrite);
+    bool isOutcomeUnclear = error.kind == ErrorKind::OutcomeUnknown || error.kind == ErrorKind::StatementTimedOut || error.kind == ErrorKind::Internal;
+    if (isOutcomeUnclear && mayBeCommitted && wasSent)
         return { ErrorKind::OutcomeUnknown, error.message };
-    if (isUnclear)
+    if (isOutcomeUnclear)
         return { ErrorKind::TransactionAborted, error.message };
     return error;
 }
 
-void CallerSession::takeOutcome(const Statement& statement, const Outcome& outcome, const std::optional<TransactionHandle>& transaction)
+void CallerSession::handleOutcome(const Statement& statement, const Outcome& outcome, const std::optional<TransactionHandle>& transaction)
 {
     bool isCommit = statement.kind == StatementKind::Commit;
     bool wasInTransaction = m_state == SessionState::InTransaction;
     auto answer = outcome;
     if (answer.error)
-        answer.error = translate(statement, *answer.error, answer.wasSent);
+        answer.error = translateError(statement, *answer.error, answer.wasSent);
     if (!answer.error && (isCommit ? m_hasWritten : !wasInTransaction && statement.isWrite))
         m_lastCommit = std::max(m_lastCommit, answer.position);
     if (wasInTransaction) {
-        m_spent += Clock::now() - m_askedAt;
+        m_transactionTime += Clock::now() - m_statementArrivedAt;
         if (!m_transaction && transaction && !answer.error)
             m_transaction = transaction;
         m_hasWritten = m_hasWritten || statement.isWrite;
@@ -379,7 +379,7 @@
 void CallerSession::send(const Outcome& outcome)
 {
     m_isRunning = false;
-    m_restingSince = Clock::now();
+    m_idleSince = Clock::now();
     m_channel->send(m_context.codec.formatAnswer(outcome, m_state));
     if (m_isDraining && m_state == SessionState::Idle) {
         m_channel->closeAfterWrite();
@@ -406,19 +406,19 @@
 
 void CallerSession::sweep(TimePoint now)
 {
-    if (m_opening && !mustWait()) {
-        auto message = std::move(*m_opening);
-        m_opening.reset();
+    if (m_pendingOpen && !mustWaitForConfiguration()) {
+        auto message = std::move(*m_pendingOpen);
+        m_pendingOpen.reset();
         open(message);
         return;
     }
-    if (!m_isRunning && hasLostKey()) {
-        endWithoutKey();
+    if (!m_isRunning && isKeyLost()) {
+        closeForLostKey();
         return;
     }
     auto limit = m_context.view.configuration.transactionIdle;
-    bool isResting = m_state == SessionState::InTransaction && !m_isRunning && m_transaction;
-    if (limit.count() == 0 || !isResting || now - m_restingSince < limit)
+    bool isIdleInTransaction = m_state == SessionState::InTransaction && !m_isRunning && m_transaction;
+    if (limit.count() == 0 || !isIdleInTransaction || now - m_idleSince < limit)
         return;
     base::logEvent(LogClass::Failure, "transaction-ended", { { "session", std::string_view(m_name) }, { "reason", "it rested for too long" } });
     m_context.router.end(*m_transaction);
--- a/src/gateway/caller_session.h
+++ b/src/gateway/caller_session.h
@@ -10,7 +10,7 @@
     ClusterView& view;
     StatementRouter& router;
     const bool& isDraining;
-    base::TimePoint waitsUntil; // for the first configuration of this process
+    base::TimePoint configurationDeadline; // for the first configuration of this process
     std::function<void(const std::shared_ptr<class CallerSession>&)> onEnd;
 };
 
@@ -18,7 +18,7 @@
 public:
     CallerSession(SessionContext context, uint64_t number);
 
-    void begin(boost::asio::ip::tcp::socket socket);
+    void start(boost::asio::ip::tcp::socket socket);
     // Closes the session as soon as nothing of it is in flight: a planned stop.
     void drain();
     // Rolls an open transaction back and closes.
@@ -30,20 +30,20 @@
     bool isRunning() const { return m_isRunning; }
 
 private:
-    void takeMessage(std::string_view message);
+    void handleMessage(std::string_view message);
     void open(const links::OpenSession& message);
-    bool mustWait() const;
-    void take(const decisions::Statement& statement);
-    void setValue(const decisions::Statement& statement);
+    bool mustWaitForConfiguration() const;
+    void handleStatement(const decisions::Statement& statement);
+    void setVariable(const decisions::Statement& statement);
     void prepare(const decisions::Statement& statement);
     void deallocate(const decisions::Statement& statement);
     void beginTransaction(const decisions::Statement& statement);
     void rollback(const decisions::Statement& statement);
-    void endFailed(const decisions::Statement& statement);
+    void endFailedTransaction(const decisions::Statement& statement);
     void runOnTarget(const decisions::Statement& statement);
-    bool fillRouted(RoutedStatement& routed, const decisions::Statement& statement);
-    void takeOutcome(const decisions::Statement& statement, const Outcome& outcome, const std::optional<TransactionHandle>& transaction);
-    decisions::Error translate(const decisions::Statement& statement, const decisions::Error& error, bool wasSent) const;
+    bool fillRoutedStatement(RoutedStatement& routed, const decisions::Statement& statement);
+    void handleOutcome(const decisions::Statement& statement, const Outcome& outcome, const std::optional<TransactionHandle>& transaction);
+    decisions::Error translateError(const decisions::Statement& statement, const decisions::Error& error, bool wasSent) const;
     void answerOk();
     void answerError(decisions::ErrorKind kind, const std::string& message);
     void send(const Outcome& outcome);
@@ -51,9 +51,9 @@
     void refreshRoute();
     // Who the caller is by the configuration in force now; nullopt if its key opens nothing.
     std::optional<std::string> findOwnAccount() const;
-    bool hasLostKey();
-    void refuseKey();
-    void endWithoutKey();
+    bool isKeyLost();
+    void answerLostKey();
+    void closeForLostKey();
     void logLostKey() const;
 
     SessionContext m_context;
@@ -61,20 +61,20 @@
     std::shared_ptr<links::Channel> m_channel;
     std::string m_database;
     decisions::DatabaseRoute m_route;
-    decisions::KeyDigest m_key {};
+    decisions::KeyDigest m_keyDigest {};
     std::string m_account; // empty: none, on a platform without accounts or a public route
-    uint64_t m_keyCheckedIn { 0 }; // version of the configuration in which the key was last looked up
-    decisions::SessionVariables m_values;
+    uint64_t m_keyCheckedVersion { 0 }; // version of the configuration in which the key was last looked up
+    decisions::SessionVariables m_variables;
     std::map<std::string, decisions::PreparedShape> m_prepared;
     decisions::SessionState m_state { decisions::SessionState::Idle };
     bool m_isReadOnly { false }; // the transaction
     bool m_hasWritten { false }; // the transaction
-    TimePoint::duration m_spent {}; // under the transaction's statements so far
-    TimePoint m_askedAt {}; // when the statement that runs came
+    TimePoint::duration m_transactionTime {}; // under the transaction's statements so far
+    TimePoint m_statementArrivedAt {}; // when the statement that runs came
     std::optional<TransactionHandle> m_transaction; // empty until its first statement
     Mark m_lastCommit;
-    TimePoint m_restingSince {};
-    std::optional<links::OpenSession> m_opening; // waits for the configuration
+    TimePoint m_idleSince {};
+    std::optional<links::OpenSession> m_pendingOpen; // waits for the configuration
     bool m_isOpen { false };
     bool m_isRunning { false };
     bool m_isDraining { false };
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -153,7 +153,7 @@
             SessionContext context { m_context, m_platform->getCodec(), m_view, m_router, m_isEnding, m_startedAt + kStartTakes, [this](const std::shared_ptr<CallerSession>& it) { m_sessions.erase(it); } };
             auto session = std::make_shared<CallerSession>(std::move(context), ++m_lastSession);
             m_sessions.insert(session);
-            session->begin(std::move(socket));
+            session->start(std::move(socket));
         }
         accept();
     });
--- a/src/gateway/target_pool.cpp
+++ b/src/gateway/target_pool.cpp
@@ -18,7 +18,7 @@
 static constexpr milliseconds kBrokenPause { 100 }; // after a connection could not be had
 static constexpr unsigned kReservedConnections = 2; // never held by transactions, so that single statements go on
 static constexpr milliseconds kBusyPause { 15 }; // before a target that was busy is asked again: about one statement's time
-static constexpr size_t kPreparedMost = 200; // shapes kept on one connection
+static constexpr size_t kMaxPreparedStatements = 200; // shapes kept on one connection
 static constexpr unsigned kOpeningMost = 2; // connections at a time; each takes a slot of the target for a while
 static constexpr milliseconds kComeBackLeast { 300 }; // told to callers that were refused; less would bring them back into the same queue
 
@@ -369,7 +369,7 @@
 {
     auto& order = job.order;
     auto plan = decisions::planConnection(session->state, order.values, order.shape);
-    if (session->state.prepared.size() > kPreparedMost)
+    if (session->state.prepared.size() > kMaxPreparedStatements)
         plan = decisions::planConnection({ { { "", "" } }, {} }, order.values, order.shape);
     auto self = shared_from_this();
     auto check = [self, session](const Outcome& outcome) {
