--- a/src/gateway/cluster_view.cpp
+++ b/src/gateway/cluster_view.cpp
@@ -32,31 +32,30 @@
     group.pendingUntil = now + kPromotionGracePeriod;
 }
 
-// Hosts stop to assume a term at different moments: without this check they would tell it to each other in turns, for good.
+// Hosts discard an assumed term at different times. Without this check they would keep reporting it to each other.
 void applyAssumedPrimary(GroupView& group, const std::string& member, uint64_t term, TimePoint now)
 {
     if (term > group.discardedTerm)
         applyOrderedPrimary(group, member, term, now);
 }
 
-// A term that follows from an order can be too high: "done" is also the answer to an order for the member that leads already. It gives way to a primary that
-// shows an older one once the order has had its time. Without that, a host that had denied such a lead believed no proof of it any more (no primary for 30 s and
-// more). An old primary's answer that comes late does not count: it was asked before.
+// An assumed term can be too high, as a platform also reports success if the member was already primary. Once the order has timed out, a proof of an older term
+// replaces it; otherwise the group could stay without a primary. Answers to queries sent before that do not count: they may come from the old primary.
 uint64_t getMinTerm(const GroupView& group, TimePoint askedAt)
 {
     bool isAssumed = group.primary.term > group.provenTerm;
     return isAssumed && askedAt >= group.pendingUntil ? group.provenTerm : group.primary.term;
 }
 
-void applyProvenPrimary(GroupView& group, const std::string& member, uint64_t term, TimePoint askedAt, ProofRecipient shownTo)
+void applyProvenPrimary(GroupView& group, const std::string& member, uint64_t term, TimePoint askedAt, ProofRecipient recipient)
 {
     auto known = group.primary;
-    bool givesWay = term < known.term && term >= getMinTerm(group, askedAt);
-    if (givesWay) {
+    bool isDiscarded = term < known.term && term >= getMinTerm(group, askedAt);
+    if (isDiscarded) {
         group.discardedTerm = known.term;
         known = { "", term, false };
     }
-    group.primary = shownTo == ProofRecipient::ThisHost ? decisions::applyPrimaryProof(known, member, term) : decisions::applyPrimaryReport(known, member, term);
+    group.primary = recipient == ProofRecipient::ThisHost ? decisions::applyPrimaryProof(known, member, term) : decisions::applyPrimaryReport(known, member, term);
     group.provenTerm = std::max(group.provenTerm, term);
 }
 
@@ -66,12 +65,12 @@
     group.provenTerm = std::max(group.provenTerm, term);
 }
 
-// The order of decisions::rankForwarders().
+// Keeps the order of decisions::rankForwarders().
 static void insertHost(const ClusterView& view, const std::string& key, HostRanking& ranking, const std::string& host)
 {
     auto rank = [&](const std::string& name) { return std::tuple(view.hosts.at(name).dataCentre == ranking.dataCentre, decisions::getHostWeight(key, name), name); };
-    auto own = rank(host);
-    auto position = std::ranges::partition_point(ranking.hosts, [&](const std::string& it) { return rank(it) > own; });
+    auto hostRank = rank(host);
+    auto position = std::ranges::partition_point(ranking.hosts, [&](const std::string& it) { return rank(it) > hostRank; });
     ranking.hosts.insert(position, host);
 }
 
@@ -129,6 +128,7 @@
     return getHostRanking(view, "neighbours of " + self, "");
 }
 
+// Start times are compared for equality only, as clocks may be set back. Without them, a sequence that went back shows a restart.
 bool isDifferentIncarnation(const links::MemberIncarnation& before, const links::MemberIncarnation& now)
 {
     if (before.startedAtMs != 0 && now.startedAtMs != 0)
@@ -136,9 +136,9 @@
     return now.sequence < before.sequence;
 }
 
-// Clocks of members differ: whatever speaks for it counts. Counts of members that started together differ by one, and by one for each word on a change of state or role.
-static constexpr uint64_t kMaxSequenceSkew = 3;
+static constexpr uint64_t kMaxSequenceSkew = 3; // between members that started together: one, and one for each change of state or role
 
+// Clocks of members differ, so either an earlier start time or a higher sequence is sufficient.
 bool mayHaveStartedBefore(const links::MemberIncarnation& incarnation, const links::MemberIncarnation& other)
 {
     bool isUnknown = (incarnation.startedAtMs == 0 || other.startedAtMs == 0) && (incarnation.sequence == 0 || other.sequence == 0);
@@ -151,17 +151,17 @@
     return group.floors.isEmpty() ? group.newestReplicaMark : std::max(group.newestReplicaMark, group.floors.floors.back().mark);
 }
 
-// Addresses and rankings go by id; all that was seen of the process goes with it. Floors are the group's: what was acknowledged stays so.
+// Discards what was known about the member's previous process. The group's floors stay, as acknowledged commits remain valid.
 static void resetMember(ClusterView& view, MemberView& member, TimePoint now)
 {
     auto& group = view.groups[member.registration.group];
     group.primary = decisions::applyPrimaryDenial(group.primary, member.registration.id);
-    group.wasComparedWithReplicas = false; // with the process of before
+    group.wasComparedWithReplicas = false; // that was with the previous process
     member.leavingSince.reset();
     member.lastFailureAt = {};
     member.lastAnswerAt = {};
     member.progress = {};
-    member.progress.observedAt = now; // positions that others saw before say nothing
+    member.progress.observedAt = now; // ignores positions that other hosts observed earlier
     member.hasRestarted = true;
 }
 
@@ -176,7 +176,7 @@
     auto& member = view.members[registration.id];
     if (isRestarted)
         resetMember(view, member, now);
-    if (hasMoved) // a group that kept the id would name a member that is forgotten later
+    if (hasMoved) // the old group must not keep the id of a member that may be removed later
         std::erase(view.groups[member.registration.group].members, registration.id);
     member.revision = revision;
     if (!registration.isLeaving)
@@ -190,7 +190,7 @@
     auto& group = view.groups[registration.group];
     if (std::ranges::find(group.members, registration.id) == group.members.end())
         group.members.push_back(registration.id);
-    if (registration.saysPrimary && !isRestarted) // it has yet to show that it holds what it acknowledged
+    if (registration.saysPrimary && !isRestarted) // after a restart it must first prove that it still has its log
         group.primary = decisions::applyPrimaryListing(group.primary, registration.id);
     return isRestarted ? MemberChange::Restarted : MemberChange::Applied;
 }
@@ -202,9 +202,9 @@
         return false;
     view.membersRevision = std::max(view.membersRevision, revision);
     it->second.revision = revision;
-    bool isNews = !it->second.unlistedAt;
+    bool wasListed = !it->second.unlistedAt;
     it->second.unlistedAt = it->second.unlistedAt.value_or(now);
-    return isNews;
+    return wasListed;
 }
 
 std::vector<std::string> removeUnlistedMembers(ClusterView& view, milliseconds keep, TimePoint now)
--- a/src/gateway/cluster_view.h
+++ b/src/gateway/cluster_view.h
@@ -1,5 +1,5 @@
-// What a host believes about the cluster: configuration, members, hosts, who leads, how fresh reads can be. One value, owned by the
-// gateway, touched on its executor only.
+// What a host knows about the cluster: configuration, members, hosts, the primary of each group and its read floors. Parts may be
+// out of date. The gateway owns one value and uses it on its executor only.
 #pragma once
 #include "decisions/choice.h"
 #include "decisions/leaving.h"
@@ -12,37 +12,37 @@
 
 struct MemberView {
     links::RegisteredMember registration {};
-    uint64_t revision { 0 }; // of the change in the store that this rests on; what is older changes nothing
-    std::optional<TimePoint> unlistedAt {}; // the store's list dropped it then; it may still lead
-    std::optional<TimePoint> leavingSince {}; // empty: it does not leave
-    bool hasRestarted { false }; // under its id: it holds nothing until it has shown a position
-    TimePoint lastFailureAt {}; // the last time a connection to it failed here
+    uint64_t revision { 0 }; // of the last applied change in the store; older changes are ignored
+    std::optional<TimePoint> unlistedAt {}; // when its store entry was removed; it may still be primary
+    std::optional<TimePoint> leavingSince {}; // empty: it is not leaving
+    bool hasRestarted { false }; // with the same id: its log is unknown until it reports a position
+    TimePoint lastFailureAt {}; // of a connection from this host
     TimePoint lastAnswerAt {};
-    TimePoint primaryQueriedAt {}; // when this host last asked whether it leads, nobody being known to
-    decisions::LogProgress progress {}; // of its log
+    TimePoint primaryQueriedAt {}; // when this host last asked it whether it is primary, while no primary was known
+    decisions::LogProgress progress {};
 
     TargetAddress getTarget() const { return { registration.id, registration.group, registration.address }; }
 };
 
 struct GroupView {
     decisions::KnownPrimary primary {};
-    uint64_t provenTerm { 0 }; // the newest that a member showed. A lead of a newer term is assumed: it follows from an order
+    uint64_t provenTerm { 0 }; // newest term proven by a member. A primary of a newer term is assumed from a promotion order
     decisions::FloorHistory floors {};
-    TimePoint pendingUntil {}; // a change of primary was ordered; until then the new one may not know yet that it leads
-    uint64_t discardedTerm { 0 }; // an assumed one that gave way: those that still assume it are not believed
-    TimePoint lastProofAt {}; // when the primary last showed this host itself that it leads
-    decisions::KnownPrimary lastRejectedProof {}; // the last one that was not believed, as logged
+    TimePoint pendingUntil {}; // until then, a member that was ordered to become primary may not know it yet
+    uint64_t discardedTerm { 0 }; // newest assumed term that turned out wrong; reports of it by other hosts are ignored
+    TimePoint lastProofAt {}; // when the primary last proved its role to this host directly
+    decisions::KnownPrimary lastRejectedProof {}; // avoids logging it again
     std::vector<std::string> members {}; // ids
-    bool isQueryingReplicas { false }; // its replicas are being asked what they hold
-    bool wasComparedWithReplicas { false }; // enough of them have answered
-    bool lacksReplicaAnswers { false }; // too few did, the last time: the primary is not believed
-    TimePoint replicasQueriedAt {}; // when they were last asked
-    Mark newestReplicaMark {}; // the most that any of them said to hold
+    bool isQueryingReplicas { false }; // a query for their log positions is in progress
+    bool wasComparedWithReplicas { false }; // enough replicas have answered
+    bool lacksReplicaAnswers { false }; // too few answered the last query: the primary is not trusted
+    TimePoint replicasQueriedAt {};
+    Mark newestReplicaMark {}; // newest log position reported by a replica
 };
 
-// Hosts in the order in which they are asked, kept between uses. See getCarriers() and getRankedHosts().
+// All hosts in a cached order of preference. See getForwarders() and getRankedHosts().
 struct HostRanking {
-    std::string dataCentre {}; // whose hosts come first; empty: none
+    std::string dataCentre {}; // its hosts come first; empty: no preference
     std::vector<std::string> hosts {};
 };
 
@@ -50,75 +50,76 @@
     links::GatewayConfiguration configuration {};
     std::map<std::string, MemberView> members {}; // by id
     std::map<std::string, GroupView> groups {};
-    std::map<std::string, links::RegisteredHost> hosts {}; // by name, this one included; changed through updateHost() and removeHost()
-    std::map<std::string, HostRanking> rankings {}; // by member or group
-    bool hasMembers { false }; // the list of members was read at least once
-    bool isPlacementDue { true }; // who leads, or what there is, has changed since this host last looked what it carries
-    uint64_t membersRevision { 0 }; // of the newest change of a member that is known
-    uint64_t removedRevision { 0 }; // of the newest one of a member that was forgotten since
+    std::map<std::string, links::RegisteredHost> hosts {}; // by name, including this one; change it through updateHost() and removeHost()
+    std::map<std::string, HostRanking> rankings {}; // by member, by group, or by the purpose of the ranking
+    bool hasMembers { false }; // the members were listed at least once
+    bool isPlacementDue { true }; // primaries, members or hosts have changed since this host last chose the members that it forwards to
+    uint64_t membersRevision { 0 }; // of the newest known change of a member
+    uint64_t removedRevision { 0 }; // of the newest change of a member that was then removed
 };
 
-// Whether a new operation may be sent to the member: it does not leave and is listed, or not for long.
+// Whether new operations may be sent to the member. For a part of `drainTime` after it began to leave or was unlisted, they still are.
 bool acceptsNewOperations(const MemberView& member, milliseconds drainTime, TimePoint now);
 
-// Whether nothing is known of what the member holds since it started again. Its carrier asks it; reads do not.
+// Whether the member has restarted and not yet reported its log position. Its forwarder queries it; reads are not sent to it.
 inline bool mustReportPosition(const MemberView& member) { return member.hasRestarted && member.progress.position.term == 0; }
 
-// Whether a member lacks commits that are older than replicas usually lack.
+// Whether a replica lacks commits older than kFarBehindThreshold.
 bool isFarBehind(const GroupView& group, const MemberView& member, TimePoint now);
 
-// A member said that it does not lead. One that was just made the primary is given time to become it.
+// The member denied that it is primary. Ignored while a promotion order for it may still be in progress.
 void denyPrimary(GroupView& group, const std::string& member, TimePoint now);
-// A change of primary was ordered. The term is assumed until a member shows it.
+// A promotion was ordered. The term is assumed until a member proves it.
 void applyOrderedPrimary(GroupView& group, const std::string& member, uint64_t term, TimePoint now);
-// Another host believes in that order, and shows nothing of it.
+// Another host assumes the term from a promotion order and has no proof of it.
 void applyAssumedPrimary(GroupView& group, const std::string& member, uint64_t term, TimePoint now);
 enum class ProofRecipient {
     ThisHost,
-    AnotherHost, // which told this one
+    AnotherHost, // which reported it to this one
 };
-// A member showed that it leads, in answer to a question that was sent at `askedAt`.
-void applyProvenPrimary(GroupView& group, const std::string& member, uint64_t term, TimePoint askedAt, ProofRecipient shownTo);
-// Members know the term, and nobody is known to lead in it.
+// A member proved that it is primary, in answer to a query sent at `askedAt`.
+void applyProvenPrimary(GroupView& group, const std::string& member, uint64_t term, TimePoint askedAt, ProofRecipient recipient);
+// Members know the term, and its primary is unknown.
 void applyProvenTerm(GroupView& group, uint64_t term);
-// The newest term that a lead shown in answer to a question of `askedAt` must not be older than.
+// The oldest term accepted in a proof that answers a query sent at `askedAt`.
 uint64_t getMinTerm(const GroupView& group, TimePoint askedAt);
 
-inline constexpr milliseconds kPromotionGracePeriod { 1500 }; // the platform names some hundred ms; the slowest site that was seen takes 1,000
+inline constexpr milliseconds kPromotionGracePeriod { 1500 }; // must exceed the time that a platform takes to promote a member
 
+// Adds the host or replaces its registration.
 void updateHost(ClusterView& view, const links::RegisteredHost& host);
 void removeHost(ClusterView& view, const std::string& name);
 
-// All hosts in the order in which they are asked to carry to a member, be they up or not: that differs from moment to moment, the
-// order only when a host comes or goes. Statements ask for it, so it is kept.
+// All hosts in order of preference as forwarders to the member, including unreachable ones. Cached, as each statement needs it; the
+// cache changes only with the set of hosts.
 const std::vector<std::string>& getForwarders(ClusterView& view, const MemberView& member);
-// All hosts in the order in which they are asked to be in charge of a group.
+// All hosts in order of preference as coordinators of a group. For quota servers, `group` is the ranking key of a quota shard.
 const std::vector<std::string>& getRankedHosts(ClusterView& view, const std::string& group);
 
-// The hosts of a data centre in the order in which they are asked to watch the store for it and to relay, then all others.
+// All hosts in order of preference as watchers and relays of a data centre, beginning with its own hosts.
 const std::vector<std::string>& getRelayOrder(ClusterView& view, const std::string& dataCentre);
-// All other hosts, in an order of this host's own: it keeps in touch with the first few, so that each is known to a few others.
+// All hosts, in an order particular to `self`. It exchanges status with the first few, so that each host is known to several others.
 const std::vector<std::string>& getNeighbours(ClusterView& view, const std::string& self);
 
-// Takes the members as listed now. Those that are missing are marked, not dropped: a leader may still serve.
-// `revision`: of the change in the store. `leavingSince`: what to believe of a member that is listed as leaving and was not known to.
 enum class MemberChange {
-    Outdated, // something newer is known
+    Outdated, // a newer change is known: ignored
     Applied,
-    Restarted, // another run of its process, or one of another group: what was known of the one before is forgotten
+    Restarted, // a new run of its process, or a process of another group: the state of the previous one was discarded
 };
+// Applies a member's store entry. `revision`: of the change in the store. `leavingSince`: assumed if the member is newly leaving.
 MemberChange applyMember(ClusterView& view, const links::RegisteredMember& registration, uint64_t revision, TimePoint leavingSince, TimePoint now);
-// Whether two entries under one id come from different runs of a process. A time of start that differs says so, whichever is later: clocks are set.
-// Where one of them does not say it, a count that went back does.
+// Whether two entries of one id come from different runs of a process.
 bool isDifferentIncarnation(const links::MemberIncarnation& before, const links::MemberIncarnation& now);
-// Whether the first of two members' processes may have started before the second, by what either of them says.
+// Whether the process of one member may have started before that of another member.
 bool mayHaveStartedBefore(const links::MemberIncarnation& incarnation, const links::MemberIncarnation& other);
-// The newest floor, or what a replica holds. A primary that is asked from now on holds it, or has lost its log.
+// The newest position known of the group's log. A primary that reports less from now on has lost its log.
 Mark getNewestKnownMark(const GroupView& group);
-// Whether that can be told: a host that has just started knows no floor, and a primary that started again with nothing would be believed.
+// Whether getNewestKnownMark() is known. Without it, as after a start of this host, a primary that restarted with an empty log would be
+// trusted.
 inline bool canDetectLostLog(const GroupView& group) { return !group.floors.isEmpty() || group.wasComparedWithReplicas; }
+// The member's store entry was removed. The member stays in the view, as it may still serve. Returns whether it was listed before.
 bool markMemberUnlisted(ClusterView& view, const std::string& id, uint64_t revision, TimePoint now);
-// Forgets members that were unlisted for longer than `keep`. Returns their ids.
+// Removes members that have been unlisted for longer than `keep`. Returns their ids.
 std::vector<std::string> removeUnlistedMembers(ClusterView& view, milliseconds keep, TimePoint now);
 
 }
