--- a/src/gateway/cluster_view.cpp
+++ b/src/gateway/cluster_view.cpp
@@ -82,7 +82,7 @@
         removeHost(view, host.name);
     bool isNew = known == view.hosts.end() || hasMoved;
     view.hosts[host.name] = host;
-    // Put into each ranking at its position: ranking all hosts anew for all members takes longer than hosts take to come.
+    // Inserting into each ranking is cheaper than ranking all hosts again for all members.
     for (auto& [key, ranking] : view.rankings) {
         if (isNew)
             insertHost(view, key, ranking, host.name);
--- a/src/gateway/directory.cpp
+++ b/src/gateway/directory.cpp
@@ -20,21 +20,20 @@
 using base::TimePoint;
 using links::StoreErrorKind;
 
-static constexpr milliseconds kImmediateResponse { 100 }; // an answer to a watch within this stood ready: one way there and back is 40 ms at most on the sites that were seen
-// A host that starts serves nobody until it has read the store, so it asks more often, and gives up sooner on a call that may have been lost with
-// the store's absence: on a store that came back 0.7 s after all hosts, the first was ready after 0.6 s, the last after 1.1 s without this.
-static constexpr milliseconds kStartupCallTimeout { 400 }; // ten times an answer from another region, and more than a slow store's 60 times 4 ms
-static constexpr milliseconds kProbeWait { 300 }; // of a watch that is to show whether the store is in reach: a host without it leaves its tasks to others
-static constexpr unsigned kStartupShortCalls = 2; // in a row, then one with the whole limit: a store may be slower than that
-static constexpr milliseconds kRelaySelectionDelay { 100 }; // a host that has read the store chooses its relays within this; then it needs no watch of its own
-static constexpr milliseconds kRelayTimeout { 1500 }; // a host that a relay tells all changes reads the store itself after this long without word
-static constexpr milliseconds kStoreLostPause { 6000 }; // spread by half: relays say within an exchange that the store is back, this is for when they cannot
-static constexpr unsigned kStoreReturnFailures = 3; // the pause after so many is half a second to a second and a half
-static constexpr milliseconds kRelayCheckInterval { 100 }; // between two looks whether that is so
-static constexpr size_t kMaxLoggedChanges = 2000; // changes kept for others: more than all hosts of a site bring that restart within a second
+static constexpr milliseconds kImmediateResponse { 100 }; // a watch answered within this time had pending changes; must exceed a round trip to the store
+// A starting host cannot serve until it has read the store, so it retries sooner and with shorter timeouts, as a call may have been lost.
+static constexpr milliseconds kStartupCallTimeout { 400 };
+static constexpr milliseconds kProbeWait { 300 }; // of the watch that tests whether the store is reachable
+static constexpr unsigned kStartupShortCalls = 2; // consecutive calls with the short timeout before one with the full timeout, for a slow store
+static constexpr milliseconds kRelaySelectionDelay { 100 }; // a host chooses its relays within this time after the first list, and then needs no watch
+static constexpr milliseconds kRelayTimeout { 1500 }; // without changes from a relay for this long, a host watches the store itself
+static constexpr milliseconds kStoreLostPause { 6000 }; // mean; retry this long after relays lost the store, in case they cannot report its return
+static constexpr unsigned kStoreReturnFailures = 3; // failure count whose retry pause spreads the calls after the store's return
+static constexpr milliseconds kRelayCheckInterval { 100 };
+static constexpr size_t kMaxLoggedChanges = 2000; // kept for hosts that this one relays to
 static constexpr size_t kMaxLogBytes = 1 << 20;
-static constexpr size_t kMaxRelayedValueSize = 32 << 10; // bytes; 300 client accounts. A larger value would fill a relay's link: each host reads it itself
-static constexpr double kStartupRetryMs = 60; // pause, spread by half
+static constexpr size_t kMaxRelayedValueSize = 32 << 10; // bytes; each host reads larger values from the store, so that they do not fill a relay's connections
+static constexpr double kStartupRetryMs = 60; // mean pause; jittered by 50 %
 
 static milliseconds getStartupRetryPause()
 {
@@ -46,7 +45,7 @@
     return json::serialize(json::object { { "address", host.address }, { "dataCentre", host.dataCentre }, { "incarnation", host.incarnation } });
 }
 
-// As formatHost() writes it. Another writer may have put something else there.
+// Parses the output of formatHost(). The store may hold entries by other writers, so every field is validated.
 static std::optional<links::RegisteredHost> parseHost(const std::string& name, const std::string& text)
 {
     boost::system::error_code ec;
@@ -106,7 +105,7 @@
 {
     if (version <= m_configurationVersion || m_mustReread)
         return;
-    if (isFollowingRelay()) { // it comes that way, unless something is amiss
+    if (isFollowingRelay()) { // the relay passes it on, unless the relay has failed
         m_reportedVersion = decisions::applyReportedChange(m_reportedVersion, version, m_configurationVersion, Clock::now());
         if (!decisions::isWatchSilent(m_reportedVersion, m_configurationVersion, Clock::now()))
             return;
@@ -144,8 +143,7 @@
     startProbe();
 }
 
-// A watch that this host breaks off says nothing of the store, and one that is silent would be waited for in vain. So the next is a short one:
-// a host that broke off each watch after 1.5 s went on for 14 s without the store and never knew.
+// A watch cancelled by this host does not show whether the store is reachable. So the next watch is short and runs to its end.
 void Directory::startProbe()
 {
     if (m_isProbing)
@@ -195,15 +193,14 @@
     return m_isStoreLostByRelays && m_hasRelay && !m_isWatcher && m_configurationVersion != 0;
 }
 
-// The pause after a failed call. While the relays have lost the store as well, it is gone for all: a host that is none waits until one has it again, or for
-// kLostPause. On a day whose store was gone for 7 s: 13,724 calls in place of 16,845, 0.077 of worth in place of 0.095. Then they do not come at one moment.
-// A newer configuration that others have in force was read there: the store is gone for the relays only. A host that went on waiting was 7.8 s behind, with 6 s allowed.
+// Pauses after a failed call. If the relays have lost the store too, this host waits until one reports its return, at most for kStoreLostPause, and then for a
+// random pause, so that the hosts do not call together. It does not wait if another host has a newer configuration: then the store is reachable for some hosts.
 asio::awaitable<void> Directory::waitForStore(milliseconds pause)
 {
-    auto began = Clock::now();
+    auto startedAt = Clock::now();
     bool mustWait = waitsForRelays();
     auto maxWait = decisions::jitterRetryAfter(kStoreLostPause, base::getRandom());
-    while (waitsForRelays() && !m_mustReread && Clock::now() - began < maxWait && !m_isStopping)
+    while (waitsForRelays() && !m_mustReread && Clock::now() - startedAt < maxWait && !m_isStopping)
         co_await base::sleepFor(kRelayCheckInterval);
     co_await base::sleepFor(mustWait ? decisions::getRetryPause(kStoreReturnFailures, base::getRandom()) : pause);
 }
@@ -219,8 +216,8 @@
     co_return true;
 }
 
-// All keys in one list: a starting host in another region is ready after one exchange with the store in place of three (40 ms each where
-// regions are 20 ms apart). Pages are no snapshot: changes made meanwhile come again with the watch, which starts at the first page's revision.
+// Lists all keys in one pass, to save round trips at the start. Pages are not a snapshot: the watch starts at the revision of the first page and repeats
+// changes made during the listing.
 asio::awaitable<bool> Directory::readAll()
 {
     std::vector<links::StoreItem> items;
@@ -252,7 +249,7 @@
     co_return true;
 }
 
-// Hosts before members: whoever knows members and no other host takes itself for the one that carries to all of them.
+// Applies hosts before members. A host that knew members but no other hosts would consider itself the forwarder to all of them.
 void Directory::applyList(const std::vector<links::StoreItem>& items, uint64_t revision)
 {
     auto membersPrefix = m_platform.getMembersPrefix();
@@ -287,7 +284,7 @@
         m_isProbing = false;
         setReachable(true, "watch answered");
         auto now = Clock::now();
-        bool wasImmediate = now - askedAt < kImmediateResponse; // what stood ready may have waited for as long as this host could not ask
+        bool wasImmediate = now - askedAt < kImmediateResponse; // pending changes may be as old as the time since the last watch
         bool isRecent = !wasImmediate || now - m_syncedAt <= decisions::kSilentWatchThreshold;
         m_syncedAt = now;
         for (auto& it : changes->items) {
@@ -295,7 +292,7 @@
                 continue;
             m_newestChange = std::max(m_newestChange, it.revision);
             RelayedChange change { it, isRecent ? std::optional(now) : std::nullopt, now };
-            if (m_logStartsAfter != 0) // else a relay has relayed changes meanwhile, and the log would have a gap
+            if (m_logStartsAfter != 0) // otherwise a relay has sent changes meanwhile, and the log would have a gap
                 logChange(change);
             applyItem(it, change.changedAt);
         }
@@ -306,7 +303,7 @@
         }
         co_return true;
     }
-    if (m_mustReread || m_isInterrupted) // we broke it off ourselves
+    if (m_mustReread || m_isInterrupted) // cancelled by this host
         co_return true;
     m_isProbing = false;
     if (changes.error().kind == StoreErrorKind::HistoryLost) {
@@ -323,7 +320,7 @@
     m_changeLog.push_back(change);
     auto& item = m_changeLog.back().item;
     if (item.key == m_platform.getConfigurationKey())
-        item.value = m_platform.replaceKeysWithDigests(item.value); // what stands here is relayed to other hosts: keys of client accounts leave no host
+        item.value = m_platform.replaceKeysWithDigests(item.value); // API keys must not be sent to other hosts
     m_changeLogBytes += item.value.size();
     while (m_changeLog.size() > kMaxLoggedChanges || m_changeLogBytes > kMaxLogBytes) {
         m_logStartsAfter = std::max(m_logStartsAfter, m_changeLog.front().item.revision);
@@ -332,7 +329,7 @@
     }
 }
 
-// A host that has lost the store knows of no change: it must not say that there is none.
+// Returns nothing while the store may be unreachable: an empty list of changes would claim that there are none.
 RelayedChanges Directory::getChanges(uint64_t since) const
 {
     RelayedChanges relayed;
@@ -353,7 +350,7 @@
     if (relayed.untilRevision == 0 || m_mustList || m_isWatcher)
         return;
     m_relayedAt = Clock::now();
-    if (relayed.untilRevision < m_revision) // this host has read the store later than its relay
+    if (relayed.untilRevision < m_revision) // this host has read the store more recently than its relay
         return;
     for (auto& it : relayed.changes) {
         if (it.item.revision <= m_revision)
@@ -368,10 +365,10 @@
     }
     m_revision = relayed.untilRevision;
     m_syncedAt = m_relayedAt;
-    m_logStartsAfter = 0; // it has not read these itself
+    m_logStartsAfter = 0; // these changes were not received from the store itself and must not be relayed
 }
 
-// The store answers the renewals of this host's lease all the while: without one there is a doubt, and the host looks itself.
+// A failed lease renewal starts a probe, and the host watches the store itself until that is answered.
 bool Directory::isFollowingRelay() const
 {
     return m_hasRelay && !m_isWatcher && !m_mustList && m_isReachable && !m_isProbing && Clock::now() - m_relayedAt < kRelayTimeout;
@@ -399,7 +396,7 @@
             m_events.onMember(*member, item.revision, changedAt);
             return;
         }
-        // It names no member to use: one that it named before is out of use, as if the entry were gone.
+        // An unreadable entry counts as removed, so that its member is no longer used.
         reportUnreadable(item, member.error());
         m_events.onMemberRemoved(item.key.substr(members.size()), item.revision);
     } else if (item.key.starts_with(kHostsPrefix))
@@ -410,7 +407,7 @@
         applyNearQuotaAccounts(item);
 }
 
-// A version below the one in force is an old answer: it never goes back.
+// Ignores versions older than the current one: they come from outdated answers.
 void Directory::applyConfigurationItem(const links::StoreItem& item)
 {
     auto configuration = m_platform.parseConfiguration(item.value);
@@ -429,8 +426,8 @@
     auto name = item.key.substr(kHostsPrefix.size());
     if (item.isDeleted) {
         if (name == m_self.name && m_lease != 0 && !m_isStopping) {
-            base::logEvent(LogClass::State, "entry-lost", { { "reason", std::string_view("the store dropped this host's entry") } });
-            m_lease = 0; // keepEntry() writes it anew
+            base::logEvent(LogClass::State, "entry-lost", { { "reason", std::string_view("the store deleted this host's entry") } });
+            m_lease = 0; // maintainEntry() writes it again
         }
         m_events.onHostRemoved(name);
         return;
@@ -439,7 +436,7 @@
         m_events.onHost(*host);
         return;
     }
-    reportUnreadable(item, "no host's entry");
+    reportUnreadable(item, "not a valid host entry");
     m_events.onHostRemoved(name);
 }
 
@@ -454,7 +451,7 @@
     co_return written.has_value();
 }
 
-// As writeNearQuotaAccounts() writes it. Another writer may have put something else there.
+// Parses the output of writeNearQuotaAccounts(). The store may hold entries by other writers, so the value is validated.
 void Directory::applyNearQuotaAccounts(const links::StoreItem& item)
 {
     boost::system::error_code ec;
@@ -464,7 +461,7 @@
     auto number = std::string_view(item.key).substr(kQuotaPrefix.size());
     bool isNumber = !number.empty() && std::from_chars(number.data(), number.data() + number.size(), shard).ptr == number.data() + number.size();
     if (!list || !isNumber) {
-        reportUnreadable(item, "no list of accounts");
+        reportUnreadable(item, "not a list of accounts");
         return;
     }
     std::set<std::string> accounts;
@@ -475,7 +472,7 @@
     m_events.onNearQuotaAccounts(shard, accounts);
 }
 
-// A line a change, not a heartbeat: the store tells of an entry when more than its count has changed.
+// Logs one line for each change of an entry.
 void Directory::reportUnreadable(const links::StoreItem& item, const std::string& reason)
 {
     base::incrementCounter(base::MetricFamily::EntriesRefused, { { "result", "unreadable" } });
--- a/src/gateway/directory.h
+++ b/src/gateway/directory.h
@@ -1,4 +1,5 @@
-// Follows the platform's store: reads everything once, then waits for changes; keeps this host's own entry there under a lease.
+// Follows the platform's store: lists all items once, then watches for changes, directly or through a relay. Keeps this host's own
+// entry in the store under a lease.
 #pragma once
 #include "decisions/watching.h"
 #include "links/directory.h"
@@ -9,7 +10,7 @@
 
 namespace alderward::gateway {
 
-// Keys of the product's own in the store.
+// Prefixes of the keys in the store that belong to alderward.
 inline constexpr std::string_view kOwnPrefix = "alderward/";
 inline constexpr std::string_view kHostsPrefix = "alderward/hosts/";
 inline constexpr std::string_view kCoordinatorRecordPrefix = "alderward/succession/";
@@ -17,34 +18,34 @@
 
 struct DirectoryEvents {
     std::function<void(const links::GatewayConfiguration&)> onConfiguration;
-    // `changedAt`: when this host, or the one that told it, heard of the change; empty: it may be long ago.
+    // `changedAt`: when this host or its relay received the change; empty: unknown, possibly long ago.
     std::function<void(const links::RegisteredMember&, uint64_t revision, std::optional<base::TimePoint> changedAt)> onMember;
     std::function<void(const std::string& id, uint64_t revision)> onMemberRemoved;
-    std::function<void()> onMembersListed; // the list of members was read whole
+    std::function<void()> onMembersListed; // all members in the store have been reported
     std::function<void(const links::RegisteredHost&)> onHost;
     std::function<void(const std::string& name)> onHostRemoved;
     std::function<void(const std::string& group, const links::StoreItem&)> onCoordinatorRecord;
-    std::function<void(size_t shard, const std::set<std::string>& accounts)> onNearQuotaAccounts; // whose quotas may be used up
+    std::function<void(size_t shard, const std::set<std::string>& accounts)> onNearQuotaAccounts; // accounts that may have used up their quotas
 };
 
-// A change in the store, and when the host that reads there heard of it.
+// A change in the store as one host passes it on to another.
 struct RelayedChange {
     links::StoreItem item {};
-    std::optional<base::TimePoint> changedAt {}; // on this host's clock; empty: it may be long ago
-    base::TimePoint receivedAt {};
-    bool isLarge { false }; // the value is left out
+    std::optional<base::TimePoint> changedAt {}; // on this host's clock; empty: unknown, possibly long ago
+    base::TimePoint receivedAt {}; // by the host that watches the store
+    bool isLarge { false }; // the value is omitted: read it from the store
 };
 
-// All changes behind a revision, oldest first.
+// All changes after a revision, oldest first.
 struct RelayedChanges {
     std::vector<RelayedChange> changes {};
-    uint64_t untilRevision { 0 }; // revision; 0: the teller cannot say
+    uint64_t untilRevision { 0 }; // newest revision covered; 0: the sender does not know all changes
 };
 
 struct DirectoryTimings {
     base::milliseconds callTimeout { 1000 };
     base::milliseconds watchWait { 2000 };
-    base::milliseconds longWatchWait { 25000 }; // of hosts that hear of changes from others
+    base::milliseconds longWatchWait { 25000 }; // of hosts that are not watchers
     base::milliseconds lease { 6000 };
 };
 
@@ -53,30 +54,30 @@
     Directory(boost::asio::io_context& context, links::PlatformAdapter& platform, links::RegisteredHost self, DirectoryTimings timings, DirectoryEvents events);
 
     void start();
-    // Stops following and withdraws this host's entry.
+    // Stops following the store and deletes this host's entry.
     boost::asio::awaitable<void> stop();
-    // Another host has a newer configuration than this one: look at once.
+    // Reads the configuration if another host reports a newer version.
     void refreshConfiguration(uint64_t version);
-    // Whether this host looks often itself, or has a relay that tells it what changes.
+    // Sets whether this host polls the store often, and whether it has a relay that passes changes on.
     void setWatcher(bool isWatcher, bool hasRelay);
-    // Whether all relays of this host say that they have lost the store: it looks for the store's return seldom then, they look often.
+    // Sets whether all relays of this host report that they have lost the store. It then retries rarely and leaves retries to the relays.
     void setStoreLostByRelays(bool isLost) { m_isStoreLostByRelays = isLost; }
-    // The newest change that this host has seen, for other hosts.
+    // Revision of the newest change that this host has received.
     uint64_t getNewestChange() const { return m_newestChange; }
-    // Another host has seen `change`: if ours does not bring it, our watch has fallen silent.
+    // Another host has received `change`. If it does not arrive here in time, this host probes the store.
     void applyReportedRevision(uint64_t change);
-    // Writes down which accounts of a shard come near to their quotas. Returns whether that worked.
+    // Stores which accounts of a shard are near their quotas. Returns whether the write succeeded.
     boost::asio::awaitable<bool> writeNearQuotaAccounts(size_t shard, std::set<std::string> accounts);
-    // What changed in the store behind a revision, for a host that has this one for a relay. Only what this host's own watches brought: hearsay is not
-    // passed on.
+    // Returns the changes after revision `since` for a host that uses this one as a relay. Only changes that this host received from the store
+    // itself are passed on.
     RelayedChanges getChanges(uint64_t since) const;
-    // What a relay told. While one does, this host holds no watch of its own, and a change costs the store a few answers and not one a host.
+    // Applies changes from a relay. While they keep arriving, this host does not watch the store itself, which limits the load on the store.
     void applyRelayedChanges(const RelayedChanges& relayed);
-    // Up to which all changes are known; 0 until the store was read.
+    // The revision up to which all changes are known; 0 until the store was listed.
     uint64_t getRevision() const { return m_mustList ? 0 : m_revision; }
-    // Whether the last call that told so was answered. Found out within kProbeWait and an answer's time once there is a doubt.
+    // Whether the store answered the last list, watch or configuration read. A suspected loss is confirmed by a short watch.
     bool isReachable() const { return m_isReachable; }
-    // Whether this host may miss changes: the store is lost, or a change that others know has not come.
+    // Whether this host may lack changes: the store is unreachable, or a change known to other hosts has not arrived.
     bool mayMissChanges() const { return !m_isReachable || m_isProbing; }
 
 private:
@@ -109,26 +110,26 @@
     DirectoryTimings m_timings;
     DirectoryEvents m_events;
     uint64_t m_revision { 0 }; // all changes up to this one are known
-    uint64_t m_configurationVersion { 0 }; // of the configuration
-    uint64_t m_lease { 0 }; // 0: no entry of ours is known to stand
-    std::set<std::string> m_knownKeys; // keys
-    base::TimePoint m_syncedAt {}; // when the store last relayed all that had changed
-    uint64_t m_newestChange { 0 }; // revision of the newest change that a watch brought; the store's own revision moves with more than these
-    decisions::ReportedChange m_reportedChange {};
-    base::milliseconds m_watchPause { 0 }; // the last
-    std::deque<RelayedChange> m_changeLog {}; // changes that this host's watches brought, for those that it relays to
+    uint64_t m_configurationVersion { 0 };
+    uint64_t m_lease { 0 }; // of this host's entry; 0: the entry must be written
+    std::set<std::string> m_knownKeys;
+    base::TimePoint m_syncedAt {}; // when all changes were last received, from the store or a relay
+    uint64_t m_newestChange { 0 }; // revision of the newest change received; the revision of the store also advances without changes of items
+    decisions::ReportedChange m_reportedChange {}; // by other hosts
+    base::milliseconds m_watchPause { 0 }; // previous pause between watches
+    std::deque<RelayedChange> m_changeLog {}; // changes received from the store, for the hosts that this one relays to
     size_t m_changeLogBytes { 0 };
-    uint64_t m_logStartsAfter { 0 }; // the log holds all changes behind this revision up to m_revision; 0: it holds none
-    base::TimePoint m_relayedAt {}; // when a relay last relayed all changes
-    decisions::ReportedChange m_reportedVersion {}; // of the configuration
-    unsigned m_failureCount { 0 }; // in a row
+    uint64_t m_logStartsAfter { 0 }; // the log holds all changes after this revision up to m_revision; 0: it is not valid
+    base::TimePoint m_relayedAt {}; // when a relay last sent all changes
+    decisions::ReportedChange m_reportedVersion {}; // newer configuration version reported by other hosts
+    unsigned m_failureCount { 0 }; // consecutive
     bool m_isWatcher { true };
     bool m_hasRelay { false };
     bool m_isStoreLostByRelays { false };
     bool m_isInterrupted { false };
-    bool m_isProbing { false }; // the store may be out of reach: the next watch finds out
-    unsigned m_listAttempts { 0 }; // pages asked for so far
-    unsigned m_entryAttempts { 0 }; // since the entry was last written
+    bool m_isProbing { false }; // the store may be unreachable: the next watch is a short one that tests it
+    unsigned m_listAttempts { 0 }; // pages requested so far
+    unsigned m_entryAttempts { 0 }; // to write the entry, since it was last written
     bool m_mustList { true };
     bool m_mustReread { false };
     bool m_isReachable { false };
