--- a/src/gateway/directory.cpp
+++ b/src/gateway/directory.cpp
@@ -103,7 +103,7 @@
 
 void Directory::refreshConfiguration(uint64_t version)
 {
-    if (version <= m_configurationVersion || m_mustReread)
+    if (version <= m_configurationVersion || m_mustReadConfiguration)
         return;
     if (isFollowingRelay()) { // the relay passes it on, unless the relay has failed
         m_reportedVersion = decisions::applyReportedChange(m_reportedVersion, version, m_configurationVersion, Clock::now());
@@ -111,7 +111,7 @@
             return;
     }
     base::logEvent(LogClass::State, "configuration-behind", { { "here", static_cast<int64_t>(m_configurationVersion) }, { "elsewhere", static_cast<int64_t>(version) } });
-    m_mustReread = true;
+    m_mustReadConfiguration = true;
     m_platform.getStore().cancelWatch();
 }
 
@@ -171,9 +171,9 @@
 {
     while (!m_isStopping) {
         bool isOk = true;
-        if (m_mustReread) {
+        if (m_mustReadConfiguration) {
             isOk = co_await readConfiguration();
-            m_mustReread = !isOk;
+            m_mustReadConfiguration = !isOk;
         }
         if (isOk && isFollowingRelay()) {
             m_failureCount = 0;
@@ -200,7 +200,7 @@
     auto startedAt = Clock::now();
     bool mustWait = waitsForRelays();
     auto maxWait = decisions::jitterRetryAfter(kStoreLostPause, base::getRandom());
-    while (waitsForRelays() && !m_mustReread && Clock::now() - startedAt < maxWait && !m_isStopping)
+    while (waitsForRelays() && !m_mustReadConfiguration && Clock::now() - startedAt < maxWait && !m_isStopping)
         co_await base::sleepFor(kRelayCheckInterval);
     co_await base::sleepFor(mustWait ? decisions::getRetryPause(kStoreReturnFailures, base::getRandom()) : pause);
 }
@@ -303,7 +303,7 @@
         }
         co_return true;
     }
-    if (m_mustReread || m_isInterrupted) // cancelled by this host
+    if (m_mustReadConfiguration || m_isInterrupted) // cancelled by this host
         co_return true;
     m_isProbing = false;
     if (changes.error().kind == StoreErrorKind::HistoryLost) {
@@ -359,7 +359,7 @@
         if (!it.isLarge)
             applyItem(it.item, it.changedAt);
         else if (it.item.key == m_platform.getConfigurationKey())
-            m_mustReread = true;
+            m_mustReadConfiguration = true;
         else
             m_mustList = true;
     }
--- a/src/gateway/directory.h
+++ b/src/gateway/directory.h
@@ -131,7 +131,7 @@
     unsigned m_listAttempts { 0 }; // pages requested so far
     unsigned m_entryAttempts { 0 }; // to write the entry, since it was last written
     bool m_mustList { true };
-    bool m_mustReread { false };
+    bool m_mustReadConfiguration { false };
     bool m_isReachable { false };
     bool m_isStopping { false };
 };
