--- a/src/gateway/caller_session.cpp
+++ b/src/gateway/caller_session.cpp
@@ -12,7 +12,7 @@
 using decisions::Statement;
 using decisions::StatementKind;
 
-static constexpr size_t kMaxPreparedStatements = 256; // names in one session; bounds its memory
+static constexpr size_t kMaxPreparedStatements = 256; // in one session; limits its memory
 static constexpr size_t kMaxVariables = 256;
 
 CallerSession::CallerSession(SessionContext context, uint64_t number)
@@ -39,13 +39,13 @@
     } else if (std::holds_alternative<links::EndSession>(parsed)) {
         close("ended by the caller");
     } else {
-        m_channel->send(m_context.codec.formatError({ ErrorKind::BadRequest, "the message is not understood here" }));
+        m_channel->send(m_context.codec.formatError({ ErrorKind::BadRequest, "unknown message, or not allowed in this state of the session" }));
         m_channel->closeAfterWrite();
         close("bad message");
     }
 }
 
-// A host that has just started knows within some tens of ms whether the database exists. Afterwards its store is away, and nobody waits for that.
+// A host that has just started usually has its configuration soon. After the deadline the store is probably unreachable, and callers are refused.
 bool CallerSession::mustWaitForConfiguration() const
 {
     return m_context.view.configuration.version == 0 && !m_context.isDraining && Clock::now() < m_context.configurationDeadline;
@@ -68,10 +68,10 @@
     std::optional<decisions::Error> refusal;
     if (m_context.isDraining)
         refusal = { ErrorKind::Draining, "this host is stopping" };
-    else if (configuration.version == 0) // the balancer sends callers to hosts that are not ready if it has no others
+    else if (configuration.version == 0) // load balancers use hosts that are not ready if there are no others
         refusal = { ErrorKind::NotConfigured, "this host has no configuration yet" };
-    else if (!account) // before the database is looked at: strangers learn nothing of what there is
-        refusal = { ErrorKind::UnknownKey, "the key is not known" };
+    else if (!account) // checked before the database, so that unauthorised callers cannot find out which databases exist
+        refusal = { ErrorKind::UnknownKey, "unknown API key" };
     else if (it == configuration.routes.end())
         refusal = { ErrorKind::UnknownGroup, "no such database" };
     if (refusal) {
@@ -97,7 +97,7 @@
     return m_route.isPublic ? std::optional<std::string>("") : std::nullopt;
 }
 
-// A key can be taken away, or given to another account, while its session is open. Between transactions a key that moved counts for its new account.
+// A key can be removed, or moved to another account, while its session is open. Between transactions the session then continues under the new account.
 bool CallerSession::isKeyLost()
 {
     auto version = m_context.view.configuration.version;
@@ -117,7 +117,7 @@
     base::logEvent(LogClass::Failure, "key-lost", { { "session", std::string_view(m_name) }, { "database", std::string_view(m_database) }, { "account", std::string_view(m_account) }, { "configuration", static_cast<int64_t>(m_context.view.configuration.version) } });
 }
 
-// The caller hears it in answer to what it asked, and nothing of an open transaction is kept.
+// Answers the current statement with the error, after rolling back an open transaction.
 void CallerSession::answerLostKey()
 {
     logLostKey();
@@ -125,19 +125,19 @@
         m_context.router.end(*m_transaction);
     m_transaction.reset();
     m_state = SessionState::Idle;
-    send(decisions::makeFailure(ErrorKind::UnknownKey, "the key is not known any more"));
-    close("the key is not known any more");
+    send(decisions::makeFailure(ErrorKind::UnknownKey, "the API key is no longer valid"));
+    close("the API key is no longer valid");
 }
 
-// Nothing was asked: an error says why the session ends.
+// No statement is running: an error message tells why the session ends.
 void CallerSession::closeForLostKey()
 {
     logLostKey();
-    m_channel->send(m_context.codec.formatError({ ErrorKind::UnknownKey, "the key is not known any more" }));
-    close("the key is not known any more");
+    m_channel->send(m_context.codec.formatError({ ErrorKind::UnknownKey, "the API key is no longer valid" }));
+    close("the API key is no longer valid");
 }
 
-// Between transactions, the route is the one in force now.
+// Takes the route from the current configuration. Called between transactions only.
 void CallerSession::refreshRoute()
 {
     auto it = m_context.view.configuration.routes.find(m_database);
@@ -150,7 +150,7 @@
 void CallerSession::handleStatement(const Statement& statement)
 {
     m_isRunning = true;
-    m_channel->setReadingPaused(true); // one at a time: the next one's answer depends on this one's
+    m_channel->setReadingPaused(true); // one statement at a time, as the next may depend on its result
     if (m_state == SessionState::Idle)
         refreshRoute();
     if (isKeyLost()) {
@@ -158,7 +158,7 @@
         return;
     }
     if (m_route.database.empty()) {
-        answerError(ErrorKind::UnknownGroup, "no such database any more");
+        answerError(ErrorKind::UnknownGroup, "the database no longer exists");
         return;
     }
     if (m_state == SessionState::Failed) {
@@ -183,7 +183,7 @@
         rollback(statement);
         break;
     case StatementKind::Unknown:
-        answerError(ErrorKind::BadRequest, "the statement is not understood");
+        answerError(ErrorKind::BadRequest, "unknown statement");
         break;
     default:
         runOnTarget(statement);
@@ -193,7 +193,7 @@
 void CallerSession::setVariable(const Statement& statement)
 {
     if (m_variables.size() >= kMaxVariables && !m_variables.contains(statement.name)) {
-        answerError(ErrorKind::BadRequest, "too many values in one session");
+        answerError(ErrorKind::BadRequest, "too many variables in one session");
         return;
     }
     m_variables[statement.name] = statement.argument;
@@ -213,16 +213,16 @@
 void CallerSession::deallocate(const Statement& statement)
 {
     if (m_prepared.erase(statement.name) == 0)
-        answerError(ErrorKind::UnknownStatement, "nothing is prepared under this name");
+        answerError(ErrorKind::UnknownStatement, "no prepared statement has this name");
     else
         answerOk();
 }
 
-// No target hears of it before the first statement: a transaction that rests holds no connection.
+// The transaction begins at a target with its first statement; until then it needs no connection.
 void CallerSession::beginTransaction(const Statement& statement)
 {
     if (m_state != SessionState::Idle) {
-        answerError(ErrorKind::BadRequest, "a transaction is open");
+        answerError(ErrorKind::BadRequest, "a transaction is already open");
         return;
     }
     m_state = SessionState::InTransaction;
@@ -246,19 +246,19 @@
     answerOk();
 }
 
-// The transaction was rolled back when it failed; here the caller ends it for itself.
+// The transaction was rolled back when it failed. The caller must still end it.
 void CallerSession::endFailedTransaction(const Statement& statement)
 {
     bool isEnd = statement.kind == StatementKind::Commit || statement.kind == StatementKind::Rollback;
     if (!isEnd) {
-        answerError(ErrorKind::BadRequest, "the transaction failed; end it first");
+        answerError(ErrorKind::BadRequest, "the transaction failed: commit or roll back before other statements");
         return;
     }
     m_state = SessionState::Idle;
     if (statement.kind == StatementKind::Rollback)
         answerOk();
     else
-        answerError(ErrorKind::TransactionAborted, "the transaction had failed and was rolled back");
+        answerError(ErrorKind::TransactionAborted, "the transaction failed earlier and was rolled back");
 }
 
 bool CallerSession::fillRoutedStatement(RoutedStatement& routed, const Statement& statement)
@@ -295,7 +295,7 @@
         return;
     }
     if (!fillRoutedStatement(routed, statement)) {
-        answerError(ErrorKind::UnknownStatement, "nothing is prepared under this name");
+        answerError(ErrorKind::UnknownStatement, "no prepared statement has this name");
         return;
     }
     auto self = shared_from_this();
@@ -311,14 +311,14 @@
     routed.needsLeader = !isReadOnly || m_route.consistency == decisions::Consistency::Primary;
     if (!routed.needsLeader) {
         auto mark = decisions::getReadMark(m_route, m_context.view.groups[m_route.group].floors, m_lastCommit, routed.arrivedAt);
-        routed.needsLeader = !mark; // no floor is young enough: the leader itself proves freshness
+        routed.needsLeader = !mark; // no floor is recent enough: only the primary can prove freshness
         routed.need = mark.value_or(Mark {});
     }
     routed.order.isReadOnly = isReadOnly && !routed.needsLeader;
     m_context.router.run(std::move(routed), done);
 }
 
-// What the caller is told. A promise that nothing is kept is made only where no commit can have arrived.
+// The error reported to the caller. An unclear outcome becomes TransactionAborted only if no commit can have reached a target.
 decisions::Error CallerSession::translateError(const Statement& statement, const decisions::Error& error, bool wasSent) const
 {
     bool isInTransaction = m_state == SessionState::InTransaction;
@@ -353,7 +353,7 @@
         m_state = isCommit ? SessionState::Idle : answer.error ? SessionState::Failed
                                                                : SessionState::InTransaction;
     }
-    if (!m_channel->isOpen() && m_transaction) { // the caller left while its statement ran
+    if (!m_channel->isOpen() && m_transaction) { // the caller disconnected while its statement was running
         m_context.router.end(*m_transaction);
         m_transaction.reset();
     }
@@ -420,7 +420,7 @@
     bool isIdleInTransaction = m_state == SessionState::InTransaction && !m_isRunning && m_transaction;
     if (limit.count() == 0 || !isIdleInTransaction || now - m_idleSince < limit)
         return;
-    base::logEvent(LogClass::Failure, "transaction-ended", { { "session", std::string_view(m_name) }, { "reason", "it rested for too long" } });
+    base::logEvent(LogClass::Failure, "transaction-ended", { { "session", std::string_view(m_name) }, { "reason", "the transaction was idle for too long" } });
     m_context.router.end(*m_transaction);
     m_transaction.reset();
     m_state = SessionState::Failed;
--- a/src/gateway/caller_session.h
+++ b/src/gateway/caller_session.h
@@ -1,4 +1,5 @@
-// A caller's session: one connection, its values, prepared statements and transaction. Answers by itself what no target has to see.
+// A caller's session: one connection with its variables, prepared statements and transaction. Statements that only change the session are
+// answered here; all others go to a target.
 #pragma once
 #include "gateway/statement_router.h"
 
@@ -10,7 +11,7 @@
     ClusterView& view;
     StatementRouter& router;
     const bool& isDraining;
-    base::TimePoint configurationDeadline; // for the first configuration of this process
+    base::TimePoint configurationDeadline; // until then, new sessions wait for the first configuration of this process
     std::function<void(const std::shared_ptr<class CallerSession>&)> onEnd;
 };
 
@@ -19,11 +20,12 @@
     CallerSession(SessionContext context, uint64_t number);
 
     void start(boost::asio::ip::tcp::socket socket);
-    // Closes the session as soon as nothing of it is in flight: a planned stop.
+    // Closes the session once it has no running statement and no open transaction.
     void drain();
-    // Rolls an open transaction back and closes.
+    // Rolls back an open transaction and closes the session.
     void abort();
-    // Ends what waited for too long.
+    // Periodic check: opens a session that waited for the configuration, closes it if its key is no longer valid, and rolls back a
+    // transaction that was idle for too long.
     void sweep(TimePoint now);
 
     bool isBusy() const { return m_isRunning || m_state != decisions::SessionState::Idle; }
@@ -49,7 +51,8 @@
     void send(const Outcome& outcome);
     void close(const std::string& reason);
     void refreshRoute();
-    // Who the caller is by the configuration in force now; nullopt if its key opens nothing.
+    // Looks up the caller's account in the current configuration. Empty string: the database is public or there are no accounts; nullopt:
+    // the key is not valid.
     std::optional<std::string> findOwnAccount() const;
     bool isKeyLost();
     void answerLostKey();
@@ -62,19 +65,19 @@
     std::string m_database;
     decisions::DatabaseRoute m_route;
     decisions::KeyDigest m_keyDigest {};
-    std::string m_account; // empty: none, on a platform without accounts or a public route
+    std::string m_account; // empty: the database is public or the platform has no accounts
     uint64_t m_keyCheckedVersion { 0 }; // version of the configuration in which the key was last looked up
     decisions::SessionVariables m_variables;
     std::map<std::string, decisions::PreparedShape> m_prepared;
     decisions::SessionState m_state { decisions::SessionState::Idle };
-    bool m_isReadOnly { false }; // the transaction
-    bool m_hasWritten { false }; // the transaction
-    TimePoint::duration m_transactionTime {}; // under the transaction's statements so far
-    TimePoint m_statementArrivedAt {}; // when the statement that runs came
+    bool m_isReadOnly { false }; // of the transaction
+    bool m_hasWritten { false }; // in the transaction
+    TimePoint::duration m_transactionTime {}; // time spent on the transaction's statements
+    TimePoint m_statementArrivedAt {}; // of the running statement
     std::optional<TransactionHandle> m_transaction; // empty until its first statement
     Mark m_lastCommit;
     TimePoint m_idleSince {};
-    std::optional<links::OpenSession> m_pendingOpen; // waits for the configuration
+    std::optional<links::OpenSession> m_pendingOpen; // waiting for the configuration
     bool m_isOpen { false };
     bool m_isRunning { false };
     bool m_isDraining { false };
