--- a/tests/gateway/accounts_test.cpp
+++ b/tests/gateway/accounts_test.cpp
@@ -1,4 +1,4 @@
-// Client accounts through real hosts: keys, connections by account, quotas over all hosts.
+// Client accounts in running hosts: keys, connections by account, quotas over all hosts.
 #include "harness/gateway_rig.h"
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
@@ -29,7 +29,7 @@
     });
 }
 
-// Everything that hosts wrote or show.
+// Logs and metrics of all hosts.
 std::string getOutput(GatewayRig& rig)
 {
     std::string text;
@@ -42,7 +42,7 @@
 
 BOOST_AUTO_TEST_SUITE(accounts)
 
-BOOST_AUTO_TEST_CASE(members_hear_the_account_of_each_statement_and_never_a_key)
+BOOST_AUTO_TEST_CASE(members_receive_the_account_of_each_statement_and_keys_are_never_exposed)
 {
     GatewayRig rig(makeShape());
     rig.beginHosts();
@@ -74,15 +74,15 @@
     shape.publicDatabase = "db0-bounded";
     GatewayRig rig(shape);
     rig.beginHosts();
-    LineCaller stranger(rig.getCallerAddress(1), "db0-bounded", "anybody");
-    BOOST_TEST(stranger.ask("READ a").isOk());
+    LineCaller publicCaller(rig.getCallerAddress(1), "db0-bounded", "anybody");
+    BOOST_TEST(publicCaller.ask("READ a").isOk());
     LineCaller mill(rig.getCallerAddress(1), "db0-bounded", "key-mill-1");
     BOOST_TEST(mill.ask("READ a").isOk());
     BOOST_TEST(getAccountOf(rig, mill.getLastId()) == "mill");
 }
 
-// In answer to a statement, while it rests, and in the middle of a transaction; nothing of that is kept.
-BOOST_AUTO_TEST_CASE(a_key_that_is_taken_away_ends_its_sessions)
+// Ends sessions that are idle or in a transaction, rolls the transaction back, and refuses new sessions.
+BOOST_AUTO_TEST_CASE(removing_a_key_ends_its_sessions)
 {
     GatewayRig rig(makeShape());
     rig.beginHosts();
@@ -97,13 +97,13 @@
     BOOST_TEST(inTransaction.isClosed(milliseconds(1000)));
     BOOST_TEST(LineCaller(rig.getCallerAddress(1), "db0-own", "key-mill-1").getHello().hasCode("UNAUTH"));
     BOOST_TEST(other.ask("READ taken").rows == std::vector<std::string>({ "" }), boost::test_tools::per_element());
-    rig.configureAccounts(3, { { "shop", { "key-shop-1" } } }); // the account is gone altogether
+    rig.configureAccounts(3, { { "shop", { "key-shop-1" } } }); // the account is removed
     BOOST_REQUIRE(rig.waitConfigured(1, 3));
     BOOST_TEST(other.isClosed(milliseconds(1000)));
 }
 
-// Between transactions a session follows its key; inside one it ends.
-BOOST_AUTO_TEST_CASE(a_key_that_moves_to_another_account_counts_for_it)
+// Between transactions a session continues under the key's new account; in a transaction it ends.
+BOOST_AUTO_TEST_CASE(sessions_follow_a_key_that_moves_to_another_account)
 {
     GatewayRig rig(makeShape());
     rig.beginHosts();
@@ -119,26 +119,26 @@
     BOOST_TEST(inTransaction.isClosed(milliseconds(1000)));
 }
 
-BOOST_AUTO_TEST_CASE(a_host_that_the_store_turns_away_hears_of_keys_from_others)
+BOOST_AUTO_TEST_CASE(a_host_without_the_store_receives_key_changes_from_other_hosts)
 {
     auto shape = makeShape();
     shape.hasProxies = true;
-    shape.hosts = 21; // seven a data centre: relays
+    shape.hosts = 21; // seven in each data centre, enough for relays
     GatewayRig rig(shape);
     rig.beginHosts();
     std::this_thread::sleep_for(milliseconds(1500)); // relays are chosen
-    unsigned cut = 20;
-    LineCaller resting(rig.getCallerAddress(cut), "db0-own", "key-mill-1");
+    unsigned cutHost = 20;
+    LineCaller resting(rig.getCallerAddress(cutHost), "db0-own", "key-mill-1");
     BOOST_TEST(resting.ask("READ a").isOk());
-    rig.setStoreCut(cut, true);
+    rig.setStoreCut(cutHost, true);
     rig.configureAccounts(2, { { "mill", { "key-mill-2", "key-mill-3" } }, { "shop", { "key-shop-1" } } });
-    BOOST_TEST(rig.waitConfigured(cut, 2, milliseconds(5000)));
+    BOOST_TEST(rig.waitConfigured(cutHost, 2, milliseconds(5000)));
     BOOST_TEST(resting.isClosed(milliseconds(1000)));
-    BOOST_TEST(LineCaller(rig.getCallerAddress(cut), "db0-own", "key-mill-1").getHello().hasCode("UNAUTH"));
-    BOOST_TEST(LineCaller(rig.getCallerAddress(cut), "db0-own", "key-mill-3").getHello().state == "I");
+    BOOST_TEST(LineCaller(rig.getCallerAddress(cutHost), "db0-own", "key-mill-1").getHello().hasCode("UNAUTH"));
+    BOOST_TEST(LineCaller(rig.getCallerAddress(cutHost), "db0-own", "key-mill-3").getHello().state == "I");
 }
 
-// Twice as many accounts as a carrier has connections: all are served, each on its own, and the member's limit holds.
+// More accounts than a forwarder has connections: all are served under their own account within the member's connection limit.
 BOOST_AUTO_TEST_CASE(more_accounts_than_connections_are_all_served)
 {
     std::vector<RigAccount> accounts;
@@ -163,32 +163,32 @@
     BOOST_TEST(rig.call([&] { return rig.getGroup().getConnectionsMost(primary); }) <= 12u);
 }
 
-// Callers without an account come in between: each still gets its connection at once, as those of accounts do.
+// Guards against callers with and without an account delaying each other's connections.
 BOOST_AUTO_TEST_CASE(public_callers_and_accounts_share_a_member)
 {
     std::vector<RigAccount> accounts;
     for (int i = 0; i < 8; ++i)
         accounts.push_back({ fmt::format("account{}", i), { fmt::format("key{}", i) } });
     auto shape = makeShape(accounts);
-    shape.connections = 8; // three for the host that carries
+    shape.connections = 8; // three for the forwarder
     shape.publicDatabase = "db0-primary";
     GatewayRig rig(shape);
     rig.beginHosts();
-    LineCaller stranger(rig.getCallerAddress(0), "db0-primary", "anybody");
+    LineCaller publicCaller(rig.getCallerAddress(0), "db0-primary", "anybody");
     for (int round = 0; round < 24; ++round) {
         LineCaller caller(rig.getCallerAddress(0), "db0-primary", fmt::format("key{}", round % 8));
         auto began = std::chrono::steady_clock::now();
         caller.send("WRITE x 1");
-        stranger.send("READ x");
+        publicCaller.send("READ x");
         BOOST_TEST(caller.receive().isOk(), "round " << round);
-        BOOST_TEST(stranger.receive().isOk(), "round " << round);
+        BOOST_TEST(publicCaller.receive().isOk(), "round " << round);
         auto took = std::chrono::steady_clock::now() - began;
-        BOOST_TEST((took < milliseconds(500)), "round " << round << ": " << std::chrono::duration_cast<milliseconds>(took).count() << " ms"); // what callers are content with
+        BOOST_TEST((took < milliseconds(500)), "round " << round << ": " << std::chrono::duration_cast<milliseconds>(took).count() << " ms"); // acceptable to callers
     }
 }
 
-// An account sends ten times its quota through all hosts at once: it gets its quota, in no window more than its bound, and another account is not touched.
-BOOST_AUTO_TEST_CASE(a_quota_holds_over_all_hosts)
+// An account that far exceeds its quota through all hosts gets its quota, but no more than the hard limit, and does not affect another account.
+BOOST_AUTO_TEST_CASE(a_quota_is_enforced_over_all_hosts)
 {
     auto shape = makeShape({ { "mill", { "key-mill" }, 10, 10 }, { "shop", { "key-shop" } } });
     GatewayRig rig(shape);
@@ -199,7 +199,7 @@
         callers.push_back(std::make_unique<LineCaller>(rig.getCallerAddress(i), "db0-own", "key-mill"));
         others.push_back(std::make_unique<LineCaller>(rig.getCallerAddress(i), "db0-own", "key-shop"));
     }
-    std::this_thread::sleep_for(milliseconds(5000)); // until then, what hosts did before they started may count
+    std::this_thread::sleep_for(milliseconds(5000)); // until then, the quota may include usage before the hosts started
     auto end = std::chrono::steady_clock::now() + milliseconds(4500); // within one window
     unsigned served = 0;
     unsigned refused = 0;
@@ -220,8 +220,8 @@
     BOOST_TEST(getOutput(rig).find("key-mill") == std::string::npos);
 }
 
-// The host that counts for all is killed again and again: the quota holds, and an account below its own is served.
-BOOST_AUTO_TEST_CASE(a_quota_holds_while_the_host_that_counts_is_replaced)
+// While hosts that may be the quota server are killed repeatedly, the quota is enforced, and an account within its own quota is served.
+BOOST_AUTO_TEST_CASE(a_quota_is_enforced_while_the_quota_server_is_replaced)
 {
     auto shape = makeShape({ { "mill", { "key-mill" }, 20, 10 }, { "shop", { "key-shop" }, 400, 400 } });
     GatewayRig rig(shape);
@@ -238,7 +238,7 @@
             rig.beginHost(static_cast<unsigned>(round / 100) % 2);
         }
         served += mill.ask("READ a").isOk() ? 1 : 0;
-        // Members out of reach are another matter: only what the quota refuses is counted.
+        // Only refusals by the quota count: members may be unreachable meanwhile.
         auto answer = shop.ask("READ a").result;
         bool isQuota = answer.find("client account shop") != std::string::npos;
         othersRefused += isQuota ? 1 : 0;
--- a/tests/gateway/platform_test.cpp
+++ b/tests/gateway/platform_test.cpp
@@ -1,4 +1,4 @@
-// The platform misbehaves: the store, the configuration, hosts that restart.
+// Faults of the platform: the store, the configuration, host registrations and host restarts.
 #include "decisions/placement.h"
 #include "harness/gateway_rig.h"
 #include <algorithm>
@@ -13,10 +13,10 @@
 
 using namespace harness;
 
-// An address at which connecting hangs, as at a machine without power: it listens, and its queue is full.
-class DarkAddress {
+// An address at which connecting hangs, as at a machine without power: a listening socket with a full backlog.
+class UnresponsiveAddress {
 public:
-    DarkAddress()
+    UnresponsiveAddress()
     {
         m_sockets.push_back(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
         sockaddr_in own {};
@@ -32,7 +32,7 @@
             ::connect(m_sockets.back(), reinterpret_cast<sockaddr*>(&own), sizeof own);
         }
     }
-    ~DarkAddress()
+    ~UnresponsiveAddress()
     {
         for (auto it : m_sockets)
             ::close(it);
@@ -46,19 +46,18 @@
 
 BOOST_AUTO_TEST_SUITE(platform)
 
-// Found at the bench: after the power of all hosts was off, the store still listed those that were not up again, and statements for
-// members that these carry to waited 700 ms for a connection.
-BOOST_AUTO_TEST_CASE(a_listed_host_that_swallows_connections_is_passed_over_at_once)
+// Guards against statements waiting for a connection timeout because their forwarder is registered in the store but is not running.
+BOOST_AUTO_TEST_CASE(statements_avoid_a_registered_host_that_does_not_accept_connections)
 {
     GatewayRig rig;
     rig.beginHosts();
     std::string name = "x";
     while (alderward::decisions::getHostWeight("g0-a", name) < alderward::decisions::getHostWeight("g0-a", "h0"))
-        name += "x"; // until it is the one that carries to the primary
-    DarkAddress dark;
-    rig.call([&] { rig.getStore().put("alderward/hosts/" + name, fmt::format(R"({{"address":"{}","dataCentre":"dc-a","incarnation":7}})", dark.getAddress())); });
+        name += "x"; // until it ranks first as forwarder to the primary
+    UnresponsiveAddress unresponsive;
+    rig.call([&] { rig.getStore().put("alderward/hosts/" + name, fmt::format(R"({{"address":"{}","dataCentre":"dc-a","incarnation":7}})", unresponsive.getAddress())); });
     BOOST_REQUIRE(waitUntil(milliseconds(3000), [&] { return rig.getLog(1).find("\"peer\":\"" + name + "\"") != std::string::npos || !LineCaller(rig.getCallerAddress(1), "db0-primary").ask("READ x", milliseconds(50)).isOk(); }));
-    // From here on statements went to it. Within less than the 700 ms they go elsewhere.
+    // Statements now go to that host. Other hosts must be tried before its connection times out.
     auto until = std::chrono::steady_clock::now() + milliseconds(500);
     unsigned served = 0;
     while (std::chrono::steady_clock::now() < until)
@@ -66,20 +65,20 @@
     BOOST_TEST(served > 0u);
 }
 
-BOOST_AUTO_TEST_CASE(a_configuration_is_in_force_everywhere_and_never_goes_back)
+BOOST_AUTO_TEST_CASE(all_hosts_apply_a_configuration_and_ignore_older_versions)
 {
     GatewayRig rig;
     rig.beginHosts();
     rig.configure(5, 1500, "added");
     for (unsigned i = 0; i < 3; ++i)
         BOOST_TEST(waitUntil(milliseconds(3000), [&] { return LineCaller(rig.getCallerAddress(i), "added").getHello().state == "I"; }));
-    rig.configure(4); // an old answer
+    rig.configure(4); // outdated version
     std::this_thread::sleep_for(milliseconds(600));
     for (unsigned i = 0; i < 3; ++i)
         BOOST_TEST(LineCaller(rig.getCallerAddress(i), "added").getHello().state == "I");
 }
 
-BOOST_AUTO_TEST_CASE(changes_come_through_lost_history_and_silent_watches)
+BOOST_AUTO_TEST_CASE(changes_arrive_despite_lost_history_and_silent_watches)
 {
     GatewayRig rig;
     rig.beginHosts();
@@ -95,8 +94,8 @@
         BOOST_TEST(waitUntil(milliseconds(5000), [&] { return LineCaller(rig.getCallerAddress(i), "after-silence").getHello().state == "I"; }));
 }
 
-// Found at the bench: callers that reached a host before it had its configuration were told that their database does not exist.
-BOOST_AUTO_TEST_CASE(a_host_without_configuration_is_not_ready_and_denies_no_database)
+// Guards against a host without a configuration reporting that a database does not exist.
+BOOST_AUTO_TEST_CASE(a_host_without_configuration_is_not_ready_and_refuses_callers_as_busy)
 {
     RigShape shape;
     shape.hosts = 1;
@@ -111,9 +110,8 @@
     BOOST_TEST(rig.waitReady(0, milliseconds(2000)));
 }
 
-// Found at the bench (phewa-huts, scale-2): all hosts restarted while the store was silent. It came back 0.7 s later, and they were ready 0.6 to
-// 1.1 s after that; their callers had been refused. Before, this caller was refused.
-BOOST_AUTO_TEST_CASE(a_caller_of_a_host_that_starts_is_taken_soon_after_the_store_answers)
+// Guards against refusing callers of a host that starts while the store is silent, and against slow readiness after the store's return.
+BOOST_AUTO_TEST_CASE(a_caller_of_a_starting_host_is_accepted_soon_after_the_store_answers)
 {
     RigShape shape;
     shape.hosts = 1;
@@ -137,14 +135,14 @@
     BOOST_TEST(rig.waitReady(0, milliseconds(1000)));
 }
 
-// Found at the bench: a pool that was made before the configuration kept two connections for good, and no transaction could begin.
-BOOST_AUTO_TEST_CASE(pools_made_before_the_configuration_take_its_limits)
+// Guards against a pool created before the configuration keeping its initial connection limit.
+BOOST_AUTO_TEST_CASE(pools_created_before_the_configuration_apply_its_limits)
 {
     GatewayRig rig;
     rig.call([&] { rig.getStore().faults.refusedKeys.insert("op/config"); });
     for (unsigned i = 0; i < 3; ++i)
         rig.beginHost(i);
-    std::this_thread::sleep_for(milliseconds(800)); // members and hosts are known, primaries are asked
+    std::this_thread::sleep_for(milliseconds(800)); // members and hosts are known, and primaries are queried
     rig.call([&] { rig.getStore().faults.refusedKeys.clear(); });
     for (unsigned i = 0; i < 3; ++i)
         BOOST_TEST(rig.waitReady(i));
@@ -156,7 +154,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(serving_goes_on_while_the_store_is_away_and_entries_come_back)
+BOOST_AUTO_TEST_CASE(hosts_serve_without_the_store_and_restore_their_deleted_entries)
 {
     RigShape shape;
     shape.extraSettings = ""; // default lease
@@ -177,15 +175,15 @@
     BOOST_TEST(waitUntil(milliseconds(5000), [&] { return rig.call([&] { return rig.getStore().has("alderward/hosts/h1"); }); }));
 }
 
-// Found at the bench: a host that no longer carries to a member kept its connections, and the new carrier could open none.
-BOOST_AUTO_TEST_CASE(connections_are_given_back_when_another_host_carries)
+// Guards against a host keeping connections to a member after another host became its forwarder, which then could open none.
+BOOST_AUTO_TEST_CASE(connections_are_closed_when_another_host_becomes_the_forwarder)
 {
     RigShape shape;
     shape.connections = 12;
     GatewayRig rig(shape);
-    rig.beginHost(0); // alone: it carries to all members
+    rig.beginHost(0); // alone: the forwarder to all members
     BOOST_TEST(rig.waitReady(0));
-    LineCaller(rig.getCallerAddress(0), "db0-primary").ask("READ x"); // a first floor
+    LineCaller(rig.getCallerAddress(0), "db0-primary").ask("READ x"); // the first read floor
     rig.call([&] {
         for (auto& id : rig.getGroup().getIds())
             rig.getGroup().getFaults(id).work = milliseconds(60);
@@ -216,30 +214,29 @@
     BOOST_TEST(waitUntil(milliseconds(3000), [&] { return open("g0-b") <= 2 && open("g0-c") <= 2; }));
 }
 
-BOOST_AUTO_TEST_CASE(a_restarted_host_serves_at_once_and_its_peers_find_it)
+BOOST_AUTO_TEST_CASE(a_restarted_host_serves_and_its_peers_reach_it)
 {
     GatewayRig rig;
     rig.beginHosts();
     rig.getHost(0).kill();
-    LineCaller meanwhile(rig.getCallerAddress(1), "db0-primary");
-    BOOST_TEST(waitUntil(milliseconds(4000), [&] { return meanwhile.ask("READ x").isOk(); }));
+    LineCaller otherCaller(rig.getCallerAddress(1), "db0-primary");
+    BOOST_TEST(waitUntil(milliseconds(4000), [&] { return otherCaller.ask("READ x").isOk(); }));
     rig.beginHost(0);
     BOOST_TEST(rig.waitReady(0));
     LineCaller caller(rig.getCallerAddress(0), "db0-primary");
     BOOST_TEST(caller.ask("READ x").isOk());
-    // Orders on connections to the new process are not lost when its new entry arrives.
+    // Statements on connections to the new process are not lost when its new store entry arrives.
     for (int i = 0; i < 200; ++i)
-        BOOST_TEST(meanwhile.ask("WRITE x " + std::to_string(i)).isOk());
+        BOOST_TEST(otherCaller.ask("WRITE x " + std::to_string(i)).isOk());
 }
 
-// Found at the bench: after a restart of all hosts each took itself for the only one until it had read the list of hosts, and
-// connected to every primary. The members refused what the hosts that carry needed.
-BOOST_AUTO_TEST_CASE(a_starting_host_connects_to_no_member_that_another_host_carries_to)
+// Guards against a starting host connecting to every primary before it has read the list of hosts, which uses up the members' connections.
+BOOST_AUTO_TEST_CASE(a_starting_host_does_not_connect_to_a_member_with_another_forwarder)
 {
     GatewayRig rig;
     rig.beginHosts();
-    auto carrier = rig.call([&] { return rig.getGroup().getPrimary(); });
-    BOOST_REQUIRE(carrier == "g0-a"); // in the data centre of the first host
+    auto primary = rig.call([&] { return rig.getGroup().getPrimary(); });
+    BOOST_REQUIRE(primary == "g0-a"); // in the data centre of the first host
     rig.getHost(1).kill();
     rig.call([&] { rig.getStore().faults.delay = milliseconds(150); });
     rig.beginHost(1);
@@ -248,9 +245,9 @@
     BOOST_TEST(rig.getMetrics(1).find("alderward_connections_opened_total{member=\"g0-a\"") == std::string::npos);
 }
 
-// A host that hears of changes from others breaks its own silent watch off. It took that for a good call, over and over, and never knew that
-// it had lost the store; whoever went by that left it in charge. Before: no such line in 6 s.
-BOOST_AUTO_TEST_CASE(a_host_without_the_store_says_so_also_while_it_hears_of_changes)
+// A host cancels its silent watch when other hosts report changes that it lacks. Guards against counting a cancelled watch as an answer of the
+// store: the loss of the store then goes unnoticed.
+BOOST_AUTO_TEST_CASE(loss_of_the_store_is_detected_while_other_hosts_report_changes)
 {
     RigShape shape;
     shape.hasProxies = true;
@@ -259,7 +256,7 @@
     rig.setStoreCut(1, true);
     bool isLeaving = false;
     BOOST_TEST(waitUntil(milliseconds(6000), [&] {
-        isLeaving = !isLeaving; // changes without end, each heard of with the next ping
+        isLeaving = !isLeaving; // continuous changes, reported by the next ping
         rig.call([&] { rig.getStore().setLeaving("g0-c", isLeaving); });
         std::this_thread::sleep_for(milliseconds(300));
         return rig.getLog(1).find("\"event\":\"store-lost\"") != std::string::npos;
@@ -268,9 +265,8 @@
     BOOST_TEST(waitUntil(milliseconds(4000), [&] { return rig.getLog(1).rfind("\"event\":\"store-regained\"") > rig.getLog(1).rfind("\"event\":\"store-lost\""); }));
 }
 
-// Before: only four of these were refused, a member without a group made a group without a name, and of what came behind the entry of a host with a
-// number for its address nothing was taken any more.
-BOOST_AUTO_TEST_CASE(entries_of_other_writers_harm_nobody_and_name_no_member_to_use)
+// Guards against malformed entries creating members or groups, and against one of them stopping the entries after it from being applied.
+BOOST_AUTO_TEST_CASE(malformed_store_entries_are_refused_and_their_members_not_used)
 {
     GatewayRig rig;
     rig.beginHosts();
@@ -285,14 +281,14 @@
     put("alderward/hosts/other", "not JSON");
     put("alderward/succession/unheard-of", R"({"orderers":[{"host":"h0","incarnation":"1"}],"firstToken":-1})");
     put("op/config", R"({"Version":99,"Routes":[{"Host":"db0-primary","Service":7}]})");
-    // A valid entry that turns invalid takes its member out of use; all others hold.
+    // A valid entry that becomes invalid takes its member out of use; other members are unaffected.
     put("servers/g0-c", R"({"Service":"g0"})");
     BOOST_TEST(waitUntil(milliseconds(3000), [&] { return rig.countEvents("member-unlisted") >= 3; }));
-    auto ranAt = [&](const std::string& member) {
+    auto countStatements = [&](const std::string& member) {
         auto ran = rig.call([&] { return rig.getGroup().getRan(); });
         return std::ranges::count(ran, member, &standins::RanStatement::member);
     };
-    auto before = ranAt("g0-c");
+    auto before = countStatements("g0-c");
     for (unsigned i = 0; i < 3; ++i) {
         LineCaller writer(rig.getCallerAddress(i), "db0-primary");
         LineCaller reader(rig.getCallerAddress(i), "db0-bounded");
@@ -302,12 +298,12 @@
         }
         BOOST_TEST(rig.getHost(i).isRunning());
     }
-    BOOST_TEST(ranAt("g0-c") == before);
+    BOOST_TEST(countStatements("g0-c") == before);
     BOOST_TEST(rig.countEvents("entry-unreadable") >= 3u * 9u);
-    BOOST_TEST(rig.countEvents("entry-unreadable") < 3u * 40u); // a line a change
+    BOOST_TEST(rig.countEvents("entry-unreadable") < 3u * 40u); // one line for each change
     BOOST_TEST(rig.countEvents("configuration-refused") >= 3u);
     BOOST_TEST(rig.getMetrics(0).find("alderward_entries_refused_total") != std::string::npos);
-    BOOST_TEST(rig.call([&] { return rig.getStore().getPromotions().size(); }) == 0u); // of no group that operators do not know
+    BOOST_TEST(rig.call([&] { return rig.getStore().getPromotions().size(); }) == 0u); // none for a group that is not configured
     rig.call([&] { rig.getStore().listMembers(); });
     BOOST_TEST(waitUntil(milliseconds(3000), [&] {
         auto log = rig.getLog(2);
@@ -315,24 +311,24 @@
     }));
 }
 
-BOOST_AUTO_TEST_CASE(a_planned_stop_cuts_nothing_and_gives_transactions_half_of_the_time)
+BOOST_AUTO_TEST_CASE(a_planned_stop_lets_active_transactions_finish_and_rolls_back_idle_ones)
 {
     GatewayRig rig;
     rig.beginHosts();
     LineCaller idle(rig.getCallerAddress(0), "db0-primary");
-    LineCaller open(rig.getCallerAddress(0), "db0-primary");
-    LineCaller resting(rig.getCallerAddress(0), "db0-primary");
-    open.ask("BEGIN");
-    BOOST_TEST(open.ask("WRITE stopped 1").isOk());
-    resting.ask("BEGIN");
-    resting.ask("WRITE rests 1");
+    LineCaller active(rig.getCallerAddress(0), "db0-primary");
+    LineCaller idleInTransaction(rig.getCallerAddress(0), "db0-primary");
+    active.ask("BEGIN");
+    BOOST_TEST(active.ask("WRITE stopped 1").isOk());
+    idleInTransaction.ask("BEGIN");
+    idleInTransaction.ask("WRITE rests 1");
     rig.getHost(0).signal(SIGTERM);
     BOOST_TEST(waitUntil(milliseconds(500), [&] { return !rig.isReady(0); }));
     std::this_thread::sleep_for(milliseconds(1000));
-    BOOST_TEST(open.ask("WRITE stopped 2").isOk());
-    BOOST_TEST(open.ask("COMMIT").isOk());
+    BOOST_TEST(active.ask("WRITE stopped 2").isOk());
+    BOOST_TEST(active.ask("COMMIT").isOk());
     BOOST_TEST(idle.isClosed(milliseconds(4000)));
-    BOOST_TEST(resting.isClosed(milliseconds(4000)));
+    BOOST_TEST(idleInTransaction.isClosed(milliseconds(4000)));
     auto code = rig.getHost(0).wait(milliseconds(5000));
     BOOST_REQUIRE(code.has_value());
     BOOST_TEST(*code == 0);
@@ -340,7 +336,7 @@
     BOOST_TEST(rig.call([&] { return rig.getGroup().getItems().at("stopped"); }) == "2");
 }
 
-BOOST_AUTO_TEST_CASE(settings_are_read_again_on_a_signal_and_on_a_silent_change)
+BOOST_AUTO_TEST_CASE(settings_are_reloaded_on_a_signal_and_on_a_change_of_the_file)
 {
     RigShape shape;
     shape.hosts = 1;
@@ -355,8 +351,8 @@
     BOOST_TEST(rig.getHost(0).isRunning());
 }
 
-// Standard output is a pipe that nobody reads: lines are lost, requests are not.
-BOOST_AUTO_TEST_CASE(a_reader_of_the_log_that_is_stuck_costs_no_request)
+// Standard output is a pipe that nobody reads: log lines may be lost, statements may not.
+BOOST_AUTO_TEST_CASE(a_blocked_log_reader_does_not_block_statements)
 {
     RigShape shape;
     shape.hosts = 1;
@@ -366,7 +362,7 @@
     rig.getHost(0).kill();
     std::string pipe = rig.getLogPath(0) + ".pipe";
     BOOST_REQUIRE(::mkfifo(pipe.c_str(), 0600) == 0);
-    int reader = ::open(pipe.c_str(), O_RDWR); // holds it open and never reads
+    int reader = ::open(pipe.c_str(), O_RDWR); // keeps it open and never reads
     Process host({ rig.getDaemon(), "--settings", rig.getSettingsPath(0) }, pipe);
     BOOST_TEST(rig.waitReady(0));
     LineCaller caller(rig.getCallerAddress(0), "db0-primary");
