--- a/src/gateway/cluster_view.cpp
+++ b/src/gateway/cluster_view.cpp
@@ -18,7 +18,7 @@
 
 void denyPrimary(GroupView& group, const std::string& member, TimePoint now)
 {
-    bool isPending = group.primary.member == member && !group.primary.isConfirmed && now < group.pendingUntil;
+    bool isPending = group.primary.member == member && !group.primary.isConfirmed && now < group.promotionPendingUntil;
     if (!isPending)
         group.primary = decisions::applyPrimaryDenial(group.primary, member);
 }
@@ -29,7 +29,7 @@
     if (reported == group.primary)
         return;
     group.primary = reported;
-    group.pendingUntil = now + kPromotionGracePeriod;
+    group.promotionPendingUntil = now + kPromotionGracePeriod;
 }
 
 // Hosts discard an assumed term at different times. Without this check they would keep reporting it to each other.
@@ -44,7 +44,7 @@
 uint64_t getMinTerm(const GroupView& group, TimePoint askedAt)
 {
     bool isAssumed = group.primary.term > group.provenTerm;
-    return isAssumed && askedAt >= group.pendingUntil ? group.provenTerm : group.primary.term;
+    return isAssumed && askedAt >= group.promotionPendingUntil ? group.provenTerm : group.primary.term;
 }
 
 void applyProvenPrimary(GroupView& group, const std::string& member, uint64_t term, TimePoint askedAt, ProofRecipient recipient)
@@ -207,11 +207,11 @@
     return wasListed;
 }
 
-std::vector<std::string> removeUnlistedMembers(ClusterView& view, milliseconds keep, TimePoint now)
+std::vector<std::string> removeUnlistedMembers(ClusterView& view, milliseconds retention, TimePoint now)
 {
     std::vector<std::string> forgotten;
     for (auto& [id, member] : view.members) {
-        if (member.unlistedAt && now - *member.unlistedAt > keep)
+        if (member.unlistedAt && now - *member.unlistedAt > retention)
             forgotten.push_back(id);
     }
     for (auto& id : forgotten) {
--- a/src/gateway/cluster_view.h
+++ b/src/gateway/cluster_view.h
@@ -28,7 +28,7 @@
     decisions::KnownPrimary primary {};
     uint64_t provenTerm { 0 }; // newest term proven by a member. A primary of a newer term is assumed from a promotion order
     decisions::FloorHistory floors {};
-    TimePoint pendingUntil {}; // until then, a member that was ordered to become primary may not know it yet
+    TimePoint promotionPendingUntil {}; // until then, a member that was ordered to become primary may not know it yet
     uint64_t discardedTerm { 0 }; // newest assumed term that turned out wrong; reports of it by other hosts are ignored
     TimePoint lastProofAt {}; // when the primary last proved its role to this host directly
     decisions::KnownPrimary lastRejectedProof {}; // avoids logging it again
@@ -53,7 +53,7 @@
     std::map<std::string, links::RegisteredHost> hosts {}; // by name, including this one; change it through updateHost() and removeHost()
     std::map<std::string, HostRanking> rankings {}; // by member, by group, or by the purpose of the ranking
     bool hasMembers { false }; // the members were listed at least once
-    bool isPlacementDue { true }; // primaries, members or hosts have changed since this host last chose the members that it forwards to
+    bool isForwardingUpdateDue { true }; // primaries, members or hosts have changed since this host last chose the members that it forwards to
     uint64_t membersRevision { 0 }; // of the newest known change of a member
     uint64_t removedRevision { 0 }; // of the newest change of a member that was then removed
 };
@@ -119,7 +119,7 @@
 inline bool canDetectLostLog(const GroupView& group) { return !group.floors.isEmpty() || group.wasComparedWithReplicas; }
 // The member's store entry was removed. The member stays in the view, as it may still serve. Returns whether it was listed before.
 bool markMemberUnlisted(ClusterView& view, const std::string& id, uint64_t revision, TimePoint now);
-// Removes members that have been unlisted for longer than `keep`. Returns their ids.
-std::vector<std::string> removeUnlistedMembers(ClusterView& view, milliseconds keep, TimePoint now);
+// Removes members that have been unlisted for longer than `retention`. Returns their ids.
+std::vector<std::string> removeUnlistedMembers(ClusterView& view, milliseconds retention, TimePoint now);
 
 }
--- a/src/gateway/directory.cpp
+++ b/src/gateway/directory.cpp
@@ -125,7 +125,7 @@
 
 void Directory::cancelWatch()
 {
-    m_isInterrupted = true;
+    m_isWatchCancelled = true;
     m_platform.getStore().cancelWatch();
 }
 
@@ -271,7 +271,7 @@
 
 asio::awaitable<bool> Directory::watchOnce()
 {
-    m_isInterrupted = false;
+    m_isWatchCancelled = false;
     auto askedAt = Clock::now();
     auto since = m_revision;
     if (m_logStartsAfter == 0) {
@@ -303,7 +303,7 @@
         }
         co_return true;
     }
-    if (m_mustReadConfiguration || m_isInterrupted) // cancelled by this host
+    if (m_mustReadConfiguration || m_isWatchCancelled) // cancelled by this host
         co_return true;
     m_isProbing = false;
     if (changes.error().kind == StoreErrorKind::HistoryLost) {
--- a/src/gateway/directory.h
+++ b/src/gateway/directory.h
@@ -126,7 +126,7 @@
     bool m_isWatcher { true };
     bool m_hasRelay { false };
     bool m_isStoreLostByRelays { false };
-    bool m_isInterrupted { false };
+    bool m_isWatchCancelled { false };
     bool m_isProbing { false }; // the store may be unreachable: the next watch is a short one that tests it
     unsigned m_listAttempts { 0 }; // pages requested so far
     unsigned m_entryAttempts { 0 }; // to write the entry, since it was last written
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -386,7 +386,7 @@
     events.onConfiguration = [this](const links::GatewayConfiguration& configuration) {
         base::logEvent(LogClass::State, "configuration", { { "version", static_cast<int64_t>(configuration.version) }, { "before", static_cast<int64_t>(m_view.configuration.version) }, { "routes", static_cast<int64_t>(configuration.routes.size()) } });
         m_view.configuration = configuration;
-        m_view.isPlacementDue = true;
+        m_view.isForwardingUpdateDue = true;
         m_quietInterval = decisions::getPingInterval(getLeastAge(configuration));
         m_partnersDue = true;
     };
@@ -548,7 +548,7 @@
 void Gateway::sweepPools(TimePoint now)
 {
     forgetUnlisted(now);
-    bool isPlacementDue = m_view.isPlacementDue || m_placedVersion != m_peers.getVersion() || now - m_placedAt >= kPlacementInterval;
+    bool isPlacementDue = m_view.isForwardingUpdateDue || m_placedVersion != m_peers.getVersion() || now - m_placedAt >= kPlacementInterval;
     if (isPlacementDue)
         placePools(now);
     for (auto& [id, pool] : m_pools) {
@@ -565,7 +565,7 @@
 // idle host's processor time at 295 hosts and 60 members.
 void Gateway::placePools(TimePoint now)
 {
-    m_view.isPlacementDue = false;
+    m_view.isForwardingUpdateDue = false;
     m_placedVersion = m_peers.getVersion();
     m_placedAt = now;
     auto place = getPlace();
@@ -603,7 +603,7 @@
     if (m_isDraining)
         return;
     m_isDraining = true;
-    m_view.isPlacementDue = true;
+    m_view.isForwardingUpdateDue = true;
     m_stopBegan = Clock::now();
     base::logEvent(LogClass::State, "stop-begins", { { "sessions", static_cast<int64_t>(m_sessions.size()) }, { "grace_ms", static_cast<int64_t>(m_settings.stopGraceMs) } });
 }
--- a/src/gateway/gateway_leads.cpp
+++ b/src/gateway/gateway_leads.cpp
@@ -73,7 +73,7 @@
 {
     auto& group = m_view.groups[round.group];
     group.isQueryingReplicas = false;
-    m_view.isPlacementDue = true;
+    m_view.isForwardingUpdateDue = true;
     auto primary = m_view.members.find(round.primary);
     bool isSame = primary != m_view.members.end() && group.primary.member == round.primary && !isDifferentIncarnation(round.life, primary->second.registration.incarnation);
     if (!isSame) { // it is compared anew, if need be
@@ -144,7 +144,7 @@
         belief.wasComparedWithReplicas = false;
         belief.lacksReplicaAnswers = false;
     }
-    m_view.isPlacementDue = true;
+    m_view.isForwardingUpdateDue = true;
     m_promoter.noteNewLead(group);
     base::logEvent(LogClass::State, "lead", { { "group", std::string_view(group) }, { "member", std::string_view(lead.member) }, { "term", static_cast<int64_t>(lead.term) }, { "source", source } });
 }
--- a/src/gateway/gateway_members.cpp
+++ b/src/gateway/gateway_members.cpp
@@ -27,7 +27,7 @@
         endLife(member);
     takeRoleChange(before, member);
     m_partnersDue = m_partnersDue || !wasKnown;
-    m_view.isPlacementDue = true;
+    m_view.isForwardingUpdateDue = true;
     before.incarnation = member.incarnation; // its count moves with every word of it
     if (before == member && !wasUnlisted)
         return;
--- a/src/gateway/promoter.cpp
+++ b/src/gateway/promoter.cpp
@@ -364,7 +364,7 @@
         auto limits = m_context.view.configuration.groups[group];
         auto successor = decisions::chooseSuccessor(findings, limits.synchronousReplicas, countListed(group));
         auto before = belief.primary;
-        m_context.view.isPlacementDue = true;
+        m_context.view.isForwardingUpdateDue = true;
         auto newerTerm = decisions::findNewerTerm(findings, lead.term);
         if (leading != findings.end() && leading->term < getMinTerm(belief, began))
             base::logEvent(LogClass::State, "promotion-held-back", { { "group", std::string_view(group) }, { "reason", std::string_view("a member leads, and an order is not over yet") }, { "member", std::string_view(leading->member) }, { "term", static_cast<int64_t>(leading->term) } });
--- a/src/gateway/status_exchange.cpp
+++ b/src/gateway/status_exchange.cpp
@@ -29,7 +29,7 @@
         writeMark(*floor.mutable_mark(), newest.mark);
         floor.set_age_us(getAgeUs(newest.coveredUntil, now));
         // Hosts that the orderer has no connection to hear of an order from those that have one; after the order's time an assumed term is told no more.
-        bool isOrdered = isProven && now < group.pendingUntil;
+        bool isOrdered = isProven && now < group.promotionPendingUntil;
         if (group.primary.term != newest.mark.term && !isOrdered)
             continue;
         auto& lead = *wire.add_leads();
--- a/tests/unit/lead_terms_test.cpp
+++ b/tests/unit/lead_terms_test.cpp
@@ -29,10 +29,10 @@
     // The old primary, asked before or during its replacement.
     applyProvenPrimary(group, "a", 1, kStart - milliseconds(1), ProofRecipient::ThisHost);
     BOOST_TEST((group.primary == KnownPrimary { "b", 2, false }));
-    applyProvenPrimary(group, "a", 1, group.pendingUntil - milliseconds(1), ProofRecipient::ThisHost);
+    applyProvenPrimary(group, "a", 1, group.promotionPendingUntil - milliseconds(1), ProofRecipient::ThisHost);
     BOOST_TEST((group.primary == KnownPrimary { "b", 2, false }));
     // Asked after the timeout: the order had no effect.
-    applyProvenPrimary(group, "a", 1, group.pendingUntil, ProofRecipient::ThisHost);
+    applyProvenPrimary(group, "a", 1, group.promotionPendingUntil, ProofRecipient::ThisHost);
     BOOST_TEST((group.primary == KnownPrimary { "a", 1, true }));
 }
 
@@ -57,7 +57,7 @@
         auto group = makeShown("a", 2);
         applyOrderedPrimary(group, "a", 3, kStart);
         group.primary = decisions::applyPrimaryDenial(group.primary, "a");
-        applyProvenPrimary(group, "a", 2, group.pendingUntil + milliseconds(1), shownTo);
+        applyProvenPrimary(group, "a", 2, group.promotionPendingUntil + milliseconds(1), shownTo);
         BOOST_TEST((group.primary == KnownPrimary { "a", 2, shownTo == ProofRecipient::ThisHost }));
     }
 }
@@ -77,7 +77,7 @@
     auto group = makeShown("a", 2);
     applyAssumedPrimary(group, "a", 3, kStart);
     BOOST_TEST((group.primary == KnownPrimary { "a", 3, false }));
-    auto now = group.pendingUntil + milliseconds(1);
+    auto now = group.promotionPendingUntil + milliseconds(1);
     applyProvenPrimary(group, "a", 2, now, ProofRecipient::ThisHost);
     applyAssumedPrimary(group, "a", 3, now);
     BOOST_TEST((group.primary == KnownPrimary { "a", 2, true }));
@@ -97,9 +97,9 @@
     writeGroups(wire, view, false, kStart + milliseconds(500));
     BOOST_TEST(wire.leads_size() == 1);
     BOOST_TEST((findLeadTimes(wire, kStart).at(0) == std::nullopt)); // reported without proof
-    group.lastProofAt = group.pendingUntil;
+    group.lastProofAt = group.promotionPendingUntil;
     peer::Pong later;
-    writeGroups(later, view, false, group.pendingUntil);
+    writeGroups(later, view, false, group.promotionPendingUntil);
     BOOST_TEST(later.leads_size() == 0);
 }
 
