--- a/src/gateway/cluster_view.h
+++ b/src/gateway/cluster_view.h
@@ -52,7 +52,7 @@
     std::map<std::string, GroupView> groups {};
     std::map<std::string, links::RegisteredHost> hosts {}; // by name, including this one; change it through updateHost() and removeHost()
     std::map<std::string, HostRanking> rankings {}; // by member, by group, or by the purpose of the ranking
-    bool hasMembers { false }; // the members were listed at least once
+    bool hasListedMembers { false }; // the members were listed at least once
     bool isForwardingUpdateDue { true }; // primaries, members or hosts have changed since this host last chose the members that it forwards to
     uint64_t membersRevision { 0 }; // of the newest known change of a member
     uint64_t removedRevision { 0 }; // of the newest change of a member that was then removed
--- a/src/gateway/directory.cpp
+++ b/src/gateway/directory.cpp
@@ -181,7 +181,7 @@
             continue;
         }
         if (isOk)
-            isOk = m_mustList ? co_await readAll() : co_await watchOnce();
+            isOk = m_mustList ? co_await listAll() : co_await watchOnce();
         m_failureCount = isOk ? 0 : m_failureCount + 1;
         if (!isOk)
             co_await waitForStore(m_configurationVersion == 0 ? getStartupRetryPause() : decisions::getRetryPause(m_failureCount, base::getRandom()));
@@ -218,7 +218,7 @@
 
 // Lists all keys in one pass, to save round trips at the start. Pages are not a snapshot: the watch starts at the revision of the first page and repeats
 // changes made during the listing.
-asio::awaitable<bool> Directory::readAll()
+asio::awaitable<bool> Directory::listAll()
 {
     std::vector<links::StoreItem> items;
     std::optional<uint64_t> revision;
@@ -393,7 +393,7 @@
         }
         auto member = m_platform.parseMember(item.key, item.value);
         if (member) {
-            m_events.onMember(*member, item.revision, changedAt);
+            m_events.onMemberChanged(*member, item.revision, changedAt);
             return;
         }
         // An unreadable entry counts as removed, so that its member is no longer used.
@@ -433,7 +433,7 @@
         return;
     }
     if (auto host = parseHost(name, item.value)) {
-        m_events.onHost(*host);
+        m_events.onHostChanged(*host);
         return;
     }
     reportUnreadable(item, "not a valid host entry");
--- a/src/gateway/directory.h
+++ b/src/gateway/directory.h
@@ -19,10 +19,10 @@
 struct DirectoryEvents {
     std::function<void(const links::GatewayConfiguration&)> onConfiguration;
     // `changedAt`: when this host or its relay received the change; empty: unknown, possibly long ago.
-    std::function<void(const links::RegisteredMember&, uint64_t revision, std::optional<base::TimePoint> changedAt)> onMember;
+    std::function<void(const links::RegisteredMember&, uint64_t revision, std::optional<base::TimePoint> changedAt)> onMemberChanged;
     std::function<void(const std::string& id, uint64_t revision)> onMemberRemoved;
     std::function<void()> onMembersListed; // all members in the store have been reported
-    std::function<void(const links::RegisteredHost&)> onHost;
+    std::function<void(const links::RegisteredHost&)> onHostChanged;
     std::function<void(const std::string& name)> onHostRemoved;
     std::function<void(const std::string& group, const links::StoreItem&)> onCoordinatorRecord;
     std::function<void(size_t shard, const std::set<std::string>& accounts)> onNearQuotaAccounts; // accounts that may have used up their quotas
@@ -82,7 +82,7 @@
 
 private:
     boost::asio::awaitable<void> follow();
-    boost::asio::awaitable<bool> readAll();
+    boost::asio::awaitable<bool> listAll();
     boost::asio::awaitable<bool> readConfiguration();
     boost::asio::awaitable<bool> watchOnce();
     boost::asio::awaitable<void> maintainEntry();
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -128,7 +128,7 @@
 
 bool Gateway::isReady() const
 {
-    return m_view.configuration.version > 0 && m_view.hasMembers && !m_isDraining;
+    return m_view.configuration.version > 0 && m_view.hasListedMembers && !m_isDraining;
 }
 
 HostPlace Gateway::getPlace() const
@@ -390,12 +390,12 @@
         m_quietInterval = decisions::getPingInterval(getLeastAge(configuration));
         m_partnersDue = true;
     };
-    events.onMember = [this](const links::RegisteredMember& member, uint64_t revision, std::optional<TimePoint> changedAt) {
+    events.onMemberChanged = [this](const links::RegisteredMember& member, uint64_t revision, std::optional<TimePoint> changedAt) {
         takeListed(member, revision, changedAt ? *changedAt : decisions::estimateLeavingSince(getDrainTime(), Clock::now()), "listed");
     };
     events.onMemberRemoved = [this](const std::string& id, uint64_t revision) { takeUnlisted(id, revision, "listed"); };
-    events.onMembersListed = [this] { m_view.hasMembers = true; };
-    events.onHost = [this](const links::RegisteredHost& host) {
+    events.onMembersListed = [this] { m_view.hasListedMembers = true; };
+    events.onHostChanged = [this](const links::RegisteredHost& host) {
         if (host.name == m_self.name)
             return;
         m_hostsGoneAt.erase(host.name);
--- a/src/gateway/gateway_members.cpp
+++ b/src/gateway/gateway_members.cpp
@@ -56,7 +56,7 @@
 // A host that has lost the store asks one that has it, another each time.
 void Gateway::askForMembers(TimePoint now)
 {
-    if (!m_view.hasMembers || !m_directory.mayMissChanges() || now - m_membersAskedAt < kMembersInterval)
+    if (!m_view.hasListedMembers || !m_directory.mayMissChanges() || now - m_membersAskedAt < kMembersInterval)
         return;
     std::vector<std::string> able;
     for (auto& name : m_peers.getUpHosts()) {
