--- a/src/gateway/caller_session.cpp
+++ b/src/gateway/caller_session.cpp
@@ -98,7 +98,7 @@
 }
 
 // A key can be removed, or moved to another account, while its session is open. Between transactions the session then continues under the new account.
-bool CallerSession::isKeyLost()
+bool CallerSession::checkKeyLost()
 {
     auto version = m_context.view.configuration.version;
     if (!m_isOpen || version == m_keyCheckedVersion)
@@ -153,7 +153,7 @@
     m_channel->setReadingPaused(true); // one statement at a time, as the next may depend on its result
     if (m_state == SessionState::Idle)
         refreshRoute();
-    if (isKeyLost()) {
+    if (checkKeyLost()) {
         answerLostKey();
         return;
     }
@@ -412,7 +412,7 @@
         open(message);
         return;
     }
-    if (!m_isRunning && isKeyLost()) {
+    if (!m_isRunning && checkKeyLost()) {
         closeForLostKey();
         return;
     }
--- a/src/gateway/caller_session.h
+++ b/src/gateway/caller_session.h
@@ -54,7 +54,8 @@
     // Looks up the caller's account in the current configuration. Empty string: the database is public or there are no accounts; nullopt:
     // the key is not valid.
     std::optional<std::string> findOwnAccount() const;
-    bool isKeyLost();
+    // Looks the key up again after a change of the configuration. Returns whether the session must end.
+    bool checkKeyLost();
     void answerLostKey();
     void closeForLostKey();
     void logLostKey() const;
@@ -72,7 +73,7 @@
     decisions::SessionState m_state { decisions::SessionState::Idle };
     bool m_isReadOnly { false }; // of the transaction
     bool m_hasWritten { false }; // in the transaction
-    TimePoint::duration m_transactionTime {}; // time spent on the transaction's statements
+    TimePoint::duration m_transactionTime {}; // spent on statements so far
     TimePoint m_statementArrivedAt {}; // of the running statement
     std::optional<TransactionHandle> m_transaction; // empty until its first statement
     Mark m_lastCommit;
