--- a/src/gateway/cluster_view.cpp
+++ b/src/gateway/cluster_view.cpp
@@ -4,102 +4,101 @@
 
 namespace alderward::gateway {
 
-bool isFarBehind(const GroupBelief& group, const MemberBelief& member, TimePoint now)
+bool isFarBehind(const GroupView& group, const MemberView& member, TimePoint now)
 {
     auto floor = decisions::getFloor(group.floors, decisions::kFarBehindThreshold, now);
     auto position = decisions::estimatePosition(member.progress, now);
-    return group.lead.member != member.listed.id && floor && position.term != 0 && position < *floor;
+    return group.primary.member != member.registration.id && floor && position.term != 0 && position < *floor;
 }
 
-bool acceptsNewOperations(const MemberBelief& member, milliseconds drainTime, TimePoint now)
+bool acceptsNewOperations(const MemberView& member, milliseconds drainTime, TimePoint now)
 {
     return decisions::acceptsNewOperations(member.leavingSince, drainTime, now) && decisions::acceptsNewOperations(member.unlistedAt, drainTime, now);
 }
 
-void denyLead(GroupBelief& group, const std::string& member, TimePoint now)
+void denyPrimary(GroupView& group, const std::string& member, TimePoint now)
 {
-    bool isPending = group.lead.member == member && !group.lead.isConfirmed && now < group.pendingUntil;
+    bool isPending = group.primary.member == member && !group.primary.isConfirmed && now < group.promotionPendingUntil;
     if (!isPending)
-        group.lead = decisions::applyPrimaryDenial(group.lead, member);
+        group.primary = decisions::applyPrimaryDenial(group.primary, member);
 }
 
-void takeOrderedLead(GroupBelief& group, const std::string& member, uint64_t term, TimePoint now)
+void applyOrderedPrimary(GroupView& group, const std::string& member, uint64_t term, TimePoint now)
 {
-    auto lead = decisions::applyPrimaryReport(group.lead, member, term);
-    if (lead == group.lead)
+    auto reported = decisions::applyPrimaryReport(group.primary, member, term);
+    if (reported == group.primary)
         return;
-    group.lead = lead;
-    group.pendingUntil = now + kPromotionTakes;
+    group.primary = reported;
+    group.promotionPendingUntil = now + kPromotionGracePeriod;
 }
 
-// Hosts stop to assume a term at different moments: without this check they would tell it to each other in turns, for good.
-void takeAssumedLead(GroupBelief& group, const std::string& member, uint64_t term, TimePoint now)
+// Hosts discard an assumed term at different times. Without this check they would keep reporting it to each other.
+void applyAssumedPrimary(GroupView& group, const std::string& member, uint64_t term, TimePoint now)
 {
-    if (term > group.disprovedTerm)
-        takeOrderedLead(group, member, term, now);
+    if (term > group.discardedTerm)
+        applyOrderedPrimary(group, member, term, now);
 }
 
-// A term that follows from an order can be too high: "done" is also the answer to an order for the member that leads already. It gives way to a primary that
-// shows an older one once the order has had its time. Without that, a host that had denied such a lead believed no proof of it any more (no primary for 30 s and
-// more). An old primary's answer that comes late does not count: it was asked before.
-uint64_t getLeastTerm(const GroupBelief& group, TimePoint askedAt)
+// An assumed term can be too high, as a platform also reports success if the member was already primary. Once the order has timed out, a proof of an older term
+// replaces it; otherwise the group could stay without a primary. Answers to queries sent before that do not count: they may come from the old primary.
+uint64_t getMinTerm(const GroupView& group, TimePoint askedAt)
 {
-    bool isAssumed = group.lead.term > group.shownTerm;
-    return isAssumed && askedAt >= group.pendingUntil ? group.shownTerm : group.lead.term;
+    bool isAssumed = group.primary.term > group.provenTerm;
+    return isAssumed && askedAt >= group.promotionPendingUntil ? group.provenTerm : group.primary.term;
 }
 
-void takeShownLead(GroupBelief& group, const std::string& member, uint64_t term, TimePoint askedAt, ShownTo shownTo)
+void applyProvenPrimary(GroupView& group, const std::string& member, uint64_t term, TimePoint askedAt, ProofRecipient recipient)
 {
-    auto known = group.lead;
-    bool givesWay = term < known.term && term >= getLeastTerm(group, askedAt);
-    if (givesWay) {
-        group.disprovedTerm = known.term;
+    auto known = group.primary;
+    bool isDiscarded = term < known.term && term >= getMinTerm(group, askedAt);
+    if (isDiscarded) {
+        group.discardedTerm = known.term;
         known = { "", term, false };
     }
-    group.lead = shownTo == ShownTo::ThisHost ? decisions::applyPrimaryProof(known, member, term) : decisions::applyPrimaryReport(known, member, term);
-    group.shownTerm = std::max(group.shownTerm, term);
+    group.primary = recipient == ProofRecipient::ThisHost ? decisions::applyPrimaryProof(known, member, term) : decisions::applyPrimaryReport(known, member, term);
+    group.provenTerm = std::max(group.provenTerm, term);
 }
 
-void takeShownTerm(GroupBelief& group, uint64_t term)
+void applyProvenTerm(GroupView& group, uint64_t term)
 {
-    group.lead = { "", term, false };
-    group.shownTerm = std::max(group.shownTerm, term);
+    group.primary = { "", term, false };
+    group.provenTerm = std::max(group.provenTerm, term);
 }
 
-// The order of decisions::rankForwarders().
-static void insertHost(const ClusterView& view, const std::string& key, Ranking& ranking, const std::string& host)
+// Keeps the order of decisions::rankForwarders().
+static void insertHost(const ClusterView& view, const std::string& key, HostRanking& ranking, const std::string& host)
 {
     auto rank = [&](const std::string& name) { return std::tuple(view.hosts.at(name).dataCentre == ranking.dataCentre, decisions::getHostWeight(key, name), name); };
-    auto own = rank(host);
-    auto place = std::ranges::partition_point(ranking.hosts, [&](const std::string& it) { return rank(it) > own; });
-    ranking.hosts.insert(place, host);
+    auto hostRank = rank(host);
+    auto position = std::ranges::partition_point(ranking.hosts, [&](const std::string& it) { return rank(it) > hostRank; });
+    ranking.hosts.insert(position, host);
 }
 
-void takeHost(ClusterView& view, const links::RegisteredHost& host)
+void updateHost(ClusterView& view, const links::RegisteredHost& host)
 {
     auto known = view.hosts.find(host.name);
-    bool isMoved = known != view.hosts.end() && known->second.dataCentre != host.dataCentre;
-    if (isMoved)
-        dropHost(view, host.name);
-    bool isNew = known == view.hosts.end() || isMoved;
+    bool hasMoved = known != view.hosts.end() && known->second.dataCentre != host.dataCentre;
+    if (hasMoved)
+        removeHost(view, host.name);
+    bool isNew = known == view.hosts.end() || hasMoved;
     view.hosts[host.name] = host;
-    // Put into each ranking at its place: ranking all hosts anew for all members takes longer than hosts take to come.
+    // Inserting into each ranking is cheaper than ranking all hosts again for all members.
     for (auto& [key, ranking] : view.rankings) {
         if (isNew)
             insertHost(view, key, ranking, host.name);
     }
 }
 
-void dropHost(ClusterView& view, const std::string& name)
+void removeHost(ClusterView& view, const std::string& name)
 {
     view.hosts.erase(name);
     for (auto& [key, ranking] : view.rankings)
         std::erase(ranking.hosts, name);
 }
 
-static const std::vector<std::string>& getRanked(ClusterView& view, const std::string& key, const std::string& dataCentre)
+static const std::vector<std::string>& getHostRanking(ClusterView& view, const std::string& key, const std::string& dataCentre)
 {
-    auto [it, isNew] = view.rankings.try_emplace(key, Ranking { dataCentre });
+    auto [it, isNew] = view.rankings.try_emplace(key, HostRanking { dataCentre });
     if (isNew) {
         std::vector<decisions::ForwarderHost> hosts;
         for (auto& [name, host] : view.hosts)
@@ -109,116 +108,117 @@
     return it->second.hosts;
 }
 
-const std::vector<std::string>& getCarriers(ClusterView& view, const MemberBelief& member)
+const std::vector<std::string>& getForwarders(ClusterView& view, const MemberView& member)
 {
-    return getRanked(view, member.listed.id, member.listed.dataCentre);
+    return getHostRanking(view, member.registration.id, member.registration.dataCentre);
 }
 
 const std::vector<std::string>& getRankedHosts(ClusterView& view, const std::string& group)
 {
-    return getRanked(view, group, "");
+    return getHostRanking(view, group, "");
 }
 
 const std::vector<std::string>& getRelayOrder(ClusterView& view, const std::string& dataCentre)
 {
-    return getRanked(view, "watchers of " + dataCentre, dataCentre);
+    return getHostRanking(view, "watchers of " + dataCentre, dataCentre);
 }
 
 const std::vector<std::string>& getNeighbours(ClusterView& view, const std::string& self)
 {
-    return getRanked(view, "neighbours of " + self, "");
+    return getHostRanking(view, "neighbours of " + self, "");
 }
 
-bool isOtherLife(const links::MemberIncarnation& before, const links::MemberIncarnation& now)
+// Start times are compared for equality only, as clocks may be set back. Without them, a sequence that went back shows a restart.
+bool isDifferentIncarnation(const links::MemberIncarnation& before, const links::MemberIncarnation& now)
 {
     if (before.startedAtMs != 0 && now.startedAtMs != 0)
         return before.startedAtMs != now.startedAtMs;
     return now.sequence < before.sequence;
 }
 
-// Clocks of members differ: whatever speaks for it counts. Counts of members that started together differ by one, and by one for each word on a change of state or role.
-static constexpr uint64_t kCountsAlike = 3;
+static constexpr uint64_t kMaxSequenceSkew = 3; // between members that started together: one, and one for each change of state or role
 
-bool mayBeOlder(const links::MemberIncarnation& life, const links::MemberIncarnation& other)
+// Clocks of members differ, so either an earlier start time or a higher sequence is sufficient.
+bool mayHaveStartedBefore(const links::MemberIncarnation& incarnation, const links::MemberIncarnation& other)
 {
-    bool isUnknown = (life.startedAtMs == 0 || other.startedAtMs == 0) && (life.sequence == 0 || other.sequence == 0);
-    bool isBornBefore = life.startedAtMs != 0 && life.startedAtMs < other.startedAtMs;
-    return isUnknown || isBornBefore || life.sequence > other.sequence + kCountsAlike;
+    bool isUnknown = (incarnation.startedAtMs == 0 || other.startedAtMs == 0) && (incarnation.sequence == 0 || other.sequence == 0);
+    bool hasEarlierStart = incarnation.startedAtMs != 0 && incarnation.startedAtMs < other.startedAtMs;
+    return isUnknown || hasEarlierStart || incarnation.sequence > other.sequence + kMaxSequenceSkew;
 }
 
-Mark getKnownMark(const GroupBelief& group)
+Mark getNewestKnownMark(const GroupView& group)
 {
-    return group.floors.isEmpty() ? group.heldByReplicas : std::max(group.heldByReplicas, group.floors.floors.back().mark);
+    return group.floors.isEmpty() ? group.newestReplicaMark : std::max(group.newestReplicaMark, group.floors.floors.back().mark);
 }
 
-// Addresses and rankings go by id; all that was seen of the process goes with it. Floors are the group's: what was acknowledged stays so.
-static void forgetLife(ClusterView& view, MemberBelief& member, TimePoint now)
+// Discards what was known about the member's previous process. The group's floors stay, as acknowledged commits remain valid.
+static void resetMember(ClusterView& view, MemberView& member, TimePoint now)
 {
-    auto& group = view.groups[member.listed.group];
-    group.lead = decisions::applyPrimaryDenial(group.lead, member.listed.id);
-    group.wasCompared = false; // with the process of before
+    auto& group = view.groups[member.registration.group];
+    group.primary = decisions::applyPrimaryDenial(group.primary, member.registration.id);
+    group.wasComparedWithReplicas = false; // that was with the previous process
     member.leavingSince.reset();
-    member.troubleAt = {};
-    member.answeredAt = {};
+    member.lastFailureAt = {};
+    member.lastAnswerAt = {};
     member.progress = {};
-    member.progress.observedAt = now; // positions that others saw before say nothing
-    member.hasStartedAgain = true;
+    member.progress.observedAt = now; // ignores positions that other hosts observed earlier
+    member.hasRestarted = true;
 }
 
-MemberChange takeMember(ClusterView& view, const links::RegisteredMember& listed, uint64_t revision, TimePoint leavingSince, TimePoint now)
+MemberChange applyMember(ClusterView& view, const links::RegisteredMember& registration, uint64_t revision, TimePoint leavingSince, TimePoint now)
 {
-    auto known = view.members.find(listed.id);
+    auto known = view.members.find(registration.id);
     if (known != view.members.end() && revision < known->second.revision)
         return MemberChange::Outdated;
-    bool hasMoved = known != view.members.end() && known->second.listed.group != listed.group;
-    bool startedAgain = hasMoved || (known != view.members.end() && isOtherLife(known->second.listed.incarnation, listed.incarnation));
+    bool hasMoved = known != view.members.end() && known->second.registration.group != registration.group;
+    bool isRestarted = hasMoved || (known != view.members.end() && isDifferentIncarnation(known->second.registration.incarnation, registration.incarnation));
     view.membersRevision = std::max(view.membersRevision, revision);
-    auto& member = view.members[listed.id];
-    if (startedAgain)
-        forgetLife(view, member, now);
-    if (hasMoved) // a group that kept the id would name a member that is forgotten later
-        std::erase(view.groups[member.listed.group].members, listed.id);
+    auto& member = view.members[registration.id];
+    if (isRestarted)
+        resetMember(view, member, now);
+    if (hasMoved) // the old group must not keep the id of a member that may be removed later
+        std::erase(view.groups[member.registration.group].members, registration.id);
     member.revision = revision;
-    if (!listed.isLeaving)
+    if (!registration.isLeaving)
         member.leavingSince.reset();
     else if (!member.leavingSince)
         member.leavingSince = leavingSince;
-    if (member.listed.dataCentre != listed.dataCentre)
-        view.rankings.erase(listed.id);
-    member.listed = listed;
+    if (member.registration.dataCentre != registration.dataCentre)
+        view.rankings.erase(registration.id);
+    member.registration = registration;
     member.unlistedAt.reset();
-    auto& group = view.groups[listed.group];
-    if (std::ranges::find(group.members, listed.id) == group.members.end())
-        group.members.push_back(listed.id);
-    if (listed.saysPrimary && !startedAgain) // it has yet to show that it holds what it acknowledged
-        group.lead = decisions::applyPrimaryListing(group.lead, listed.id);
-    return startedAgain ? MemberChange::StartedAgain : MemberChange::Taken;
+    auto& group = view.groups[registration.group];
+    if (std::ranges::find(group.members, registration.id) == group.members.end())
+        group.members.push_back(registration.id);
+    if (registration.saysPrimary && !isRestarted) // after a restart it must first prove that it still has its log
+        group.primary = decisions::applyPrimaryListing(group.primary, registration.id);
+    return isRestarted ? MemberChange::Restarted : MemberChange::Applied;
 }
 
-bool takeMemberGone(ClusterView& view, const std::string& id, uint64_t revision, TimePoint now)
+bool markMemberUnlisted(ClusterView& view, const std::string& id, uint64_t revision, TimePoint now)
 {
     auto it = view.members.find(id);
     if (it == view.members.end() || revision < it->second.revision)
         return false;
     view.membersRevision = std::max(view.membersRevision, revision);
     it->second.revision = revision;
-    bool isNews = !it->second.unlistedAt;
+    bool wasListed = !it->second.unlistedAt;
     it->second.unlistedAt = it->second.unlistedAt.value_or(now);
-    return isNews;
+    return wasListed;
 }
 
-std::vector<std::string> forgetMembers(ClusterView& view, milliseconds keep, TimePoint now)
+std::vector<std::string> removeUnlistedMembers(ClusterView& view, milliseconds retention, TimePoint now)
 {
     std::vector<std::string> forgotten;
     for (auto& [id, member] : view.members) {
-        if (member.unlistedAt && now - *member.unlistedAt > keep)
+        if (member.unlistedAt && now - *member.unlistedAt > retention)
             forgotten.push_back(id);
     }
     for (auto& id : forgotten) {
-        view.forgottenRevision = std::max(view.forgottenRevision, view.members[id].revision);
-        auto& group = view.groups[view.members[id].listed.group];
+        view.removedRevision = std::max(view.removedRevision, view.members[id].revision);
+        auto& group = view.groups[view.members[id].registration.group];
         std::erase(group.members, id);
-        group.lead = decisions::applyPrimaryDenial(group.lead, id);
+        group.primary = decisions::applyPrimaryDenial(group.primary, id);
         view.members.erase(id);
         view.rankings.erase(id);
     }
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -57,7 +57,7 @@
 tl::expected<void, std::string> Gateway::start()
 {
     m_startedAt = Clock::now();
-    takeHost(m_view, m_self);
+    updateHost(m_view, m_self);
     if (auto listening = m_peers.listen(m_settings.peerAddress); !listening)
         return listening;
     if (auto listening = links::listenOn(m_acceptor, m_settings.callerAddress); !listening)
@@ -79,7 +79,7 @@
             return tl::make_unexpected(metrics.error());
         m_metricsServer = std::move(*metrics);
     }
-    m_directory.begin();
+    m_directory.start();
     m_sweepTimer = m_timers.subscribe(m_context.get_executor(), kSweepInterval, [this] { sweep(); });
     base::logEvent(LogClass::State, "start", { { "version", std::string_view(ALDERWARD_VERSION) }, { "data_centre", std::string_view(m_settings.dataCentre) }, { "incarnation", static_cast<int64_t>(m_self.incarnation) } });
     return {};
@@ -99,10 +99,10 @@
         base::setGauge(MetricFamily::PoolRunning, { { "member", member } }, load.running);
     }
     for (auto& [name, group] : m_view.groups) {
-        base::setGauge(MetricFamily::Term, { { "group", name } }, static_cast<double>(group.lead.term));
+        base::setGauge(MetricFamily::Term, { { "group", name } }, static_cast<double>(group.primary.term));
         if (!group.floors.isEmpty())
             base::setGauge(MetricFamily::FloorAge, { { "group", name } }, std::chrono::duration<double>(now - group.floors.floors.back().coveredUntil).count());
-        auto primary = m_view.members.find(group.lead.member);
+        auto primary = m_view.members.find(group.primary.member);
         if (primary != m_view.members.end() && primary->second.leavingSince)
             base::setGauge(MetricFamily::LeavingPrimary, { { "group", name } }, std::chrono::duration<double>(now - *primary->second.leavingSince).count());
     }
@@ -128,7 +128,7 @@
 
 bool Gateway::isReady() const
 {
-    return m_view.configuration.version > 0 && m_view.hasMembers && !m_isDraining;
+    return m_view.configuration.version > 0 && m_view.hasListedMembers && !m_isDraining;
 }
 
 LocalHost Gateway::getLocalHost() const
@@ -153,7 +153,7 @@
             SessionContext context { m_context, m_platform->getCodec(), m_view, m_router, m_isClosingSessions, m_startedAt + kInitialConfigurationWait, [this](const std::shared_ptr<CallerSession>& it) { m_sessions.erase(it); } };
             auto session = std::make_shared<CallerSession>(std::move(context), ++m_lastSessionId);
             m_sessions.insert(session);
-            session->begin(std::move(socket));
+            session->start(std::move(socket));
         }
         accept();
     });
@@ -184,31 +184,31 @@
     auto group = m_view.configuration.groups.find(target.group);
     auto configuredLimit = group == m_view.configuration.groups.end() ? 0U : group->second.connectionsPerMember;
     auto member = m_view.members.find(target.member);
-    auto slots = member == m_view.members.end() ? 1U : std::max(1U, member->second.listed.slots);
+    auto slots = member == m_view.members.end() ? 1U : std::max(1U, member->second.registration.slots);
     return { std::max(2U, (configuredLimit - std::min(configuredLimit, kReservedConnections)) / 2), slots + 1, m_view.configuration.accounts.has_value() };
 }
 
 PoolObserver Gateway::makePoolObserver()
 {
     PoolObserver observer;
-    observer.getKnownMark = [this](const TargetAddress& target) { return getKnownMark(m_view.groups[target.group]); };
+    observer.getKnownMark = [this](const TargetAddress& target) { return getNewestKnownMark(m_view.groups[target.group]); };
     observer.onLostLog = [this](const TargetAddress& target, const Mark& position) {
         base::logEvent(LogClass::State, "primary-lost-log", { { "group", std::string_view(target.group) }, { "member", std::string_view(target.member) }, { "term", static_cast<int64_t>(position.term) }, { "position", static_cast<int64_t>(position.position) } });
-        setKnownPrimary(target.group, decisions::applyPrimaryDenial(m_view.groups[target.group].lead, target.member), "denied");
+        setKnownPrimary(target.group, decisions::applyPrimaryDenial(m_view.groups[target.group].primary, target.member), "denied");
     };
-    observer.isKnownPrimary = [this](const TargetAddress& target) { return m_view.groups[target.group].lead.member == target.member; };
+    observer.isKnownPrimary = [this](const TargetAddress& target) { return m_view.groups[target.group].primary.member == target.member; };
     observer.onPrimaryProven = [this](const TargetAddress& target, const Mark& position, TimePoint sentAt) {
-        handlePrimaryProof(target.group, target.member, position.term, sentAt, ShownTo::ThisHost);
-        if (m_view.groups[target.group].lead.member == target.member) {
+        handlePrimaryProof(target.group, target.member, position.term, sentAt, ProofRecipient::ThisHost);
+        if (m_view.groups[target.group].primary.member == target.member) {
             recordFloor(target.group, { position, sentAt });
-            m_view.groups[target.group].provenAt = Clock::now();
+            m_view.groups[target.group].lastProofAt = Clock::now();
             m_promoter.onPrimaryConfirmed(target.group, Clock::now());
         }
     };
     observer.onReplicaReported = [this](const TargetAddress& target) {
         auto& group = m_view.groups[target.group];
-        auto before = group.lead;
-        denyLead(group, target.member, Clock::now());
+        auto before = group.primary;
+        denyPrimary(group, target.member, Clock::now());
         notifyPrimaryChange(target.group, before, "denied");
     };
     observer.onPosition = [this](const TargetAddress& target, const Mark& position) {
@@ -221,16 +221,16 @@
         auto it = m_view.members.find(target.member);
         if (it == m_view.members.end())
             return;
-        it->second.answeredAt = Clock::now();
-        it->second.troubleAt = {};
+        it->second.lastAnswerAt = Clock::now();
+        it->second.lastFailureAt = {};
     };
     observer.onConnectionFailure = [this](const TargetAddress& target, const std::string& reason) {
         auto it = m_view.members.find(target.member);
         if (it == m_view.members.end())
             return;
-        it->second.troubleAt = Clock::now();
+        it->second.lastFailureAt = Clock::now();
         base::logEvent(LogClass::State, "target-trouble", { { "member", std::string_view(target.member) }, { "group", std::string_view(target.group) }, { "reason", std::string_view(reason) } });
-        if (m_view.groups[target.group].lead.member == target.member)
+        if (m_view.groups[target.group].primary.member == target.member)
             raiseAlarm(target.group, reason);
     };
     observer.onConnectionRefused = [](const TargetAddress& target, size_t open, const std::string& reason) {
@@ -248,7 +248,7 @@
     if (now - lastSentAt < decisions::getAlarmInterval(m_view.hosts.size()))
         return;
     lastSentAt = now;
-    auto& primary = m_view.groups[group].lead.member;
+    auto& primary = m_view.groups[group].primary.member;
     for (auto& name : m_promoter.getCoordinators(group)) {
         if (name != m_self.name)
             m_peers.sendAlarm(name, group, primary, reason);
@@ -264,7 +264,7 @@
 bool Gateway::isUnreachable(const TargetAddress& target) const
 {
     auto it = m_view.members.find(target.member);
-    return it != m_view.members.end() && it->second.troubleAt != TimePoint {} && Clock::now() - it->second.troubleAt < kUnreachableCooldown;
+    return it != m_view.members.end() && it->second.lastFailureAt != TimePoint {} && Clock::now() - it->second.lastFailureAt < kUnreachableCooldown;
 }
 
 void Gateway::fillStatus(peer::Pong& message) const
@@ -280,9 +280,9 @@
 void Gateway::handlePong(const peer::Pong& message, TimePoint sentAt)
 {
     if (message.entries_until() != 0)
-        m_directory.takeChanges(decodeChanges(message, sentAt));
+        m_directory.applyRelayedChanges(decodeChanges(message, sentAt));
     m_directory.refreshConfiguration(message.configuration());
-    m_directory.hearChange(message.change());
+    m_directory.applyReportedRevision(message.change());
     auto leadTimes = findEvidenceTimes(message, sentAt);
     for (int i = 0; i < message.leads_size(); ++i) {
         auto& it = message.leads(i);
@@ -290,7 +290,7 @@
         if (!m_view.members.contains(it.member()))
             continue;
         if (askedAt)
-            handlePrimaryProof(it.group(), it.member(), it.term(), *askedAt, ShownTo::AnotherHost);
+            handlePrimaryProof(it.group(), it.member(), it.term(), *askedAt, ProofRecipient::AnotherHost);
         else
             handleAssumedPrimary(it.group(), it.member(), it.term());
     }
@@ -312,7 +312,7 @@
     callbacks.isUnreachable = [this](const TargetAddress& target) { return isUnreachable(target); };
     callbacks.queryStatus = [this](const TargetAddress& target, std::function<void(const StatusReport&)> done) { queryStatus(target, std::move(done)); };
     callbacks.onAlarm = [this](const std::string& group, const std::string& member, const std::string& reason) {
-        if (m_view.groups[group].lead.member == member || member.empty())
+        if (m_view.groups[group].primary.member == member || member.empty())
             m_promoter.raiseAlarm(group, reason);
     };
     callbacks.onHoldWrites = [this](const std::string&, const std::string& member, milliseconds time) { holdWrites(member, time); };
@@ -351,7 +351,7 @@
     };
     callbacks.onPing = [this](const std::string&, const peer::Ping& ping) {
         m_directory.refreshConfiguration(ping.configuration());
-        m_directory.hearChange(ping.change());
+        m_directory.applyReportedRevision(ping.change());
     };
     callbacks.onPong = [this](const std::string&, const peer::Pong& pong, TimePoint sentAt) { handlePong(pong, sentAt); };
     callbacks.fillMembersAnswer = [this](const peer::MembersQuestion& question, peer::MembersAnswer& answer) {
@@ -386,34 +386,34 @@
     events.onConfiguration = [this](const links::GatewayConfiguration& configuration) {
         base::logEvent(LogClass::State, "configuration", { { "version", static_cast<int64_t>(configuration.version) }, { "before", static_cast<int64_t>(m_view.configuration.version) }, { "routes", static_cast<int64_t>(configuration.routes.size()) } });
         m_view.configuration = configuration;
-        m_view.isPlacementDue = true;
+        m_view.isForwardingUpdateDue = true;
         m_basePingInterval = decisions::getPingInterval(getMinStalenessLimit(configuration));
         m_isPartnerChoiceDue = true;
     };
-    events.onMember = [this](const links::RegisteredMember& member, uint64_t revision, std::optional<TimePoint> changedAt) {
+    events.onMemberChanged = [this](const links::RegisteredMember& member, uint64_t revision, std::optional<TimePoint> changedAt) {
         handleMemberListed(member, revision, changedAt ? *changedAt : decisions::estimateLeavingSince(getDrainTime(), Clock::now()), "listed");
     };
-    events.onMemberGone = [this](const std::string& id, uint64_t revision) { handleMemberUnlisted(id, revision, "listed"); };
-    events.onMembersRead = [this] { m_view.hasMembers = true; };
-    events.onHost = [this](const links::RegisteredHost& host) {
+    events.onMemberRemoved = [this](const std::string& id, uint64_t revision) { handleMemberUnlisted(id, revision, "listed"); };
+    events.onMembersListed = [this] { m_view.hasListedMembers = true; };
+    events.onHostChanged = [this](const links::RegisteredHost& host) {
         if (host.name == m_self.name)
             return;
         m_hostsRemovedAt.erase(host.name);
-        takeHost(m_view, host);
+        updateHost(m_view, host);
         m_isPeerUpdateDue = true;
     };
-    events.onHostGone = [this](const std::string& name) {
+    events.onHostRemoved = [this](const std::string& name) {
         if (name != m_self.name && m_view.hosts.contains(name))
             m_hostsRemovedAt[name] = Clock::now();
     };
-    events.onSuccession = [this](const std::string& group, const links::StoreItem& item) { m_promoter.applyCoordinatorRecord(group, item); };
-    events.onNearAccounts = [this](size_t shard, const std::set<std::string>& accounts) { m_quotas.applyStoredNearQuota(shard, accounts); };
+    events.onCoordinatorRecord = [this](const std::string& group, const links::StoreItem& item) { m_promoter.applyCoordinatorRecord(group, item); };
+    events.onNearQuotaAccounts = [this](size_t shard, const std::set<std::string>& accounts) { m_quotas.applyStoredNearQuota(shard, accounts); };
     return events;
 }
 
 void Gateway::writeNearQuotaAccounts(size_t shard, const std::set<std::string>& accounts, std::function<void(bool)> done)
 {
-    asio::co_spawn(m_context, m_directory.writeNearAccounts(shard, accounts), [done = std::move(done)](const std::exception_ptr& error, bool isDone) { done(!error && isDone); });
+    asio::co_spawn(m_context, m_directory.writeNearQuotaAccounts(shard, accounts), [done = std::move(done)](const std::exception_ptr& error, bool isDone) { done(!error && isDone); });
 }
 
 void Gateway::updatePeerHosts()
@@ -435,7 +435,7 @@
         if (m_peers.isAnswering(name) || (now - since < kRelistTime && m_peers.isUp(name)))
             continue;
         m_hostsRemovedAt.erase(name);
-        dropHost(m_view, name);
+        removeHost(m_view, name);
         m_isPeerUpdateDue = true;
     }
     if (m_isPeerUpdateDue)
@@ -451,7 +451,7 @@
     bool isWatcher = std::ranges::find(relays, m_self.name) != relays.end() || getLocalHost().isAskedToRelay;
     bool hasRelay = std::ranges::any_of(partners, [](auto& it) { return it.second.reportsLoads; });
     m_directory.setWatcher(isWatcher, hasRelay);
-    m_directory.setLostByRelays(std::ranges::none_of(partners, [this](auto& it) { return it.second.isRelay && m_peers.getCapabilities(it.first).hasStore; }));
+    m_directory.setStoreLostByRelays(std::ranges::none_of(partners, [this](auto& it) { return it.second.isRelay && m_peers.getCapabilities(it.first).hasStore; }));
     if (relays == m_relays)
         return;
     m_relays = relays;
@@ -470,7 +470,7 @@
             return;
         auto result = report;
         auto member = m_view.members.find(target.member);
-        if (member != m_view.members.end() && member->second.answeredAt > startedAt)
+        if (member != m_view.members.end() && member->second.lastAnswerAt > startedAt)
             result.wasReached = true;
         auto call = std::move(*callback);
         *callback = nullptr;
@@ -537,7 +537,7 @@
     if (now - m_unlistedSweptAt < kUnlistedSweepInterval)
         return;
     m_unlistedSweptAt = now;
-    for (auto& id : forgetMembers(m_view, kUnlistedRetention, now)) {
+    for (auto& id : removeUnlistedMembers(m_view, kUnlistedRetention, now)) {
         auto it = m_pools.find(id);
         if (it == m_pools.end())
             continue;
@@ -549,14 +549,14 @@
 void Gateway::sweepPools(TimePoint now)
 {
     sweepUnlistedMembers(now);
-    bool isPlacementDue = m_view.isPlacementDue || m_forwardingHostsVersion != m_peers.getVersion() || now - m_forwardingUpdatedAt >= kForwardingUpdateInterval;
+    bool isPlacementDue = m_view.isForwardingUpdateDue || m_forwardingHostsVersion != m_peers.getVersion() || now - m_forwardingUpdatedAt >= kForwardingUpdateInterval;
     if (isPlacementDue)
         updateForwarding(now);
     for (auto& [id, pool] : m_pools) {
         auto member = m_view.members.find(id);
         bool isKnown = member != m_view.members.end();
         pool->setAcceptsNewOperations(isKnown && acceptsNewOperations(member->second, getDrainTime(), now));
-        bool isBehind = isKnown && (mustShow(member->second) || isFarBehind(m_view.groups[member->second.listed.group], member->second, now));
+        bool isBehind = isKnown && (mustReportPosition(member->second) || isFarBehind(m_view.groups[member->second.registration.group], member->second, now));
         pool->setPositionInterval(isBehind && pool->isForwarder() ? kPositionInterval : milliseconds(0));
         pool->sweep(now);
     }
@@ -566,22 +566,22 @@
 // the cost grows with the number of hosts and members.
 void Gateway::updateForwarding(TimePoint now)
 {
-    m_view.isPlacementDue = false;
+    m_view.isForwardingUpdateDue = false;
     m_forwardingHostsVersion = m_peers.getVersion();
     m_forwardingUpdatedAt = now;
     auto localHost = getLocalHost();
     for (auto& [id, member] : m_view.members) {
         // Repeated until a primary is known: after a lost or premature answer this host's callers would stay without a primary.
-        if (m_view.groups[member.listed.group].lead.member.empty() && now - member.leadAskedAt >= kPrimaryClaimCheckInterval)
+        if (m_view.groups[member.registration.group].primary.member.empty() && now - member.primaryQueriedAt >= kPrimaryClaimCheckInterval)
             verifyPrimaryClaim(member);
-        bool isPrimary = m_view.groups[member.listed.group].lead.member == id;
-        if ((isPrimary || mustShow(member)) && isForwarder(m_view, m_peers, localHost, member))
+        bool isPrimary = m_view.groups[member.registration.group].primary.member == id;
+        if ((isPrimary || mustReportPosition(member)) && isForwarder(m_view, m_peers, localHost, member))
             getPool(member.getTarget());
     }
     for (auto& [id, pool] : m_pools) {
         auto member = m_view.members.find(id);
         bool isKnown = member != m_view.members.end();
-        bool isPrimary = isKnown && m_view.groups[member->second.listed.group].lead.member == id;
+        bool isPrimary = isKnown && m_view.groups[member->second.registration.group].primary.member == id;
         pool->setLimits(getPoolLimits(pool->getTarget())); // configuration and members may have changed since the pool was created
         pool->setLogComparison(ensureComparison(pool->getTarget()));
         bool isForwarding = isKnown && isForwarder(m_view, m_peers, localHost, member->second);
@@ -604,7 +604,7 @@
     if (m_isDraining)
         return;
     m_isDraining = true;
-    m_view.isPlacementDue = true;
+    m_view.isForwardingUpdateDue = true;
     m_shutdownStartedAt = Clock::now();
     base::logEvent(LogClass::State, "stop-begins", { { "sessions", static_cast<int64_t>(m_sessions.size()) }, { "grace_ms", static_cast<int64_t>(m_settings.stopGraceMs) } });
 }
@@ -636,7 +636,7 @@
 {
     auto closedSessions = static_cast<int64_t>(m_sessions.size());
     m_peers.stop();
-    co_await m_directory.end();
+    co_await m_directory.stop();
     co_await base::sleepFor(kSocketFlushTime);
     base::logEvent(LogClass::State, "stop", { { "sessions_cut", closedSessions } });
     base::flushEventLog();
--- a/src/gateway/gateway_members.cpp
+++ b/src/gateway/gateway_members.cpp
@@ -18,16 +18,16 @@
 {
     auto known = m_view.members.find(member.id);
     bool wasKnown = known != m_view.members.end();
-    auto before = wasKnown ? known->second.listed : links::RegisteredMember {};
+    auto before = wasKnown ? known->second.registration : links::RegisteredMember {};
     bool wasUnlisted = wasKnown && known->second.unlistedAt;
-    auto change = takeMember(m_view, member, revision, leavingSince, Clock::now());
+    auto change = applyMember(m_view, member, revision, leavingSince, Clock::now());
     if (change == MemberChange::Outdated)
         return;
-    if (change == MemberChange::StartedAgain)
+    if (change == MemberChange::Restarted)
         handleMemberRestart(member);
     handleRoleChange(before, member);
     m_isPartnerChoiceDue = m_isPartnerChoiceDue || !wasKnown;
-    m_view.isPlacementDue = true;
+    m_view.isForwardingUpdateDue = true;
     before.incarnation = member.incarnation; // the sequence increases with each update of the entry and is no change worth logging
     if (before == member && !wasUnlisted)
         return;
@@ -49,14 +49,14 @@
 
 void Gateway::handleMemberUnlisted(const std::string& id, uint64_t revision, std::string_view source)
 {
-    if (takeMemberGone(m_view, id, revision, Clock::now()))
+    if (markMemberUnlisted(m_view, id, revision, Clock::now()))
         base::logEvent(LogClass::State, "member-unlisted", { { "member", std::string_view(id) }, { "revision", static_cast<int64_t>(revision) }, { "source", source } });
 }
 
 // While the store is unreachable, requests members from a random host that can reach it.
 void Gateway::refreshMembersFromPeers(TimePoint now)
 {
-    if (!m_view.hasMembers || !m_directory.mayMissChanges() || now - m_membersRequestedAt < kMembersRequestInterval)
+    if (!m_view.hasListedMembers || !m_directory.mayMissChanges() || now - m_membersRequestedAt < kMembersRequestInterval)
         return;
     std::vector<std::string> hostsWithStore;
     for (auto& name : m_peers.getAnsweringHosts()) {
@@ -92,10 +92,10 @@
     bool hasRecentProof = !group.floors.isEmpty() && Clock::now() - group.floors.floors.back().coveredUntil < kProofTimeout;
     if (before.saysPrimary == now.saysPrimary || hasRecentProof)
         return;
-    if (now.saysPrimary && group.lead.member != now.id)
-        setKnownPrimary(now.group, { now.id, group.lead.term, false }, "listed");
+    if (now.saysPrimary && group.primary.member != now.id)
+        setKnownPrimary(now.group, { now.id, group.primary.term, false }, "listed");
     else if (!now.saysPrimary)
-        setKnownPrimary(now.group, decisions::applyPrimaryDenial(group.lead, now.id), "listed");
+        setKnownPrimary(now.group, decisions::applyPrimaryDenial(group.primary, now.id), "listed");
 }
 
 }
--- a/src/gateway/gateway_primaries.cpp
+++ b/src/gateway/gateway_primaries.cpp
@@ -24,12 +24,12 @@
 {
     auto& group = m_view.groups[target.group];
     bool isKnown = m_view.members.contains(target.member);
-    if (!isKnown || group.lead.member != target.member || canTellLostLog(group))
+    if (!isKnown || group.primary.member != target.member || canDetectLostLog(group))
         return LogComparison::NotNeeded;
     compareWithReplicas(target.group);
-    if (canTellLostLog(group))
+    if (canDetectLostLog(group))
         return LogComparison::NotNeeded;
-    return group.lacksAnswers ? LogComparison::AnswersMissing : LogComparison::InProgress;
+    return group.lacksReplicaAnswers ? LogComparison::AnswersMissing : LogComparison::InProgress;
 }
 
 // Guards against a primary that restarted with an empty log: a host that has just started knows no floor that would reveal it. A replica of the
@@ -38,11 +38,11 @@
 {
     auto now = Clock::now();
     auto& group = m_view.groups[name];
-    if (group.isComparing || now - group.comparedAt < kComparisonInterval)
+    if (group.isQueryingReplicas || now - group.replicasQueriedAt < kComparisonInterval)
         return;
-    group.isComparing = true;
-    group.comparedAt = now;
-    auto& primary = m_view.members.at(group.lead.member).listed;
+    group.isQueryingReplicas = true;
+    group.replicasQueriedAt = now;
+    auto& primary = m_view.members.at(group.primary.member).registration;
     auto round = std::make_shared<ComparisonRound>(ComparisonRound { name, primary.id, primary.incarnation });
     std::vector<TargetAddress> targets;
     for (auto& id : group.members) {
@@ -50,8 +50,8 @@
         if (id == primary.id || member.unlistedAt)
             continue;
         targets.push_back(member.getTarget());
-        bool isOlder = mayBeOlder(member.listed.incarnation, primary.incarnation);
-        round->replicas.push_back({ false, isOlder, !isOlder && mayBeOlder(primary.incarnation, member.listed.incarnation) });
+        bool isOlder = mayHaveStartedBefore(member.registration.incarnation, primary.incarnation);
+        round->replicas.push_back({ false, isOlder, !isOlder && mayHaveStartedBefore(primary.incarnation, member.registration.incarnation) });
     }
     round->pendingCount = targets.size();
     if (targets.empty())
@@ -61,7 +61,7 @@
             auto& group = m_view.groups[round->group];
             round->replicas[i].hasAnswered = report.status.term != 0;
             if (report.status.term != 0)
-                group.heldByReplicas = std::max(group.heldByReplicas, report.status.received);
+                group.newestReplicaMark = std::max(group.newestReplicaMark, report.status.received);
             if (--round->pendingCount == 0)
                 finishComparison(*round);
         });
@@ -71,79 +71,79 @@
 void Gateway::finishComparison(const ComparisonRound& round)
 {
     auto& group = m_view.groups[round.group];
-    group.isComparing = false;
-    m_view.isPlacementDue = true;
+    group.isQueryingReplicas = false;
+    m_view.isForwardingUpdateDue = true;
     auto primary = m_view.members.find(round.primary);
-    bool isUnchanged = primary != m_view.members.end() && group.lead.member == round.primary && !isOtherLife(round.incarnation, primary->second.listed.incarnation);
+    bool isUnchanged = primary != m_view.members.end() && group.primary.member == round.primary && !isDifferentIncarnation(round.incarnation, primary->second.registration.incarnation);
     if (!isUnchanged) { // the result is void: the next ensureComparison() starts another one
-        group.comparedAt = {};
+        group.replicasQueriedAt = {};
         return;
     }
-    group.wasCompared = decisions::canTrustPrimary(round.replicas);
-    group.lacksAnswers = !group.wasCompared;
+    group.wasComparedWithReplicas = decisions::canTrustPrimary(round.replicas);
+    group.lacksReplicaAnswers = !group.wasComparedWithReplicas;
     auto answered = std::ranges::count_if(round.replicas, &decisions::QueriedReplica::hasAnswered);
     auto older = std::ranges::count_if(round.replicas, &decisions::QueriedReplica::mayPredatePrimary);
-    base::logEvent(LogClass::State, "replicas-compared", { { "group", std::string_view(round.group) }, { "member", std::string_view(round.primary) }, { "replicas", static_cast<int64_t>(round.replicas.size()) }, { "older", static_cast<int64_t>(older) }, { "answered", static_cast<int64_t>(answered) }, { "enough", group.wasCompared }, { "term", static_cast<int64_t>(group.heldByReplicas.term) }, { "position", static_cast<int64_t>(group.heldByReplicas.position) } });
+    base::logEvent(LogClass::State, "replicas-compared", { { "group", std::string_view(round.group) }, { "member", std::string_view(round.primary) }, { "replicas", static_cast<int64_t>(round.replicas.size()) }, { "older", static_cast<int64_t>(older) }, { "answered", static_cast<int64_t>(answered) }, { "enough", group.wasComparedWithReplicas }, { "term", static_cast<int64_t>(group.newestReplicaMark.term) }, { "position", static_cast<int64_t>(group.newestReplicaMark.position) } });
 }
 
 // Queries a member that claims to be primary. Its forwarder has to: other hosts reach the member only through it and can't report a proof.
-void Gateway::verifyPrimaryClaim(MemberBelief& member)
+void Gateway::verifyPrimaryClaim(MemberView& member)
 {
-    if (!member.listed.saysPrimary || !isForwarder(m_view, m_peers, getLocalHost(), member))
+    if (!member.registration.saysPrimary || !isForwarder(m_view, m_peers, getLocalHost(), member))
         return;
-    member.leadAskedAt = Clock::now();
-    auto known = getKnownMark(m_view.groups[member.listed.group]);
-    queryStatus(member.getTarget(), [this, id = member.listed.id, name = member.listed.group, known, askedAt = member.leadAskedAt](const StatusReport& report) {
+    member.primaryQueriedAt = Clock::now();
+    auto known = getNewestKnownMark(m_view.groups[member.registration.group]);
+    queryStatus(member.getTarget(), [this, id = member.registration.id, name = member.registration.group, known, askedAt = member.primaryQueriedAt](const StatusReport& report) {
         if (report.status.isPrimary && !decisions::hasLostLog(known, report.status.received))
-            handlePrimaryProof(name, id, report.status.term, askedAt, ShownTo::ThisHost);
+            handlePrimaryProof(name, id, report.status.term, askedAt, ProofRecipient::ThisHost);
     });
 }
 
 void Gateway::setKnownPrimary(const std::string& group, const decisions::KnownPrimary& primary, std::string_view source)
 {
-    auto& current = m_view.groups[group].lead;
+    auto& current = m_view.groups[group].primary;
     auto before = current;
     current = primary;
     notifyPrimaryChange(group, before, source);
 }
 
-void Gateway::handlePrimaryProof(const std::string& group, const std::string& member, uint64_t term, TimePoint askedAt, ShownTo shownTo)
+void Gateway::handlePrimaryProof(const std::string& group, const std::string& member, uint64_t term, TimePoint askedAt, ProofRecipient shownTo)
 {
     auto& belief = m_view.groups[group];
-    auto before = belief.lead;
-    takeShownLead(belief, member, term, askedAt, shownTo);
-    notifyPrimaryChange(group, before, shownTo == ShownTo::ThisHost ? "proof" : "told");
-    if (shownTo == ShownTo::ThisHost)
+    auto before = belief.primary;
+    applyProvenPrimary(belief, member, term, askedAt, shownTo);
+    notifyPrimaryChange(group, before, shownTo == ProofRecipient::ThisHost ? "proof" : "told");
+    if (shownTo == ProofRecipient::ThisHost)
         logRejectedProof(group, member, term);
 }
 
 void Gateway::handlePromotionOrder(const std::string& group, const std::string& member, uint64_t term)
 {
     auto& belief = m_view.groups[group];
-    auto before = belief.lead;
-    takeOrderedLead(belief, member, term, Clock::now());
+    auto before = belief.primary;
+    applyOrderedPrimary(belief, member, term, Clock::now());
     notifyPrimaryChange(group, before, "ordered");
 }
 
 void Gateway::handleAssumedPrimary(const std::string& group, const std::string& member, uint64_t term)
 {
     auto& belief = m_view.groups[group];
-    auto before = belief.lead;
-    takeAssumedLead(belief, member, term, Clock::now());
+    auto before = belief.primary;
+    applyAssumedPrimary(belief, member, term, Clock::now());
     notifyPrimaryChange(group, before, "told");
 }
 
 void Gateway::notifyPrimaryChange(const std::string& group, const decisions::KnownPrimary& before, std::string_view source)
 {
     auto& belief = m_view.groups[group];
-    auto& primary = belief.lead;
+    auto& primary = belief.primary;
     if (primary.member == before.member && primary.term == before.term)
         return;
     if (primary.member != before.member) { // the comparison was made with the previous primary
-        belief.wasCompared = false;
-        belief.lacksAnswers = false;
+        belief.wasComparedWithReplicas = false;
+        belief.lacksReplicaAnswers = false;
     }
-    m_view.isPlacementDue = true;
+    m_view.isForwardingUpdateDue = true;
     m_promoter.onPrimaryChanged(group);
     base::logEvent(LogClass::State, "lead", { { "group", std::string_view(group) }, { "member", std::string_view(primary.member) }, { "term", static_cast<int64_t>(primary.term) }, { "source", source } });
 }
@@ -153,10 +153,10 @@
 {
     auto& belief = m_view.groups[group];
     decisions::KnownPrimary rejected { member, term, true };
-    if (term >= belief.lead.term || rejected == belief.refusedProof)
+    if (term >= belief.primary.term || rejected == belief.lastRejectedProof)
         return;
-    belief.refusedProof = rejected;
-    base::logEvent(LogClass::State, "proof-refused", { { "group", std::string_view(group) }, { "member", std::string_view(member) }, { "term", static_cast<int64_t>(term) }, { "known", std::string_view(belief.lead.member) }, { "known_term", static_cast<int64_t>(belief.lead.term) } });
+    belief.lastRejectedProof = rejected;
+    base::logEvent(LogClass::State, "proof-refused", { { "group", std::string_view(group) }, { "member", std::string_view(member) }, { "term", static_cast<int64_t>(term) }, { "known", std::string_view(belief.primary.member) }, { "known_term", static_cast<int64_t>(belief.primary.term) } });
 }
 
 void Gateway::recordFloor(const std::string& group, const decisions::Floor& floor)
--- a/src/gateway/member_exchange.cpp
+++ b/src/gateway/member_exchange.cpp
@@ -4,9 +4,9 @@
 
 namespace alderward::gateway {
 
-static void encodeMember(peer::MemberEntry& wire, const MemberBelief& member, TimePoint now)
+static void encodeMember(peer::MemberEntry& wire, const MemberView& member, TimePoint now)
 {
-    auto& listed = member.listed;
+    auto& listed = member.registration;
     wire.set_id(listed.id);
     wire.set_group(listed.group);
     wire.set_address(listed.address);
@@ -24,7 +24,7 @@
 
 void encodeMembers(peer::MembersAnswer& wire, const ClusterView& view, uint64_t since, TimePoint now)
 {
-    bool isComplete = view.forgottenRevision > since;
+    bool isComplete = view.removedRevision > since;
     wire.set_is_whole(isComplete);
     wire.set_revision(view.membersRevision);
     for (auto& [id, member] : view.members) {
@@ -47,9 +47,9 @@
     return member;
 }
 
-void encodeChanges(peer::Pong& wire, const ToldChanges& batch, TimePoint now)
+void encodeChanges(peer::Pong& wire, const RelayedChanges& batch, TimePoint now)
 {
-    wire.set_entries_until(batch.until);
+    wire.set_entries_until(batch.untilRevision);
     for (auto& it : batch.changes) {
         auto& entry = *wire.add_entries();
         entry.set_key(it.item.key);
@@ -59,14 +59,14 @@
         if (!it.isLarge)
             entry.set_value(it.item.value);
         entry.set_is_old(!it.changedAt);
-        entry.set_age_us(static_cast<uint64_t>(std::chrono::duration_cast<std::chrono::microseconds>(now - it.heardAt).count()));
+        entry.set_age_us(static_cast<uint64_t>(std::chrono::duration_cast<std::chrono::microseconds>(now - it.receivedAt).count()));
     }
 }
 
-ToldChanges decodeChanges(const peer::Pong& wire, TimePoint sentAt)
+RelayedChanges decodeChanges(const peer::Pong& wire, TimePoint sentAt)
 {
-    ToldChanges batch;
-    batch.until = wire.entries_until();
+    RelayedChanges batch;
+    batch.untilRevision = wire.entries_until();
     for (auto& it : wire.entries()) {
         auto receivedAt = sentAt - std::chrono::microseconds(it.age_us());
         links::StoreItem item { .key = it.key(), .value = it.value(), .revision = it.revision(), .isDeleted = it.is_deleted() };
--- a/src/gateway/member_exchange.h
+++ b/src/gateway/member_exchange.h
@@ -13,9 +13,9 @@
 links::RegisteredMember decodeMember(const peer::MemberEntry& wire);
 
 // Changes in the store that a relay forwards. Times are encoded as ages, as clocks of hosts differ.
-void encodeChanges(peer::Pong& wire, const ToldChanges& batch, TimePoint now);
+void encodeChanges(peer::Pong& wire, const RelayedChanges& batch, TimePoint now);
 // `sentAt`: when the ping was sent that the message answers, so that changes never seem newer than they are.
-ToldChanges decodeChanges(const peer::Pong& wire, TimePoint sentAt);
+RelayedChanges decodeChanges(const peer::Pong& wire, TimePoint sentAt);
 
 // Ids of known members that are absent from a complete answer, that is, removed. Members changed after the answer's revision are left out.
 std::vector<std::string> findAbsentMembers(const peer::MembersAnswer& wire, const ClusterView& view);
--- a/src/gateway/partners.cpp
+++ b/src/gateway/partners.cpp
@@ -86,10 +86,10 @@
     for (auto& name : role.coordinators)
         addPartner(partners, name, { quietInterval });
     for (auto& [id, member] : view.members) {
-        auto& ranked = getCarriers(view, member);
+        auto& ranked = getForwarders(view, member);
         if (queriesForwarders)
             addForwarders(partners, ranked, peers, self.name, intervals.forwarders);
-        else if (role.groups.contains(member.listed.group))
+        else if (role.groups.contains(member.registration.group))
             addForwarders(partners, ranked, peers, self.name, quietInterval);
         else
             addPredecessors(partners, ranked, self.name, quietInterval);
@@ -110,9 +110,9 @@
     return partners;
 }
 
-bool isForwarder(ClusterView& view, const Peers& peers, const LocalHost& self, const MemberBelief& member)
+bool isForwarder(ClusterView& view, const Peers& peers, const LocalHost& self, const MemberView& member)
 {
-    auto& ranked = getCarriers(view, member);
+    auto& ranked = getForwarders(view, member);
     auto first = std::ranges::find_if(ranked, [&](const std::string& name) { return name == self.name ? !self.isDraining : peers.isUsable(name); });
     return first != ranked.end() && *first == self.name;
 }
--- a/src/gateway/partners.h
+++ b/src/gateway/partners.h
@@ -27,6 +27,6 @@
 // The number of partners is bounded, except that a relay's grows with the number of members.
 Partners choosePartners(ClusterView& view, const Peers& peers, const LocalHost& self, const CoordinatorRole& role, milliseconds quietInterval);
 // Whether this host is the member's forwarder: the first usable host in the member's ranking.
-bool isForwarder(ClusterView& view, const Peers& peers, const LocalHost& self, const MemberBelief& member);
+bool isForwarder(ClusterView& view, const Peers& peers, const LocalHost& self, const MemberView& member);
 
 }
--- a/src/gateway/promoter.cpp
+++ b/src/gateway/promoter.cpp
@@ -217,10 +217,10 @@
     base::logEvent(LogClass::State, "in-charge", { { "group", std::string_view(group) }, { "holder", std::string_view(state.record.coordinators.front().host) }, { "in_charge", std::string_view(actingCoordinator) } });
 }
 
-bool Promoter::mustHandOver(const GroupBelief& belief) const
+bool Promoter::mustHandOver(const GroupView& belief) const
 {
-    auto it = m_context.view.members.find(belief.lead.member);
-    return it != m_context.view.members.end() && (it->second.listed.isLeaving || it->second.unlistedAt);
+    auto it = m_context.view.members.find(belief.primary.member);
+    return it != m_context.view.members.end() && (it->second.registration.isLeaving || it->second.unlistedAt);
 }
 
 // A task that is due for a group.
@@ -230,10 +230,10 @@
     std::string cause;
 };
 
-std::optional<Promoter::DueTask> Promoter::findDueTask(const GroupBelief& belief, GroupState& state, TimePoint now) const
+std::optional<Promoter::DueTask> Promoter::findDueTask(const GroupView& belief, GroupState& state, TimePoint now) const
 {
     auto rank = decisions::findRank(state.record, m_context.self).value_or(0);
-    bool hasNoPrimary = belief.lead.member.empty();
+    bool hasNoPrimary = belief.primary.member.empty();
     if (!hasNoPrimary)
         state.noPrimarySince = {};
     else if (state.noPrimarySince == TimePoint {})
@@ -300,7 +300,7 @@
 
 asio::awaitable<void> Promoter::writeCoordinatorRecord(std::string group, decisions::CoordinatorRecord record, uint64_t revision)
 {
-    auto key = std::string(kSuccessionPrefix) + group;
+    auto key = std::string(kCoordinatorRecordPrefix) + group;
     links::StoreChange change;
     change.expected.emplace_back(key, revision);
     change.puts.push_back({ .key = key, .value = decisions::formatCoordinatorRecord(record) });
@@ -328,7 +328,7 @@
 
 asio::awaitable<void> Promoter::replacePrimary(std::string group, bool isPlanned, std::string cause)
 {
-    auto believed = m_context.view.groups[group].lead;
+    auto believed = m_context.view.groups[group].primary;
     auto startedAt = Clock::now();
     base::logEvent(LogClass::State, "promotion-considered", { { "group", std::string_view(group) }, { "primary", std::string_view(believed.member) }, { "term", static_cast<int64_t>(believed.term) }, { "cause", std::string_view(cause) }, { "planned", isPlanned } });
     bool isDue = true;
@@ -353,25 +353,25 @@
     auto holdBackReason = isDue ? findHoldBackReason(group, attempt) : std::string_view();
     if (!holdBackReason.empty()) {
         isDue = false;
-        base::logEvent(LogClass::State, "promotion-held-back", { { "group", std::string_view(group) }, { "reason", holdBackReason }, { "member", std::string_view(belief.lead.member) }, { "term", static_cast<int64_t>(belief.lead.term) } });
+        base::logEvent(LogClass::State, "promotion-held-back", { { "group", std::string_view(group) }, { "reason", holdBackReason }, { "member", std::string_view(belief.primary.member) }, { "term", static_cast<int64_t>(belief.primary.term) } });
     }
     if (isDue) {
         auto& findings = replicas->findings;
         logEvidence(group, findings);
-        auto newestSeen = std::max(belief.shownTerm, decisions::findNewerTerm(findings, 0).value_or(0));
+        auto newestSeen = std::max(belief.provenTerm, decisions::findNewerTerm(findings, 0).value_or(0));
         auto confirmedPrimary = std::ranges::find_if(findings, [&](const MemberFinding& it) { return it.wasReached && it.saysPrimary && it.term >= newestSeen && it.member != believed.member; });
         auto limits = m_context.view.configuration.groups[group];
         auto successor = decisions::chooseSuccessor(findings, limits.synchronousReplicas, countListedMembers(group));
-        auto before = belief.lead;
-        m_context.view.isPlacementDue = true;
+        auto before = belief.primary;
+        m_context.view.isForwardingUpdateDue = true;
         auto newerTerm = decisions::findNewerTerm(findings, believed.term);
-        if (confirmedPrimary != findings.end() && confirmedPrimary->term < getLeastTerm(belief, startedAt))
+        if (confirmedPrimary != findings.end() && confirmedPrimary->term < getMinTerm(belief, startedAt))
             base::logEvent(LogClass::State, "promotion-held-back", { { "group", std::string_view(group) }, { "reason", std::string_view("a member reports that it is primary while an earlier promotion may still take effect") }, { "member", std::string_view(confirmedPrimary->member) }, { "term", static_cast<int64_t>(confirmedPrimary->term) } });
         else if (confirmedPrimary != findings.end()) {
-            takeShownLead(belief, confirmedPrimary->member, confirmedPrimary->term, startedAt, ShownTo::ThisHost);
+            applyProvenPrimary(belief, confirmedPrimary->member, confirmedPrimary->term, startedAt, ProofRecipient::ThisHost);
             m_context.notifyPrimaryChange(group, before, "proof");
         } else if (newerTerm) {
-            takeShownTerm(belief, *newerTerm);
+            applyProvenTerm(belief, *newerTerm);
             m_context.notifyPrimaryChange(group, before, "members");
             base::logEvent(LogClass::State, "promotion-held-back", { { "group", std::string_view(group) }, { "reason", std::string_view("members report a newer term") }, { "term", static_cast<int64_t>(*newerTerm) }, { "known", static_cast<int64_t>(believed.term) } });
         } else if (successor) {
@@ -387,7 +387,7 @@
     base::logEvent(LogClass::State, "promotion-ended", { { "group", std::string_view(group) }, { "ms", took.count() } });
     state.isPromoting = false;
     state.alarmedAt = {};
-    state.nextAttemptAt = Clock::now() + (wasOrdered ? kPromotionTakes : kAttemptCooldown);
+    state.nextAttemptAt = Clock::now() + (wasOrdered ? kPromotionGracePeriod : kAttemptCooldown);
 }
 
 // Rechecked after each wait. A primary that is no longer leaving, or has confirmed its role since the attempt began, must stay:
@@ -395,15 +395,15 @@
 std::string_view Promoter::findHoldBackReason(const std::string& group, const PromotionAttempt& attempt) const
 {
     auto& belief = m_context.view.groups[group];
-    if (decisions::isSuperseded(attempt.primary, belief.lead))
+    if (decisions::isSuperseded(attempt.primary, belief.primary))
         return "another primary became known during the attempt";
     if (attempt.isPlanned) {
-        bool isSame = belief.lead.member == attempt.primary.member; // otherwise no primary is known any more, and a promotion is still due
+        bool isSame = belief.primary.member == attempt.primary.member; // otherwise no primary is known any more, and a promotion is still due
         return !isSame || mustHandOver(belief) ? "" : "the primary is no longer leaving";
     }
     auto& floors = belief.floors.floors;
-    bool isConfirmed = !floors.empty() && floors.back().coveredUntil > attempt.startedAt && floors.back().mark.term == belief.lead.term;
-    return isConfirmed && !belief.lead.member.empty() ? "the primary confirmed its role during the attempt" : "";
+    bool isConfirmed = !floors.empty() && floors.back().coveredUntil > attempt.startedAt && floors.back().mark.term == belief.primary.term;
+    return isConfirmed && !belief.primary.member.empty() ? "the primary confirmed its role during the attempt" : "";
 }
 
 // Uses one fencing token for one member. An unanswered order may still be carried out, so it is repeated unchanged.
@@ -439,8 +439,8 @@
         }
         if (isPromoted) {
             auto& belief = m_context.view.groups[group];
-            auto before = belief.lead;
-            takeOrderedLead(belief, member, newTerm, Clock::now());
+            auto before = belief.primary;
+            applyOrderedPrimary(belief, member, newTerm, Clock::now());
             m_context.notifyPrimaryChange(group, before, "ordered");
             m_context.peers.announcePrimary(group, member, newTerm);
             co_return true;
--- a/src/gateway/promoter.h
+++ b/src/gateway/promoter.h
@@ -83,9 +83,9 @@
     // How many coordinators act before this host; empty: this host does not act.
     std::optional<size_t> getTurnIndex(const GroupState& state, decisions::PromotionTask task) const;
     void logActingCoordinator(const std::string& group, GroupState& state);
-    std::optional<DueTask> findDueTask(const GroupBelief& belief, GroupState& state, TimePoint now) const;
+    std::optional<DueTask> findDueTask(const GroupView& belief, GroupState& state, TimePoint now) const;
     bool isMyTurn(const GroupState& state, const DueTask& due, TimePoint now) const;
-    bool mustHandOver(const GroupBelief& belief) const;
+    bool mustHandOver(const GroupView& belief) const;
     void maintainCoordinatorRecord(const std::string& group, GroupState& state, TimePoint now);
     boost::asio::awaitable<void> writeCoordinatorRecord(std::string group, decisions::CoordinatorRecord record, uint64_t revision);
     boost::asio::awaitable<void> replacePrimary(std::string group, bool isPlanned, std::string cause);
@@ -93,7 +93,7 @@
     struct ReplicaQuery;
     // Asks the replicas for their status, and with `includePrimary` the primary too: it counts as reached, but is no candidate.
     void queryReplicas(const std::string& group, const std::string& primary, bool includePrimary, const std::shared_ptr<ReplicaQuery>& replicas);
-    boost::asio::awaitable<void> queryReplica(MemberBelief member, bool isCandidate, std::shared_ptr<ReplicaQuery> replicas);
+    boost::asio::awaitable<void> queryReplica(MemberView member, bool isCandidate, std::shared_ptr<ReplicaQuery> replicas);
     struct PrimaryExamination;
     boost::asio::awaitable<void> examinePrimary(std::string witness, TargetAddress primary, std::shared_ptr<PrimaryExamination> examination);
     boost::asio::awaitable<void> waitForReplicaCatchUp(std::string group, std::string primary);
--- a/src/gateway/promoter_evidence.cpp
+++ b/src/gateway/promoter_evidence.cpp
@@ -82,7 +82,7 @@
 
 asio::awaitable<void> Promoter::examinePrimary(std::string witness, TargetAddress primary, std::shared_ptr<PrimaryExamination> examination)
 {
-    auto known = getKnownMark(m_context.view.groups[primary.group]);
+    auto known = getNewestKnownMark(m_context.view.groups[primary.group]);
     auto finding = co_await queryStatus(witness, primary);
     // A member that has lost acknowledged writes does not count as a live primary.
     bool hasLost = finding.status.term != 0 && decisions::hasLostLog(known, finding.status.received);
@@ -101,7 +101,7 @@
     auto witnesses = chooseWitnesses();
     // Its forwarders, which hold connections to it.
     auto member = m_context.view.members.find(primary.member);
-    auto forwarders = member == m_context.view.members.end() ? std::vector<std::string>() : getCarriers(m_context.view, member->second);
+    auto forwarders = member == m_context.view.members.end() ? std::vector<std::string>() : getForwarders(m_context.view, member->second);
     for (auto& name : forwarders) {
         bool isChosen = name == m_context.self.host || std::ranges::find(witnesses, name) != witnesses.end();
         if (!isChosen && m_context.peers.isUp(name) && witnesses.size() < kMaxWitnesses)
@@ -116,7 +116,7 @@
     auto& deniedBy = examination->deniedBy;
     base::logEvent(LogClass::State, "primary-examined", { { "group", std::string_view(group) }, { "member", std::string_view(primary.member) }, { "witnesses", static_cast<int64_t>(witnesses.size()) }, { "reached_by", std::string_view(reachedBy) }, { "denied_to", std::string_view(deniedBy) } });
     if (reachedBy.empty() && !deniedBy.empty()) {
-        denyLead(m_context.view.groups[group], primary.member, Clock::now());
+        denyPrimary(m_context.view.groups[group], primary.member, Clock::now());
         co_return false;
     }
     co_return reachedBy.empty();
@@ -129,11 +129,11 @@
     return static_cast<size_t>(std::ranges::count_if(ids, [&](const std::string& id) { return !m_context.view.members.at(id).unlistedAt; }));
 }
 
-asio::awaitable<void> Promoter::queryReplica(MemberBelief member, bool isCandidate, std::shared_ptr<ReplicaQuery> replicas)
+asio::awaitable<void> Promoter::queryReplica(MemberView member, bool isCandidate, std::shared_ptr<ReplicaQuery> replicas)
 {
-    bool isPromotable = isCandidate && !member.listed.isLeaving && !member.unlistedAt;
+    bool isPromotable = isCandidate && !member.registration.isLeaving && !member.unlistedAt;
     auto target = member.getTarget();
-    auto known = getKnownMark(m_context.view.groups[target.group]);
+    auto known = getNewestKnownMark(m_context.view.groups[target.group]);
     auto finding = co_await queryStatus(m_context.self.host, target);
     auto witnesses = chooseWitnesses(); // the member may be unreachable from this host only
     if (finding.status.term == 0 && !witnesses.empty()) {
@@ -145,7 +145,7 @@
     // A primary that has lost its log must not be its own successor: the platform answers such an order with "done" without starting a
     // new term, so the order would be repeated forever and callers would have no primary.
     isPromotable = isPromotable && !(finding.status.isPrimary && hasLost);
-    replicas->findings.push_back({ member.listed.id, finding.wasReached, finding.status.isPrimary && !hasLost, finding.status.term, finding.status.received, isPromotable });
+    replicas->findings.push_back({ member.registration.id, finding.wasReached, finding.status.isPrimary && !hasLost, finding.status.term, finding.status.received, isPromotable });
     replicas->latch.countDown();
 }
 
--- a/src/gateway/statement_router.cpp
+++ b/src/gateway/statement_router.cpp
@@ -40,45 +40,45 @@
 }
 
 // Whether the host is usable and has not reported recently that it cannot reach the member.
-bool StatementRouter::canForward(const std::string& host, const MemberBelief& member) const
+bool StatementRouter::canForward(const std::string& host, const MemberView& member) const
 {
     if (host == m_context.name)
         return !m_context.isUnreachable(member.getTarget());
     if (!m_context.peers.isUsable(host))
         return false;
     // A reachable host may not know the member, or not reach it.
-    auto load = m_context.peers.getLoad(host, member.listed.id);
-    return !(load && load->unreachable()) && !m_context.peers.lacksMember(host, member.listed.id);
+    auto load = m_context.peers.getLoad(host, member.registration.id);
+    return !(load && load->unreachable()) && !m_context.peers.lacksMember(host, member.registration.id);
 }
 
-std::string StatementRouter::chooseForwarder(const MemberBelief& member) const
+std::string StatementRouter::chooseForwarder(const MemberView& member) const
 {
-    auto& ranked = getCarriers(m_context.view, member);
+    auto& ranked = getForwarders(m_context.view, member);
     auto first = std::ranges::find_if(ranked, [&](const std::string& host) { return canForward(host, member); });
     return first == ranked.end() ? m_context.name : *first;
 }
 
-decisions::Candidate StatementRouter::makeCandidate(const RoutedStatement& routed, const MemberBelief& member, const std::string& primary) const
+decisions::Candidate StatementRouter::makeCandidate(const RoutedStatement& routed, const MemberView& member, const std::string& primary) const
 {
     auto now = Clock::now();
     decisions::Candidate candidate;
-    candidate.isUsable = !member.listed.isLeaving && !member.unlistedAt && !mustShow(member);
-    candidate.isPrimary = member.listed.id == primary;
-    candidate.wasTried = std::ranges::find(routed.triedMembers, member.listed.id) != routed.triedMembers.end();
+    candidate.isUsable = !member.registration.isLeaving && !member.unlistedAt && !mustReportPosition(member);
+    candidate.isPrimary = member.registration.id == primary;
+    candidate.wasTried = std::ranges::find(routed.triedMembers, member.registration.id) != routed.triedMembers.end();
     candidate.position = decisions::estimatePosition(member.progress, now);
     candidate.positionAge = std::chrono::duration_cast<milliseconds>(now - std::max(member.progress.observedAt, member.progress.lastRefusalAt));
     candidate.wasBehind = member.progress.lastRefusalAt != TimePoint {};
-    candidate.isFarBehind = isFarBehind(m_context.view.groups.at(member.listed.group), member, now);
-    candidate.slots = std::max(1U, member.listed.slots);
+    candidate.isFarBehind = isFarBehind(m_context.view.groups.at(member.registration.group), member, now);
+    candidate.slots = std::max(1U, member.registration.slots);
     auto forwarder = chooseForwarder(member);
     if (forwarder == m_context.name) {
         auto load = m_context.getPool(member.getTarget())->getLoad();
         candidate.queued = load.waiting + load.running;
         candidate.statementMs = load.workMs;
-        candidate.roundTripMs = member.listed.dataCentre == m_context.dataCentre ? 0 : kRemoteRoundTripEstimateMs;
+        candidate.roundTripMs = member.registration.dataCentre == m_context.dataCentre ? 0 : kRemoteRoundTripEstimateMs;
     } else {
         candidate.roundTripMs = m_context.peers.getRoundTripMs(forwarder);
-        if (auto load = m_context.peers.getLoad(forwarder, member.listed.id)) {
+        if (auto load = m_context.peers.getLoad(forwarder, member.registration.id)) {
             candidate.queued = load->waiting() + load->running();
             candidate.statementMs = load->work_ms();
         }
@@ -91,7 +91,7 @@
     auto group = m_context.view.groups.find(routed.route.group);
     if (group == m_context.view.groups.end())
         return std::nullopt;
-    auto& primary = group->second.lead.member;
+    auto& primary = group->second.primary.member;
     if (routed.needsPrimary) {
         auto it = m_context.view.members.find(primary);
         bool wasTried = std::ranges::find(routed.triedMembers, primary) != routed.triedMembers.end();
@@ -206,7 +206,7 @@
     bool isLocalQueueFull = kind == ErrorKind::Overloaded && !outcome.wasSent;
     routed->wasQueueOverloaded = routed->wasQueueOverloaded || isLocalQueueFull || (routed->wasMemberBusy && routed->attempts >= decisions::kMaxBusyAttempts);
     if (kind == ErrorKind::NotPrimary)
-        denyLead(m_context.view.groups[target.group], target.member, now);
+        denyPrimary(m_context.view.groups[target.group], target.member, now);
     if (kind == ErrorKind::TooStale)
         recordReadRefusal(target, outcome.position, now);
     if (transaction)
@@ -260,7 +260,7 @@
     auto logClass = outcome.error || isLate ? LogClass::Failure : LogClass::Request;
     if (base::hasLogBudget(logClass)) {
         auto group = m_context.view.groups.find(routed.route.group);
-        std::string_view primary = group == m_context.view.groups.end() ? std::string_view() : std::string_view(group->second.lead.member);
+        std::string_view primary = group == m_context.view.groups.end() ? std::string_view() : std::string_view(group->second.primary.member);
         auto requiredMark = std::to_string(routed.requiredMark.term) + "." + std::to_string(routed.requiredMark.position);
         auto member = m_context.view.members.find(target.member);
         bool isLeaving = member != m_context.view.members.end() && member->second.leavingSince;
--- a/src/gateway/statement_router.h
+++ b/src/gateway/statement_router.h
@@ -74,9 +74,9 @@
     void refuse(const std::shared_ptr<RoutedStatement>& routed, RoutedCallback done, const decisions::Error& refusal);
     void fail(const std::shared_ptr<RoutedStatement>& routed, RoutedCallback done, decisions::ErrorKind kind);
     std::optional<TargetAddress> chooseMember(const RoutedStatement& routed) const;
-    decisions::Candidate makeCandidate(const RoutedStatement& routed, const MemberBelief& member, const std::string& primary) const;
-    bool canForward(const std::string& host, const MemberBelief& member) const;
-    std::string chooseForwarder(const MemberBelief& member) const;
+    decisions::Candidate makeCandidate(const RoutedStatement& routed, const MemberView& member, const std::string& primary) const;
+    bool canForward(const std::string& host, const MemberView& member) const;
+    std::string chooseForwarder(const MemberView& member) const;
     void recordReadRefusal(const TargetAddress& target, const Mark& position, TimePoint now);
     void handleOutcome(const std::shared_ptr<RoutedStatement>& routed, const TargetAddress& target, const std::optional<TransactionHandle>& transaction, const Outcome& outcome, RoutedCallback done);
     void finish(const RoutedStatement& routed, const Outcome& outcome, const std::optional<TransactionHandle>& transaction, const RoutedCallback& done, const TargetAddress& target);
--- a/src/gateway/status_exchange.cpp
+++ b/src/gateway/status_exchange.cpp
@@ -20,7 +20,7 @@
         if (group.floors.isEmpty())
             continue;
         auto& newest = group.floors.floors.back();
-        bool isProven = now - group.provenAt <= kProofSharingTime;
+        bool isProven = now - group.lastProofAt <= kProofSharingTime;
         bool isRelayed = withRelayed && now - newest.coveredUntil <= kRelayedFloorSharingTime;
         if (!isProven && !isRelayed)
             continue;
@@ -29,13 +29,13 @@
         encodeMark(*floor.mutable_mark(), newest.mark);
         floor.set_age_us(getAgeUs(newest.coveredUntil, now));
         // An ordered promotion is reported while it is pending, for hosts without a connection to the coordinator. Later an assumed term is not.
-        bool isOrdered = isProven && now < group.pendingUntil;
-        if (group.lead.term != newest.mark.term && !isOrdered)
+        bool isOrdered = isProven && now < group.promotionPendingUntil;
+        if (group.primary.term != newest.mark.term && !isOrdered)
             continue;
         auto& lead = *wire.add_leads();
         lead.set_group(name);
-        lead.set_member(group.lead.member);
-        lead.set_term(group.lead.term);
+        lead.set_member(group.primary.member);
+        lead.set_term(group.primary.term);
     }
 }
 
--- a/tests/unit/relaying_test.cpp
+++ b/tests/unit/relaying_test.cpp
@@ -26,14 +26,14 @@
     {
         for (size_t i = 0; i < hostCount; ++i) {
             hosts.push_back({ fmt::format("h{}", i), "127.0.0.1:1", fmt::format("dc{}", i % kDataCentres), 1 });
-            takeHost(view, hosts.back());
+            updateHost(view, hosts.back());
         }
         for (size_t i = 0; i < groups * 3; ++i) {
             links::RegisteredMember member;
             member.id = fmt::format("m{}", i);
             member.group = fmt::format("g{}", i / 3);
             member.dataCentre = fmt::format("dc{}", i % kDataCentres);
-            takeMember(view, member, 1, {}, {});
+            applyMember(view, member, 1, {}, {});
         }
     }
 
@@ -106,7 +106,7 @@
             BOOST_TEST(own.at(relay).isRelay);
             tellLoads += own.at(relay).reportsLoads ? 1 : 0;
             for (auto& [id, member] : fleet.view.members) {
-                auto& carrier = getCarriers(fleet.view, member).front();
+                auto& carrier = getForwarders(fleet.view, member).front();
                 BOOST_REQUIRE((carrier == relay || chosen.at(relay).contains(carrier)));
             }
         }
@@ -137,7 +137,7 @@
         ++self;
     auto asked = fleet.choose(self, {}, true);
     for (auto& [id, member] : fleet.view.members) {
-        auto& carrier = getCarriers(fleet.view, member).front();
+        auto& carrier = getForwarders(fleet.view, member).front();
         BOOST_TEST((carrier == fleet.hosts[self].name || asked.contains(carrier)));
     }
 }
@@ -152,7 +152,7 @@
     auto partners = fleet.choose(self, { { "h7", "h8" }, { "g3" } });
     BOOST_TEST(partners.contains("h7"));
     for (auto& id : fleet.view.groups.at("g3").members) {
-        auto& carrier = getCarriers(fleet.view, fleet.view.members.at(id)).front();
+        auto& carrier = getForwarders(fleet.view, fleet.view.members.at(id)).front();
         BOOST_TEST((carrier == fleet.hosts[self].name || partners.contains(carrier)));
     }
     BOOST_TEST(partners.size() >= 20u);
@@ -200,9 +200,9 @@
         milliseconds offset = any(100'000);
         ClusterView view;
         auto& group = view.groups["g"];
-        group.lead = { "m", 3, true };
+        group.primary = { "m", 3, true };
         group.floors = decisions::addFloor({}, { { 3, 70 }, TimePoint(askedAt + offset) });
-        group.provenAt = TimePoint(now + offset);
+        group.lastProofAt = TimePoint(now + offset);
         bool isFirst = true;
         for (int hop = 0; hop < 3; ++hop) {
             now += any(900);
@@ -219,7 +219,7 @@
             BOOST_REQUIRE((provenAt <= TimePoint(askedAt + offset)));
             BOOST_REQUIRE(pong.leads_size() == 1);
             ClusterView next;
-            next.groups["g"].lead = decisions::applyPrimaryReport({}, pong.leads(0).member(), pong.leads(0).term());
+            next.groups["g"].primary = decisions::applyPrimaryReport({}, pong.leads(0).member(), pong.leads(0).term());
             next.groups["g"].floors = decisions::addFloor({}, { { pong.floors(0).mark().term(), pong.floors(0).mark().position() }, provenAt });
             view = next;
         }
@@ -233,7 +233,7 @@
     auto now = TimePoint(milliseconds(1'000'000));
     auto& group = view.groups["g"];
     group.floors = decisions::addFloor({}, { { 3, 70 }, now - milliseconds(100) });
-    group.lead = { "n", 4, false };
+    group.primary = { "n", 4, false };
     peer::Pong pong;
     writeGroupStatus(pong, view, true, now);
     BOOST_TEST(pong.floors_size() == 1);
