--- a/src/controllers/group.cpp
+++ b/src/controllers/group.cpp
@@ -32,32 +32,32 @@
 
 // ---- role ----
 
-void GroupController::setRole(GroupRole role)
+void GroupController::setConfiguration(GroupConfiguration configuration)
 {
-    asio::post(m_strand, [self = shared_from_this(), role = std::move(role)]() mutable { self->takeRole(std::move(role)); });
+    asio::post(m_strand, [self = shared_from_this(), configuration = std::move(configuration)]() mutable { self->applyConfiguration(std::move(configuration)); });
 }
 
-void GroupController::takeRole(GroupRole role)
+void GroupController::applyConfiguration(GroupConfiguration configuration)
 {
-    bool hasRecordChanged = !m_role.record || !(*m_role.record == *role.record);
+    bool hasRecordChanged = !m_configuration.record || !(*m_configuration.record == *configuration.record);
     bool wasWorking = m_isWorking;
     if (hasRecordChanged)
-        rebuildMembers(role);
+        rebuildMembers(configuration);
     for (size_t i = 0; i < m_members.size(); ++i) {
-        bool wasLeaving = !hasRecordChanged && i < m_role.isLeaving.size() && m_role.isLeaving[i];
-        if (role.isLeaving[i] && !wasLeaving)
+        bool wasLeaving = !hasRecordChanged && i < m_configuration.isLeaving.size() && m_configuration.isLeaving[i];
+        if (configuration.isLeaving[i] && !wasLeaving)
             m_members[i].leavingSince = Clock::now();
     }
-    m_role = std::move(role);
-    auto rank = std::ranges::find(m_role.homes, m_node.settings.name) - m_role.homes.begin();
-    takeEvent(decisions::GroupConfigurationChanged { *m_role.record, m_role.isLeaving, static_cast<size_t>(rank) });
-    auto share = decisions::getHomeShare(*m_role.record, m_role.homes.size());
+    m_configuration = std::move(configuration);
+    auto rank = std::ranges::find(m_configuration.homes, m_node.settings.name) - m_configuration.homes.begin();
+    takeEvent(decisions::GroupConfigurationChanged { *m_configuration.record, m_configuration.isLeaving, static_cast<size_t>(rank) });
+    auto share = decisions::getHomeShare(*m_configuration.record, m_configuration.homes.size());
     for (size_t i = 0; i < m_members.size(); ++i) {
         m_members[i].pool->setLimits({ share, static_cast<size_t>(m_node.settings.queueLimit) });
-        if (m_role.isLeaving[i])
+        if (m_configuration.isLeaving[i])
             m_members[i].pool->closeIdle();
     }
-    bool mustWork = m_role.isHome && !m_role.record->isRetired;
+    bool mustWork = m_configuration.isHome && !m_configuration.record->isRetired;
     if (m_isWorking && hasRecordChanged)
         endWork();
     m_isActive = mustWork;
@@ -69,10 +69,10 @@
     wakeHolders();
 }
 
-void GroupController::rebuildMembers(const GroupRole& role)
+void GroupController::rebuildMembers(const GroupConfiguration& configuration)
 {
     std::vector<Member> members;
-    for (auto& it : role.record->members) {
+    for (auto& it : configuration.record->members) {
         auto same = std::ranges::find_if(m_members, [&](const Member& old) { return old.record.name == it.name && old.record.address == it.address; });
         Member member;
         if (same != m_members.end())
@@ -170,7 +170,7 @@
     timings.interval = milliseconds(m_node.settings.probeIntervalMs);
     timings.fullStatusInterval = std::max(timings.fullStatusInterval, timings.interval);
     timings.idleInterval = std::max(timings.idleInterval, timings.interval);
-    timings.isFirstHome = !m_role.homes.empty() && m_role.homes.front() == m_node.settings.name;
+    timings.isFirstHome = !m_configuration.homes.empty() && m_configuration.homes.front() == m_node.settings.name;
     timings.isIdle = m_activeRequests == 0 && Clock::now() - m_usedAt >= kIdleAfter;
     return timings;
 }
@@ -303,7 +303,7 @@
         auto& it = m_members[i];
         decisions::TargetLoad load;
         bool isInGrace = m_state.health.primary == i && Clock::now() - it.leavingSince < kLeavingGrace;
-        load.isUsable = m_state.health.members[i].isReachable() && (!m_role.isLeaving[i] || isInGrace);
+        load.isUsable = m_state.health.members[i].isReachable() && (!m_configuration.isLeaving[i] || isInGrace);
         load.isNear = it.record.dataCentre == m_node.settings.dataCentre;
         load.waiting = it.pool->getWaiting();
         load.running = it.pool->getRunning();
--- a/src/controllers/group.h
+++ b/src/controllers/group.h
@@ -59,7 +59,7 @@
 };
 
 // What the record, the membership and the platform's list say of a group at this host.
-struct GroupRole {
+struct GroupConfiguration {
     std::shared_ptr<const decisions::GroupRecord> record {};
     uint64_t version { 0 };
     std::vector<std::string> homes {}; // best first
@@ -84,7 +84,7 @@
     GroupController(Node& node, std::string name);
 
     // Takes up or lays down the work of a home, and follows changes of the record. Any thread.
-    void setRole(GroupRole role);
+    void setConfiguration(GroupConfiguration configuration);
     // Tells the other homes; set once, before setRole().
     void onAnnounce(std::function<void(const peer::GroupNews&)> callback) { m_announce = std::move(callback); }
     // A peer says that the group has a new primary: the members are asked at once.
@@ -125,8 +125,8 @@
     };
 
     // ---- life ----
-    void takeRole(GroupRole role);
-    void rebuildMembers(const GroupRole& role);
+    void applyConfiguration(GroupConfiguration configuration);
+    void rebuildMembers(const GroupConfiguration& configuration);
     void beginWork();
     void endWork();
     void tick();
@@ -188,7 +188,7 @@
     const std::string m_name;
     boost::asio::strand<boost::asio::io_context::executor_type> m_strand;
     std::function<void(const peer::GroupNews&)> m_announce;
-    GroupRole m_role;
+    GroupConfiguration m_configuration;
     std::vector<Member> m_members;
     decisions::GroupState m_state; // changed by takeEvent() only
     TraceRecorder m_trace;
--- a/src/controllers/group_failover.cpp
+++ b/src/controllers/group_failover.cpp
@@ -101,7 +101,7 @@
     if (m_state.failover.phase != decisions::FailoverPhase::Idle)
         return;
     auto now = Clock::now();
-    for (auto& it : decisions::getPendingFollows(*m_role.record, m_state.health)) {
+    for (auto& it : decisions::getPendingFollows(*m_configuration.record, m_state.health)) {
         auto& member = m_members[it.member];
         if (now - member.followedAt < kFollowPause)
             continue;
--- a/src/controllers/group_statements.cpp
+++ b/src/controllers/group_statements.cpp
@@ -183,14 +183,14 @@
 bool GroupController::mayHold() const
 {
     decisions::WriteHoldConditions view { m_state.health };
-    view.majority = m_role.record->getMajority();
+    view.majority = m_configuration.record->getMajority();
     view.isPromotionHeldBack = !m_state.failover.holdBackReason.empty();
     view.isPathFault = isPathFault();
     view.held = m_held;
     view.maxHeld = static_cast<size_t>(m_node.settings.maxHeldWrites);
     view.primaryLostAt = m_state.health.withoutPrimarySince;
     if (m_state.health.primary)
-        view.primaryLostAt = m_role.isLeaving[*m_state.health.primary] ? m_members[*m_state.health.primary].leavingSince : m_state.health.members[*m_state.health.primary].failingSince;
+        view.primaryLostAt = m_configuration.isLeaving[*m_state.health.primary] ? m_members[*m_state.health.primary].leavingSince : m_state.health.members[*m_state.health.primary].failingSince;
     return decisions::canHoldWrite(view, Clock::now());
 }
 
@@ -287,7 +287,7 @@
 asio::awaitable<Result<Outcome>> GroupController::acknowledge(const GroupRequest& request, Outcome outcome, TimePoint ranAt)
 {
     // A settlement must survive a promotion in any mode, or "not run" would not be final.
-    bool mustReplicate = m_role.record->acknowledge == decisions::Acknowledge::Replicated || request.operation == Operation::Settle;
+    bool mustReplicate = m_configuration.record->acknowledge == decisions::Acknowledge::Replicated || request.operation == Operation::Settle;
     decisions::PendingWrite write { outcome.mark, ranAt, mustReplicate };
     auto answer = co_await confirm(write, outcome.member, request.deadline);
     if (answer == Confirmation::Confirmed) {
--- a/src/controllers/groups.cpp
+++ b/src/controllers/groups.cpp
@@ -76,12 +76,12 @@
     entry.controller = controller;
     if (!controller)
         return entry;
-    GroupRole role { group.record, group.version, entry.homes, entry.isHome, {} };
+    GroupConfiguration groupConfiguration { group.record, group.version, entry.homes, entry.isHome, {} };
     for (auto& it : group.record->members) {
         auto listed = configuration.platformHosts.find(it.name);
-        role.isLeaving.push_back(it.isLeaving || (listed != configuration.platformHosts.end() && listed->second.isLeaving));
+        groupConfiguration.isLeaving.push_back(it.isLeaving || (listed != configuration.platformHosts.end() && listed->second.isLeaving));
     }
-    controller->setRole(std::move(role));
+    controller->setConfiguration(std::move(groupConfiguration));
     return entry;
 }
 
