--- a/src/controllers/group.h
+++ b/src/controllers/group.h
@@ -101,7 +101,7 @@
     struct Member {
         decisions::MemberRecord record;
         std::shared_ptr<Pool> pool;
-        decisions::ConfirmationReply standing; // newest answer to a confirmation question
+        decisions::ConfirmationReply confirmationReply; // newest answer to a confirmation question
         uint64_t knownPosition { 0 }; // newest position seen in term knownTerm
         uint64_t knownTerm { 0 };
         std::shared_ptr<boost::asio::steady_timer> probeTimer; // cancelled to probe at once
@@ -109,7 +109,7 @@
         base::TimePoint followedAt {}; // last repair, see repairFollowers()
         base::TimePoint leavingSince {}; // meaningful while the member is leaving
     };
-    struct Waiting { // a write that ran and waits for its confirmation
+    struct PendingConfirmation { // a write that ran and waits for its confirmation
         decisions::PendingWrite write;
         std::string primary; // the member that ran it: its vote is counted already and must not count twice
         decisions::Confirmation answer { decisions::Confirmation::Pending };
@@ -159,10 +159,10 @@
     // ---- confirmation ----
     boost::asio::awaitable<decisions::Confirmation> confirm(decisions::PendingWrite write, std::string primary, base::TimePoint deadline);
     boost::asio::awaitable<void> confirmForever(size_t index, uint64_t epoch);
-    boost::asio::awaitable<bool> confirmOnce(std::unique_ptr<links::HttpConnection>& link, size_t index, decisions::Mark wanted);
-    std::optional<decisions::Mark> getWanted(size_t index) const;
-    void takeStanding(size_t index, const links::AwaitPositionResult& answer, base::TimePoint askedAt);
-    void settleWaiting();
+    boost::asio::awaitable<bool> confirmOnce(std::unique_ptr<links::HttpConnection>& link, size_t index, decisions::Mark awaited);
+    std::optional<decisions::Mark> getAwaitedMark(size_t index) const;
+    void applyConfirmationReply(size_t index, const links::AwaitPositionResult& answer, base::TimePoint askedAt);
+    void resolveConfirmations();
 
     // ---- statements ----
     boost::asio::awaitable<decisions::Result<Outcome>> runHere(GroupRequest request);
@@ -182,7 +182,7 @@
     boost::asio::awaitable<decisions::Result<size_t>> findPrimary(const GroupRequest& request);
     boost::asio::awaitable<std::optional<decisions::Error>> holdWrite(const GroupRequest& request, const decisions::Route& route);
     bool mayHold() const;
-    void notePosition(size_t member, const decisions::Mark& mark);
+    void updateKnownPosition(size_t member, const decisions::Mark& mark);
 
     Node& m_node;
     const std::string m_name;
@@ -193,7 +193,7 @@
     decisions::GroupState m_state; // changed by takeEvent() only
     TraceRecorder m_trace;
     decisions::RetryBudget m_retryBudget;
-    std::list<Waiting*> m_waiting; // writes that wait for confirmation
+    std::list<PendingConfirmation*> m_pendingConfirmations; // writes that wait for confirmation
     std::list<boost::asio::steady_timer*> m_holders; // requests that wait for a change of health
     std::map<std::string, std::shared_ptr<Transaction>> m_transactions;
     std::atomic<size_t> m_openTransactions { 0 };
--- a/src/controllers/group_confirm.cpp
+++ b/src/controllers/group_confirm.cpp
@@ -15,49 +15,49 @@
 using base::TimePoint;
 using decisions::Confirmation;
 
-static constexpr milliseconds kAwaitLimit { 50 }; // how long a member may hold a question back
-static constexpr milliseconds kAwaitTimeout { 350 }; // then it counts as not answered
+static constexpr milliseconds kMaxPositionWait { 50 }; // how long a member may hold a question back
+static constexpr milliseconds kPositionReplyTimeout { 350 }; // then it counts as not answered
 static constexpr milliseconds kRetryPause { 20 };
 static constexpr auto kUse = asio::as_tuple(asio::use_awaitable);
 
 asio::awaitable<Confirmation> GroupController::confirm(decisions::PendingWrite write, std::string primary, TimePoint deadline)
 {
     auto began = Clock::now();
-    Waiting waiting { write, std::move(primary), Confirmation::Pending, std::make_shared<asio::steady_timer>(m_strand) };
-    waiting.timer->expires_at(deadline);
-    m_waiting.push_back(&waiting);
-    settleWaiting();
+    PendingConfirmation pending { write, std::move(primary), Confirmation::Pending, std::make_shared<asio::steady_timer>(m_strand) };
+    pending.timer->expires_at(deadline);
+    m_pendingConfirmations.push_back(&pending);
+    resolveConfirmations();
     for (auto& it : m_members)
         it.confirmTimer->cancel();
-    if (waiting.answer == Confirmation::Pending)
-        co_await waiting.timer->async_wait(kUse);
-    m_waiting.remove(&waiting);
+    if (pending.answer == Confirmation::Pending)
+        co_await pending.timer->async_wait(kUse);
+    m_pendingConfirmations.remove(&pending);
     base::count(base::Counter::Confirmations);
     base::record(base::Latency::Confirmation, Clock::now() - began);
-    co_return waiting.answer;
+    co_return pending.answer;
 }
 
-static bool isSettledBy(const decisions::PendingWrite& write, const decisions::ConfirmationReply& it)
+static bool hasConclusiveReply(const decisions::PendingWrite& write, const decisions::ConfirmationReply& it)
 {
     if (std::max(it.term, it.fencedTerm) > write.mark.term)
         return true;
-    bool stands = it.term == write.mark.term && it.fencedTerm <= write.mark.term;
-    return stands && (it.position >= write.mark.position || (!write.needsPosition && it.askedAt >= write.ranAt));
+    bool isInTerm = it.term == write.mark.term && it.fencedTerm <= write.mark.term;
+    return isInTerm && (it.position >= write.mark.position || (!write.needsPosition && it.askedAt >= write.ranAt));
 }
 
 // The lowest position that some write still needs from this member: it comes first, and its answer tells how far the
 // member has come, which often covers the others.
-std::optional<decisions::Mark> GroupController::getWanted(size_t index) const
+std::optional<decisions::Mark> GroupController::getAwaitedMark(size_t index) const
 {
-    std::optional<decisions::Mark> wanted;
-    for (auto* it : m_waiting) {
-        if (it->primary == m_members[index].record.name || isSettledBy(it->write, m_members[index].standing))
+    std::optional<decisions::Mark> awaited;
+    for (auto* it : m_pendingConfirmations) {
+        if (it->primary == m_members[index].record.name || hasConclusiveReply(it->write, m_members[index].confirmationReply))
             continue;
         decisions::Mark mark { it->write.mark.term, it->write.needsPosition ? it->write.mark.position : 0 };
-        if (!wanted || mark < *wanted)
-            wanted = mark;
+        if (!awaited || mark < *awaited)
+            awaited = mark;
     }
-    return wanted;
+    return awaited;
 }
 
 asio::awaitable<void> GroupController::confirmForever(size_t index, uint64_t epoch)
@@ -65,22 +65,22 @@
     auto self = shared_from_this();
     std::unique_ptr<links::HttpConnection> link;
     while (epoch == m_epoch) {
-        auto wanted = getWanted(index);
-        if (!wanted) {
+        auto awaited = getAwaitedMark(index);
+        if (!awaited) {
             auto timer = m_members[index].confirmTimer;
             timer->expires_after(std::chrono::seconds(1));
             co_await timer->async_wait(kUse);
             continue;
         }
-        if (!co_await confirmOnce(link, index, *wanted))
+        if (!co_await confirmOnce(link, index, *awaited))
             co_await base::sleepFor(kRetryPause);
     }
 }
 
-asio::awaitable<bool> GroupController::confirmOnce(std::unique_ptr<links::HttpConnection>& link, size_t index, decisions::Mark wanted)
+asio::awaitable<bool> GroupController::confirmOnce(std::unique_ptr<links::HttpConnection>& link, size_t index, decisions::Mark awaited)
 {
     auto epoch = m_epoch;
-    auto deadline = Clock::now() + kAwaitTimeout;
+    auto deadline = Clock::now() + kPositionReplyTimeout;
     if (!link || !link->isOpen()) {
         link = links::makeHttpConnection(m_strand, m_members[index].record.address);
         auto opened = co_await link->open(deadline);
@@ -91,43 +91,43 @@
     }
     auto askedAt = Clock::now();
     auto before = link->getTransferredBytes();
-    auto answer = co_await links::awaitPosition(*link, m_node.settings.name, wanted, kAwaitLimit, deadline);
+    auto answer = co_await links::awaitPosition(*link, m_node.settings.name, awaited, kMaxPositionWait, deadline);
     base::count(base::Counter::ConfirmationBytes, link->getTransferredBytes() - before);
     if (!answer || epoch != m_epoch)
         co_return false;
-    takeStanding(index, *answer, askedAt);
+    applyConfirmationReply(index, *answer, askedAt);
     co_return true;
 }
 
-void GroupController::takeStanding(size_t index, const links::AwaitPositionResult& answer, TimePoint askedAt)
+void GroupController::applyConfirmationReply(size_t index, const links::AwaitPositionResult& answer, TimePoint askedAt)
 {
-    bool holdsTerm = answer.logTerm == answer.term;
-    m_members[index].standing = { answer.term, answer.fencedTerm, holdsTerm ? answer.position : 0, askedAt };
-    if (holdsTerm)
-        notePosition(index, { answer.logTerm, answer.position });
+    bool isInSameTerm = answer.logTerm == answer.term;
+    m_members[index].confirmationReply = { answer.term, answer.fencedTerm, isInSameTerm ? answer.position : 0, askedAt };
+    if (isInSameTerm)
+        updateKnownPosition(index, { answer.logTerm, answer.position });
     if (std::max(answer.term, answer.fencedTerm) > m_state.health.term)
         probeNow();
-    settleWaiting();
+    resolveConfirmations();
     noteAnswer(index, { answer.term, answer.fencedTerm, { answer.logTerm, answer.position } }, askedAt);
 }
 
-void GroupController::settleWaiting()
+void GroupController::resolveConfirmations()
 {
-    for (auto* it : m_waiting) {
+    for (auto* it : m_pendingConfirmations) {
         if (it->answer != Confirmation::Pending)
             continue;
-        std::vector<decisions::ConfirmationReply> standings;
+        std::vector<decisions::ConfirmationReply> replies;
         for (auto& member : m_members) {
             if (member.record.name != it->primary)
-                standings.push_back(member.standing);
+                replies.push_back(member.confirmationReply);
         }
-        it->answer = decisions::confirmWrite(it->write, standings, m_members.size());
+        it->answer = decisions::confirmWrite(it->write, replies, m_members.size());
         if (it->answer != Confirmation::Pending)
             it->timer->cancel();
     }
 }
 
-void GroupController::notePosition(size_t member, const decisions::Mark& mark)
+void GroupController::updateKnownPosition(size_t member, const decisions::Mark& mark)
 {
     auto& it = m_members[member];
     bool isNewer = mark > decisions::Mark { it.knownTerm, it.knownPosition };
--- a/src/controllers/group_statements.cpp
+++ b/src/controllers/group_statements.cpp
@@ -148,7 +148,7 @@
     base::record(base::Latency::Read, latency);
     if (index >= m_members.size() || m_members[index].record.name != member)
         co_return fail(ErrorKind::OutcomeUnknown, "the record changed during the read");
-    notePosition(index, answer->mark);
+    updateKnownPosition(index, answer->mark);
     noteAnswer(index, answer->glimpse, sentAt);
     base::checkInvariant(answer->mark.term >= request.mark.term, "a read was answered from before what its session saw", m_name);
     Outcome outcome;
