--- a/src/controllers/group.cpp
+++ b/src/controllers/group.cpp
@@ -18,9 +18,9 @@
 
 static constexpr milliseconds kTickInterval { 50 }; // answers step the decisions, too; ticks only serve limits of time
 static constexpr milliseconds kPublishInterval { 200 }; // of the status, when nothing changed of note
-static constexpr milliseconds kPathFaultAfter { 600 }; // a replica's word is older than the fault until then
-static constexpr milliseconds kLeavingGrace { 2500 }; // a leaving primary takes writes this long, until it is handed over
-static constexpr auto kUse = asio::as_tuple(asio::use_awaitable);
+static constexpr milliseconds kPathFaultDelay { 600 }; // a replica's word is older than the fault until then
+static constexpr milliseconds kLeavingPrimaryGrace { 2500 }; // a leaving primary takes writes this long, until it is handed over
+static constexpr auto kUseAwaitable = asio::as_tuple(asio::use_awaitable);
 
 GroupController::GroupController(Node& node, std::string name)
     : m_node(node)
@@ -40,7 +40,7 @@
 void GroupController::applyConfiguration(GroupConfiguration configuration)
 {
     bool hasRecordChanged = !m_configuration.record || !(*m_configuration.record == *configuration.record);
-    bool wasWorking = m_isWorking;
+    bool wasRunning = m_isRunning;
     if (hasRecordChanged)
         rebuildMembers(configuration);
     for (size_t i = 0; i < m_members.size(); ++i) {
@@ -50,23 +50,23 @@
     }
     m_configuration = std::move(configuration);
     auto rank = std::ranges::find(m_configuration.homes, m_node.settings.name) - m_configuration.homes.begin();
-    takeEvent(decisions::GroupConfigurationChanged { *m_configuration.record, m_configuration.isLeaving, static_cast<size_t>(rank) });
+    applyEvent(decisions::GroupConfigurationChanged { *m_configuration.record, m_configuration.isLeaving, static_cast<size_t>(rank) });
     auto share = decisions::getHomeShare(*m_configuration.record, m_configuration.homes.size());
     for (size_t i = 0; i < m_members.size(); ++i) {
         m_members[i].pool->setLimits({ share, static_cast<size_t>(m_node.settings.queueLimit) });
         if (m_configuration.isLeaving[i])
             m_members[i].pool->closeIdle();
     }
-    bool mustWork = m_configuration.isHome && !m_configuration.record->isRetired;
-    if (m_isWorking && hasRecordChanged)
-        endWork();
-    m_isActive = mustWork;
-    if ((mustWork || wasWorking) && !m_isWorking)
-        beginWork();
+    bool mustRun = m_configuration.isHome && !m_configuration.record->isRetired;
+    if (m_isRunning && hasRecordChanged)
+        stopLoops();
+    m_isActive = mustRun;
+    if ((mustRun || wasRunning) && !m_isRunning)
+        startLoops();
     else
         probeNow();
     publishStatus();
-    wakeHolders();
+    wakeHealthWaiters();
 }
 
 void GroupController::rebuildMembers(const GroupConfiguration& configuration)
@@ -90,11 +90,11 @@
     m_members = std::move(members);
 }
 
-void GroupController::beginWork()
+void GroupController::startLoops()
 {
-    m_isWorking = true;
+    m_isRunning = true;
     auto epoch = ++m_epoch;
-    takeEvent(decisions::ServingStarted {});
+    applyEvent(decisions::ServingStarted {});
     for (size_t i = 0; i < m_members.size(); ++i) {
         asio::co_spawn(m_strand, probeForever(i, epoch), asio::detached);
         asio::co_spawn(m_strand, confirmForever(i, epoch), asio::detached);
@@ -102,13 +102,13 @@
     m_tick = m_node.timers.subscribe(m_strand, kTickInterval, [weak = weak_from_this(), epoch] {
         auto self = weak.lock();
         if (self && epoch == self->m_epoch)
-            self->tick();
+            self->handleTick();
     });
 }
 
-void GroupController::endWork()
+void GroupController::stopLoops()
 {
-    m_isWorking = false;
+    m_isRunning = false;
     ++m_epoch;
     m_tick.stop();
     for (auto& it : m_members) {
@@ -120,18 +120,18 @@
 
 // ---- probes ----
 
-void GroupController::tick()
+void GroupController::handleTick()
 {
     // A host that is no home any more finishes what it began: writes may still wait for their confirmation.
     bool isDone = !m_isActive && m_activeRequests == 0 && m_transactions.empty();
     if (isDone) {
-        endWork();
+        stopLoops();
         publishStatus();
         return;
     }
-    takeEvent(decisions::FailoverEvent { decisions::Tick {} });
+    applyEvent(decisions::FailoverEvent { decisions::Tick {} });
     expireTransactions();
-    if (Clock::now() - m_publishedAt >= kPublishInterval)
+    if (Clock::now() - m_statusPublishedAt >= kPublishInterval)
         publishStatus();
 }
 
@@ -144,7 +144,7 @@
         auto event = co_await probeOnce(link, index);
         if (epoch != m_epoch)
             co_return;
-        takeEvent(event);
+        applyEvent(event);
         co_await waitForProbe(index, began, epoch);
     }
 }
@@ -158,7 +158,7 @@
         if (Clock::now() >= due)
             co_return;
         timer->expires_at(due);
-        auto [ec] = co_await timer->async_wait(kUse);
+        auto [ec] = co_await timer->async_wait(kUseAwaitable);
         if (ec)
             co_return;
     }
@@ -171,12 +171,12 @@
     timings.fullStatusInterval = std::max(timings.fullStatusInterval, timings.interval);
     timings.idleInterval = std::max(timings.idleInterval, timings.interval);
     timings.isFirstHome = !m_configuration.homes.empty() && m_configuration.homes.front() == m_node.settings.name;
-    timings.isIdle = m_activeRequests == 0 && Clock::now() - m_usedAt >= kIdleAfter;
+    timings.isIdle = m_activeRequests == 0 && Clock::now() - m_lastRequestAt >= kGroupIdleTimeout;
     return timings;
 }
 
 // Every answer tells something of its member: a status need be asked only where there was none.
-void GroupController::noteAnswer(size_t index, const decisions::PiggybackedStatus& piggybacked, TimePoint askedAt)
+void GroupController::handlePiggybackedStatus(size_t index, const decisions::PiggybackedStatus& piggybacked, TimePoint askedAt)
 {
     if (index >= m_members.size() || piggybacked.term == 0)
         return;
@@ -187,7 +187,7 @@
     }
     if (askedAt - it.askedAt < decisions::kPiggybackedStatusInterval)
         return;
-    takeEvent(decisions::PiggybackedStatusReceived { index, piggybacked, decisions::truncateToMicroseconds(askedAt) });
+    applyEvent(decisions::PiggybackedStatusReceived { index, piggybacked, decisions::truncateToMicroseconds(askedAt) });
 }
 
 asio::awaitable<decisions::GroupEvent> GroupController::probeOnce(std::unique_ptr<links::HttpConnection>& link, size_t index)
@@ -227,7 +227,7 @@
 
 // The one place where the group's state changes. What comes of it is carried out here; after news of members, statements
 // that wait may go on.
-void GroupController::takeEvent(const decisions::GroupEvent& event)
+void GroupController::applyEvent(const decisions::GroupEvent& event)
 {
     auto termBefore = m_state.health.term;
     bool wasHealthy = decisions::isGroupHealthy(m_state.health);
@@ -236,7 +236,7 @@
     m_state = std::move(step.state);
     m_trace.record(now, event, step.actions, m_state.record);
     if (step.hasNotableChange) {
-        releaseWaiting(termBefore);
+        rerouteWaitingStatements(termBefore);
         publishStatus();
     }
     for (auto& it : step.actions)
@@ -246,11 +246,11 @@
     if (wasHealthy && !decisions::isGroupHealthy(m_state.health))
         probeNow();
     repairFollowers();
-    wakeHolders();
+    wakeHealthWaiters();
 }
 
 // Statements that wait at a member that is gone or lost its role look for another.
-void GroupController::releaseWaiting(uint64_t termBefore)
+void GroupController::rerouteWaitingStatements(uint64_t termBefore)
 {
     auto& health = m_state.health;
     for (size_t i = 0; i < m_members.size(); ++i) {
@@ -265,19 +265,19 @@
 
 // ---- waiting for a change of health ----
 
-void GroupController::wakeHolders()
+void GroupController::wakeHealthWaiters()
 {
-    for (auto* it : m_holders)
+    for (auto* it : m_healthWaiters)
         it->cancel();
 }
 
-asio::awaitable<void> GroupController::waitForChange(TimePoint until)
+asio::awaitable<void> GroupController::waitForHealthChange(TimePoint until)
 {
     asio::steady_timer timer(m_strand);
     timer.expires_at(until);
-    m_holders.push_back(&timer);
-    co_await timer.async_wait(kUse);
-    m_holders.remove(&timer);
+    m_healthWaiters.push_back(&timer);
+    co_await timer.async_wait(kUseAwaitable);
+    m_healthWaiters.remove(&timer);
 }
 
 // ---- views ----
@@ -288,7 +288,7 @@
     if (!m_state.health.primary || m_state.health.members[*m_state.health.primary].failures == 0)
         return false;
     auto& primary = m_state.health.members[*m_state.health.primary];
-    if (Clock::now() - primary.failingSince < kPathFaultAfter)
+    if (Clock::now() - primary.failingSince < kPathFaultDelay)
         return false;
     return std::ranges::any_of(m_state.health.members, [&](const decisions::MemberHealth& it) {
         return it.isReachable() && it.probedAt >= primary.failingSince && it.status.term == m_state.health.term
@@ -302,7 +302,7 @@
     for (size_t i = 0; i < m_members.size(); ++i) {
         auto& it = m_members[i];
         decisions::TargetLoad load;
-        bool isInGrace = m_state.health.primary == i && Clock::now() - it.leavingSince < kLeavingGrace;
+        bool isInGrace = m_state.health.primary == i && Clock::now() - it.leavingSince < kLeavingPrimaryGrace;
         load.isUsable = m_state.health.members[i].isReachable() && (!m_configuration.isLeaving[i] || isInGrace);
         load.isNear = it.record.dataCentre == m_node.settings.dataCentre;
         load.waiting = it.pool->getWaiting();
@@ -316,7 +316,7 @@
 void GroupController::publishStatus()
 {
     auto status = std::make_shared<GroupStatus>();
-    m_publishedAt = Clock::now();
+    m_statusPublishedAt = Clock::now();
     status->health = m_state.health;
     status->failover = m_state.failover;
     status->isActive = m_isActive;
--- a/src/controllers/group.h
+++ b/src/controllers/group.h
@@ -20,7 +20,7 @@
 namespace alderward::controllers {
 
 // Without statements for so long, a group is probed less often.
-inline constexpr base::milliseconds kIdleAfter { 5000 };
+inline constexpr base::milliseconds kGroupIdleTimeout { 5000 };
 
 inline constexpr base::milliseconds kComeBack { 500 }; // told to callers while a primary is being replaced
 
@@ -121,26 +121,26 @@
         size_t member { 0 };
         uint64_t epoch { 0 };
         bool isBusy { false };
-        base::TimePoint usedAt {};
+        base::TimePoint lastUsedAt {};
     };
 
     // ---- life ----
     void applyConfiguration(GroupConfiguration configuration);
     void rebuildMembers(const GroupConfiguration& configuration);
-    void beginWork();
-    void endWork();
-    void tick();
+    void startLoops();
+    void stopLoops();
+    void handleTick();
     boost::asio::awaitable<void> probeForever(size_t index, uint64_t epoch);
     boost::asio::awaitable<decisions::GroupEvent> probeOnce(std::unique_ptr<links::HttpConnection>& link, size_t index);
     boost::asio::awaitable<void> waitForProbe(size_t index, base::TimePoint sentAt, uint64_t epoch);
     decisions::ProbeTimings getProbeTimings() const;
     void probeNow();
-    void noteAnswer(size_t index, const decisions::PiggybackedStatus& piggybacked, base::TimePoint askedAt);
-    void takeEvent(const decisions::GroupEvent& event);
-    void releaseWaiting(uint64_t termBefore);
+    void handlePiggybackedStatus(size_t index, const decisions::PiggybackedStatus& piggybacked, base::TimePoint askedAt);
+    void applyEvent(const decisions::GroupEvent& event);
+    void rerouteWaitingStatements(uint64_t termBefore);
     void publishStatus();
-    void wakeHolders();
-    boost::asio::awaitable<void> waitForChange(base::TimePoint until);
+    void wakeHealthWaiters();
+    boost::asio::awaitable<void> waitForHealthChange(base::TimePoint until);
     std::vector<decisions::TargetLoad> getLoads() const;
     bool isPathFault() const;
     void expireTransactions();
@@ -165,23 +165,23 @@
     void resolveConfirmations();
 
     // ---- statements ----
-    boost::asio::awaitable<decisions::Result<Outcome>> runHere(GroupRequest request);
-    void beginUse();
+    boost::asio::awaitable<decisions::Result<Outcome>> runOnStrand(GroupRequest request);
+    void refreshAfterIdle();
     boost::asio::awaitable<decisions::Result<Outcome>> dispatch(GroupRequest request);
     boost::asio::awaitable<decisions::Result<Outcome>> runRead(GroupRequest request);
     boost::asio::awaitable<decisions::Result<Outcome>> runWrite(GroupRequest request);
     boost::asio::awaitable<decisions::Result<Outcome>> tryRead(const GroupRequest& request, const decisions::Route& route);
     boost::asio::awaitable<decisions::Result<Outcome>> tryWrite(const GroupRequest& request, size_t member, uint64_t term);
-    boost::asio::awaitable<decisions::Result<Outcome>> checkAge(const GroupRequest& request, Outcome outcome, size_t member, base::TimePoint sentAt);
+    boost::asio::awaitable<decisions::Result<Outcome>> checkStaleness(const GroupRequest& request, Outcome outcome, size_t member, base::TimePoint sentAt);
     boost::asio::awaitable<decisions::Result<Outcome>> acknowledge(const GroupRequest& request, Outcome outcome, base::TimePoint ranAt);
     boost::asio::awaitable<decisions::Result<Outcome>> runBegin(GroupRequest request);
     boost::asio::awaitable<decisions::Result<Outcome>> runInTransaction(GroupRequest request);
     boost::asio::awaitable<links::TargetResult<links::ExecuteResult>> sendInTransaction(const GroupRequest& request, Transaction& transaction);
-    void endTransaction(const std::string& name, bool isLeaseGood);
-    decisions::Result<Outcome> takeTargetFailure(const links::TargetFailure& failure, size_t member);
+    void endTransaction(const std::string& name, bool canReuseConnection);
+    decisions::Result<Outcome> handleTargetFailure(const links::TargetFailure& failure, size_t member);
     boost::asio::awaitable<decisions::Result<size_t>> findPrimary(const GroupRequest& request);
     boost::asio::awaitable<std::optional<decisions::Error>> holdWrite(const GroupRequest& request, const decisions::Route& route);
-    bool mayHold() const;
+    bool canHoldWrites() const;
     void updateKnownPosition(size_t member, const decisions::Mark& mark);
 
     Node& m_node;
@@ -194,18 +194,18 @@
     TraceRecorder m_trace;
     decisions::RetryBudget m_retryBudget;
     std::list<PendingConfirmation*> m_pendingConfirmations; // writes that wait for confirmation
-    std::list<boost::asio::steady_timer*> m_holders; // requests that wait for a change of health
+    std::list<boost::asio::steady_timer*> m_healthWaiters; // requests that wait for a change of health
     std::map<std::string, std::shared_ptr<Transaction>> m_transactions;
     std::atomic<size_t> m_openTransactions { 0 };
     base::Snapshot<GroupStatus> m_status;
     base::TimerSubscription m_tick;
-    base::TimePoint m_publishedAt {};
+    base::TimePoint m_statusPublishedAt {};
     uint64_t m_epoch { 0 }; // raised when work begins or ends: loops of older epochs stop
     bool m_isActive { false }; // a home: takes new orders
-    bool m_isWorking { false }; // loops are running; outlives m_isActive until all orders are done
+    bool m_isRunning { false }; // loops are running; outlives m_isActive until all orders are done
     size_t m_activeRequests { 0 }; // orders being served
-    base::TimePoint m_usedAt {}; // when the last order began
-    size_t m_held { 0 }; // writes held while there is no primary
+    base::TimePoint m_lastRequestAt {}; // when the last order began
+    size_t m_heldWrites { 0 }; // writes held while there is no primary
     uint64_t m_acknowledgedTerm { 0 }; // invariant: never acknowledge in a term below one acknowledged in
 };
 
--- a/src/controllers/group_confirm.cpp
+++ b/src/controllers/group_confirm.cpp
@@ -18,7 +18,7 @@
 static constexpr milliseconds kMaxPositionWait { 50 }; // how long a member may hold a question back
 static constexpr milliseconds kPositionReplyTimeout { 350 }; // then it counts as not answered
 static constexpr milliseconds kRetryPause { 20 };
-static constexpr auto kUse = asio::as_tuple(asio::use_awaitable);
+static constexpr auto kUseAwaitable = asio::as_tuple(asio::use_awaitable);
 
 asio::awaitable<Confirmation> GroupController::confirm(decisions::PendingWrite write, std::string primary, TimePoint deadline)
 {
@@ -30,7 +30,7 @@
     for (auto& it : m_members)
         it.confirmTimer->cancel();
     if (pending.answer == Confirmation::Pending)
-        co_await pending.timer->async_wait(kUse);
+        co_await pending.timer->async_wait(kUseAwaitable);
     m_pendingConfirmations.remove(&pending);
     base::count(base::Counter::Confirmations);
     base::record(base::Latency::Confirmation, Clock::now() - began);
@@ -69,7 +69,7 @@
         if (!awaited) {
             auto timer = m_members[index].confirmTimer;
             timer->expires_after(std::chrono::seconds(1));
-            co_await timer->async_wait(kUse);
+            co_await timer->async_wait(kUseAwaitable);
             continue;
         }
         if (!co_await confirmOnce(link, index, *awaited))
@@ -108,7 +108,7 @@
     if (std::max(answer.term, answer.fencedTerm) > m_state.health.term)
         probeNow();
     resolveConfirmations();
-    noteAnswer(index, { answer.term, answer.fencedTerm, { answer.logTerm, answer.position } }, askedAt);
+    handlePiggybackedStatus(index, { answer.term, answer.fencedTerm, { answer.logTerm, answer.position } }, askedAt);
 }
 
 void GroupController::resolveConfirmations()
--- a/src/controllers/group_failover.cpp
+++ b/src/controllers/group_failover.cpp
@@ -63,7 +63,7 @@
             event.answer = *answer;
     }
     if (epoch == m_epoch)
-        takeEvent(decisions::FailoverEvent { event });
+        applyEvent(decisions::FailoverEvent { event });
 }
 
 asio::awaitable<void> GroupController::sendPromote(decisions::SendPromote action)
@@ -78,7 +78,7 @@
     if (event.isDone)
         base::count(base::Counter::Promotions);
     if (epoch == m_epoch)
-        takeEvent(decisions::FailoverEvent { event });
+        applyEvent(decisions::FailoverEvent { event });
 }
 
 asio::awaitable<void> GroupController::sendFollow(decisions::SendFollow action)
@@ -138,7 +138,7 @@
     auto deadline = Clock::now() + decisions::FailoverTimings {}.claimTimeout;
     auto answer = co_await tryClaim(term, deadline);
     if (epoch == m_epoch)
-        takeEvent(decisions::FailoverEvent { answer });
+        applyEvent(decisions::FailoverEvent { answer });
 }
 
 // Reads before it writes, so an answer lost after the swap took effect is found out at the next try.
--- a/src/controllers/group_statements.cpp
+++ b/src/controllers/group_statements.cpp
@@ -21,12 +21,12 @@
 using decisions::Result;
 using decisions::RouteKind;
 
-static constexpr milliseconds kChangePause { 50 }; // longest wait before a route is looked up again
-static constexpr milliseconds kStaleWait { 300 }; // how long a read waits for a fresh enough member to appear
-static constexpr milliseconds kAnswerMargin { 5 }; // kept back from the deadline for the answer's way home
+static constexpr milliseconds kMaxReroutePause { 50 }; // longest wait before a route is looked up again
+static constexpr milliseconds kMaxFreshnessWait { 300 }; // how long a read waits for a fresh enough member to appear
+static constexpr milliseconds kReplyMargin { 5 }; // kept back from the deadline for the answer's way home
 
 // After a refusal the connection is as good as before; after anything else a late answer could still come on it.
-static void putAway(Lease& lease, const links::TargetFailure& failure)
+static void releaseAfterFailure(Lease& lease, const links::TargetFailure& failure)
 {
     if (failure.refusal)
         lease.release();
@@ -36,27 +36,27 @@
 
 asio::awaitable<Result<Outcome>> GroupController::run(GroupRequest request)
 {
-    request.deadline -= kAnswerMargin;
-    co_return co_await asio::co_spawn(m_strand, runHere(std::move(request)), asio::use_awaitable);
+    request.deadline -= kReplyMargin;
+    co_return co_await asio::co_spawn(m_strand, runOnStrand(std::move(request)), asio::use_awaitable);
 }
 
-asio::awaitable<Result<Outcome>> GroupController::runHere(GroupRequest request)
+asio::awaitable<Result<Outcome>> GroupController::runOnStrand(GroupRequest request)
 {
     auto self = shared_from_this();
     ++m_activeRequests;
-    beginUse();
+    refreshAfterIdle();
     auto outcome = co_await dispatch(std::move(request));
     --m_activeRequests;
     co_return outcome;
 }
 
 // After an idle time this home knows the group as it was up to a second ago: the members are asked beside the order.
-void GroupController::beginUse()
+void GroupController::refreshAfterIdle()
 {
     auto now = Clock::now();
-    if (m_isActive && now - m_usedAt >= kIdleAfter)
+    if (m_isActive && now - m_lastRequestAt >= kGroupIdleTimeout)
         probeNow();
-    m_usedAt = now;
+    m_lastRequestAt = now;
 }
 
 asio::awaitable<Result<Outcome>> GroupController::dispatch(GroupRequest request)
@@ -91,18 +91,18 @@
 
 asio::awaitable<Result<Outcome>> GroupController::runRead(GroupRequest request)
 {
-    auto giveUpAt = std::min(request.deadline, Clock::now() + kStaleWait);
-    decisions::ReadRequirements need { request.mark, request.maximumAge, {} };
+    auto freshnessDeadline = std::min(request.deadline, Clock::now() + kMaxFreshnessWait);
+    decisions::ReadRequirements requirements { request.mark, request.maximumAge, {} };
     for (;;) {
-        auto route = decisions::routeRead(m_state.health, getLoads(), need, Clock::now());
+        auto route = decisions::routeRead(m_state.health, getLoads(), requirements, Clock::now());
         if (route.kind == RouteKind::Refuse)
             co_return fail(route.reason, describeWait(route.reason));
-        bool mayCatchUp = route.reason == ErrorKind::NotCaughtUp;
-        if (route.kind == RouteKind::Wait && isDue(mayCatchUp ? request.deadline : giveUpAt))
+        bool canCatchUp = route.reason == ErrorKind::NotCaughtUp;
+        if (route.kind == RouteKind::Wait && isDue(canCatchUp ? request.deadline : freshnessDeadline))
             co_return fail(route.reason, describeWait(route.reason), kComeBack);
         if (route.kind == RouteKind::Wait) {
-            co_await waitForChange(std::min(request.deadline, Clock::now() + kChangePause));
-            need.tried.clear();
+            co_await waitForHealthChange(std::min(request.deadline, Clock::now() + kMaxReroutePause));
+            requirements.tried.clear();
             continue;
         }
         auto outcome = co_await tryRead(request, route);
@@ -115,7 +115,7 @@
         }
         bool wasBehind = outcome.error().kind == ErrorKind::NotCaughtUp;
         if (wasBehind)
-            need.tried.push_back(route.member);
+            requirements.tried.push_back(route.member);
         if (!wasBehind && !decisions::tryTakeRetry(m_retryBudget))
             co_return outcome;
         base::count(Counter::Retries);
@@ -140,8 +140,8 @@
     auto answer = co_await links::execute(lease->getLink(), m_node.settings.name, message, request.deadline);
     auto latency = Clock::now() - sentAt;
     if (!answer) {
-        putAway(*lease, answer.error());
-        co_return takeTargetFailure(answer.error(), index);
+        releaseAfterFailure(*lease, answer.error());
+        co_return handleTargetFailure(answer.error(), index);
     }
     lease->release();
     pool->noteLatency(latency);
@@ -149,7 +149,7 @@
     if (index >= m_members.size() || m_members[index].record.name != member)
         co_return fail(ErrorKind::OutcomeUnknown, "the record changed during the read");
     updateKnownPosition(index, answer->mark);
-    noteAnswer(index, answer->glimpse, sentAt);
+    handlePiggybackedStatus(index, answer->glimpse, sentAt);
     base::checkInvariant(answer->mark.term >= request.mark.term, "a read was answered from before what its session saw", m_name);
     Outcome outcome;
     outcome.result = std::move(answer->result);
@@ -158,12 +158,12 @@
     outcome.role = isPrimary ? decisions::Role::Primary : decisions::Role::Replica;
     outcome.age = decisions::getStalenessBound(m_state.health, answer->mark.term, answer->mark.position, Clock::now());
     base::count(isPrimary ? Counter::ReadsByPrimary : Counter::ReadsByReplica);
-    co_return co_await checkAge(request, std::move(outcome), index, sentAt);
+    co_return co_await checkStaleness(request, std::move(outcome), index, sentAt);
 }
 
 // A read with a stated age is answered only if the bound holds at the end. The primary of a term that a majority still
 // confirms, asked after the read was sent, was up to date when it read.
-asio::awaitable<Result<Outcome>> GroupController::checkAge(const GroupRequest& request, Outcome outcome, size_t member, TimePoint sentAt)
+asio::awaitable<Result<Outcome>> GroupController::checkStaleness(const GroupRequest& request, Outcome outcome, size_t member, TimePoint sentAt)
 {
     if (!request.maximumAge || (outcome.age && *outcome.age <= *request.maximumAge))
         co_return outcome;
@@ -180,18 +180,18 @@
 // ---- writes ----
 
 // A write may be held while a promotion can still come; otherwise the caller gets its final answer now.
-bool GroupController::mayHold() const
+bool GroupController::canHoldWrites() const
 {
-    decisions::WriteHoldConditions view { m_state.health };
-    view.majority = m_configuration.record->getMajority();
-    view.isPromotionHeldBack = !m_state.failover.holdBackReason.empty();
-    view.isPathFault = isPathFault();
-    view.held = m_held;
-    view.maxHeld = static_cast<size_t>(m_node.settings.maxHeldWrites);
-    view.primaryLostAt = m_state.health.withoutPrimarySince;
+    decisions::WriteHoldConditions conditions { m_state.health };
+    conditions.majority = m_configuration.record->getMajority();
+    conditions.isPromotionHeldBack = !m_state.failover.holdBackReason.empty();
+    conditions.isPathFault = isPathFault();
+    conditions.held = m_heldWrites;
+    conditions.maxHeld = static_cast<size_t>(m_node.settings.maxHeldWrites);
+    conditions.primaryLostAt = m_state.health.withoutPrimarySince;
     if (m_state.health.primary)
-        view.primaryLostAt = m_configuration.isLeaving[*m_state.health.primary] ? m_members[*m_state.health.primary].leavingSince : m_state.health.members[*m_state.health.primary].failingSince;
-    return decisions::canHoldWrite(view, Clock::now());
+        conditions.primaryLostAt = m_configuration.isLeaving[*m_state.health.primary] ? m_members[*m_state.health.primary].leavingSince : m_state.health.members[*m_state.health.primary].failingSince;
+    return decisions::canHoldWrite(conditions, Clock::now());
 }
 
 // Waits for a primary. An error ends the order, nothing having been sent.
@@ -201,13 +201,13 @@
         co_return decisions::Error { route.reason, describeWait(route.reason) };
     if (isDue(request.deadline))
         co_return decisions::Error { route.reason, describeWait(route.reason), kComeBack };
-    if (!mayHold()) {
-        auto why = m_state.failover.holdBackReason.empty() ? std::string(describeWait(route.reason)) : "no promotion: " + m_state.failover.holdBackReason;
-        co_return decisions::Error { route.reason, why, kComeBack * 4 };
+    if (!canHoldWrites()) {
+        auto reason = m_state.failover.holdBackReason.empty() ? std::string(describeWait(route.reason)) : "no promotion: " + m_state.failover.holdBackReason;
+        co_return decisions::Error { route.reason, reason, kComeBack * 4 };
     }
-    ++m_held;
-    co_await waitForChange(std::min(request.deadline, Clock::now() + kChangePause));
-    --m_held;
+    ++m_heldWrites;
+    co_await waitForHealthChange(std::min(request.deadline, Clock::now() + kMaxReroutePause));
+    --m_heldWrites;
     co_return std::nullopt;
 }
 
@@ -236,14 +236,14 @@
         }
         auto kind = outcome.error().kind;
         bool didNotRun = kind == ErrorKind::NoPrimary; // the member is not the primary any more, or is gone
-        bool mayRepeat = kind == ErrorKind::OutcomeUnknown && request.isRepeatable;
-        if ((!didNotRun && !mayRepeat) || isDue(request.deadline))
+        bool canRepeat = kind == ErrorKind::OutcomeUnknown && request.isRepeatable;
+        if ((!didNotRun && !canRepeat) || isDue(request.deadline))
             co_return outcome;
-        if (mayRepeat && !decisions::tryTakeRetry(m_retryBudget))
+        if (canRepeat && !decisions::tryTakeRetry(m_retryBudget))
             co_return outcome;
         base::count(Counter::Retries);
         probeNow();
-        co_await waitForChange(std::min(request.deadline, Clock::now() + milliseconds(10)));
+        co_await waitForHealthChange(std::min(request.deadline, Clock::now() + milliseconds(10)));
     }
 }
 
@@ -266,13 +266,13 @@
         answer = co_await links::execute(link, m_node.settings.name, message, request.deadline);
     auto ranAt = Clock::now();
     if (!answer) {
-        putAway(*lease, answer.error());
-        co_return takeTargetFailure(answer.error(), index);
+        releaseAfterFailure(*lease, answer.error());
+        co_return handleTargetFailure(answer.error(), index);
     }
     lease->release();
     pool->noteLatency(ranAt - sentAt);
     if (index < m_members.size() && m_members[index].record.name == member)
-        noteAnswer(index, answer->glimpse, sentAt);
+        handlePiggybackedStatus(index, answer->glimpse, sentAt);
     Outcome outcome;
     outcome.result = std::move(answer->result);
     outcome.mark = answer->mark;
@@ -304,7 +304,7 @@
 }
 
 // Turns a failure at a member into an answer, and into knowledge about the member.
-Result<Outcome> GroupController::takeTargetFailure(const links::TargetFailure& failure, size_t member)
+Result<Outcome> GroupController::handleTargetFailure(const links::TargetFailure& failure, size_t member)
 {
     if (!failure.refusal) {
         if (member < m_members.size())
--- a/src/controllers/group_transactions.cpp
+++ b/src/controllers/group_transactions.cpp
@@ -34,11 +34,11 @@
         auto answer = co_await links::beginTransaction(lease->getLink(), m_node.settings.name, term, request.deadline);
         if (!answer) {
             lease->discard();
-            auto failure = takeTargetFailure(answer.error(), *primary);
+            auto failure = handleTargetFailure(answer.error(), *primary);
             // A begin without an answer has changed nothing that lasts: its connection is closed, which rolls it back.
             if (isDue(request.deadline))
                 co_return fail(ErrorKind::NoPrimary, failure.error().message, kComeBack);
-            co_await waitForChange(std::min(request.deadline, Clock::now() + milliseconds(10)));
+            co_await waitForHealthChange(std::min(request.deadline, Clock::now() + milliseconds(10)));
             continue;
         }
         lease->beginPause();
@@ -47,7 +47,7 @@
         transaction->lease = std::move(*lease);
         transaction->term = term;
         transaction->member = *primary;
-        transaction->usedAt = Clock::now();
+        transaction->lastUsedAt = Clock::now();
         m_transactions[name] = std::move(transaction);
         ++m_openTransactions;
         base::count(Counter::Transactions);
@@ -88,14 +88,14 @@
     auto answer = co_await sendInTransaction(request, *transaction);
     auto ranAt = Clock::now();
     transaction->isBusy = false;
-    transaction->usedAt = ranAt;
+    transaction->lastUsedAt = ranAt;
     transaction->lease.beginPause();
     bool isLast = request.operation == Operation::Commit || request.operation == Operation::Rollback;
     bool isLost = !answer && !answer.error().refusal;
     if (isLast || isLost)
         endTransaction(request.transaction, !isLost);
     if (!answer) {
-        auto failure = takeTargetFailure(answer.error(), transaction->member);
+        auto failure = handleTargetFailure(answer.error(), transaction->member);
         // Before its commit a transaction has changed nothing; a lost connection rolls it back.
         if (request.operation != Operation::Commit && isLost)
             co_return fail(ErrorKind::TransactionUnknown, "the connection was lost: the transaction is rolled back");
@@ -114,12 +114,12 @@
     co_return co_await acknowledge(request, std::move(outcome), ranAt);
 }
 
-void GroupController::endTransaction(const std::string& name, bool isLeaseGood)
+void GroupController::endTransaction(const std::string& name, bool canReuseConnection)
 {
     auto it = m_transactions.find(name);
     if (it == m_transactions.end())
         return;
-    if (isLeaseGood)
+    if (canReuseConnection)
         it->second->lease.release();
     else
         it->second->lease.discard();
@@ -133,7 +133,7 @@
     auto limit = milliseconds(m_node.settings.transactionIdleMs);
     std::vector<std::string> expired;
     for (auto& [name, transaction] : m_transactions) {
-        if (!transaction->isBusy && Clock::now() - transaction->usedAt > limit)
+        if (!transaction->isBusy && Clock::now() - transaction->lastUsedAt > limit)
             expired.push_back(name);
     }
     for (auto& it : expired)
--- a/src/controllers/pool.cpp
+++ b/src/controllers/pool.cpp
@@ -14,7 +14,7 @@
 
 static constexpr milliseconds kRefusedPause { 500 }; // no new connection after a refusal for this long
 static constexpr double kSmoothing = 0.1;
-static constexpr auto kUse = asio::as_tuple(asio::use_awaitable);
+static constexpr auto kUseAwaitable = asio::as_tuple(asio::use_awaitable);
 
 // ---- lease ----
 
@@ -129,7 +129,7 @@
     waiter->isTransaction = isTransaction;
     waiter->timer.expires_at(deadline);
     queue.push_back(waiter);
-    co_await waiter->timer.async_wait(kUse);
+    co_await waiter->timer.async_wait(kUseAwaitable);
     base::record(base::Latency::ConnectionWait, Clock::now() - began);
     if (waiter->isServed)
         co_return co_await take(std::move(waiter->link), deadline, isTransaction);
