--- a/src/controllers/group.h
+++ b/src/controllers/group.h
@@ -22,7 +22,7 @@
 // Without statements for so long, a group is probed less often.
 inline constexpr base::milliseconds kGroupIdleTimeout { 5000 };
 
-inline constexpr base::milliseconds kComeBack { 500 }; // told to callers while a primary is being replaced
+inline constexpr base::milliseconds kRetryAfter { 500 }; // told to callers while a primary is being replaced
 
 enum class Operation { Execute,
     Begin,
--- a/src/controllers/group_statements.cpp
+++ b/src/controllers/group_statements.cpp
@@ -64,7 +64,7 @@
     if (!request.transaction.empty())
         co_return co_await runInTransaction(std::move(request));
     if (!m_isActive)
-        co_return fail(ErrorKind::Draining, "this host is not a home of the group any more", kComeBack);
+        co_return fail(ErrorKind::Draining, "this host is not a home of the group any more", kRetryAfter);
     if (request.operation == Operation::Begin)
         co_return co_await runBegin(std::move(request));
     bool isWrite = request.isWrite || request.operation == Operation::Settle;
@@ -99,7 +99,7 @@
             co_return fail(route.reason, describeWait(route.reason));
         bool canCatchUp = route.reason == ErrorKind::NotCaughtUp;
         if (route.kind == RouteKind::Wait && isDue(canCatchUp ? request.deadline : freshnessDeadline))
-            co_return fail(route.reason, describeWait(route.reason), kComeBack);
+            co_return fail(route.reason, describeWait(route.reason), kRetryAfter);
         if (route.kind == RouteKind::Wait) {
             co_await waitForHealthChange(std::min(request.deadline, Clock::now() + kMaxReroutePause));
             requirements.tried.clear();
@@ -168,11 +168,11 @@
     if (!request.maximumAge || (outcome.age && *outcome.age <= *request.maximumAge))
         co_return outcome;
     if (outcome.role != decisions::Role::Primary)
-        co_return fail(ErrorKind::NotCaughtUp, "the member fell behind during the read", kComeBack);
+        co_return fail(ErrorKind::NotCaughtUp, "the member fell behind during the read", kRetryAfter);
     decisions::PendingWrite question { { m_state.health.members[member].status.term, 0 }, sentAt, false };
     auto answer = co_await confirm(question, outcome.member, request.deadline);
     if (answer != Confirmation::Confirmed)
-        co_return fail(ErrorKind::TooStale, "the primary could not be confirmed in time", kComeBack);
+        co_return fail(ErrorKind::TooStale, "the primary could not be confirmed in time", kRetryAfter);
     outcome.age = milliseconds(0);
     co_return outcome;
 }
@@ -200,10 +200,10 @@
     if (route.kind == RouteKind::Refuse)
         co_return decisions::Error { route.reason, describeWait(route.reason) };
     if (isDue(request.deadline))
-        co_return decisions::Error { route.reason, describeWait(route.reason), kComeBack };
+        co_return decisions::Error { route.reason, describeWait(route.reason), kRetryAfter };
     if (!canHoldWrites()) {
         auto reason = m_state.failover.holdBackReason.empty() ? std::string(describeWait(route.reason)) : "no promotion: " + m_state.failover.holdBackReason;
-        co_return decisions::Error { route.reason, reason, kComeBack * 4 };
+        co_return decisions::Error { route.reason, reason, kRetryAfter * 4 };
     }
     ++m_heldWrites;
     co_await waitForHealthChange(std::min(request.deadline, Clock::now() + kMaxReroutePause));
@@ -299,8 +299,8 @@
         co_return outcome;
     }
     if (answer == Confirmation::Superseded)
-        co_return fail(ErrorKind::OutcomeUnknown, "the primary that ran it was superseded", kComeBack);
-    co_return fail(ErrorKind::OutcomeUnknown, "it ran, but a majority did not confirm it in time", kComeBack);
+        co_return fail(ErrorKind::OutcomeUnknown, "the primary that ran it was superseded", kRetryAfter);
+    co_return fail(ErrorKind::OutcomeUnknown, "it ran, but a majority did not confirm it in time", kRetryAfter);
 }
 
 // Turns a failure at a member into an answer, and into knowledge about the member.
@@ -310,21 +310,21 @@
         if (member < m_members.size())
             m_members[member].probeTimer->cancel();
         if (!failure.link.mayHaveArrived)
-            return fail(ErrorKind::NoPrimary, failure.link.reason, kComeBack);
-        return fail(ErrorKind::OutcomeUnknown, "sent, but no answer came: " + failure.link.reason, kComeBack);
+            return fail(ErrorKind::NoPrimary, failure.link.reason, kRetryAfter);
+        return fail(ErrorKind::OutcomeUnknown, "sent, but no answer came: " + failure.link.reason, kRetryAfter);
     }
     auto& refusal = *failure.refusal;
     switch (refusal.kind) {
     case links::RefusalKind::Term:
     case links::RefusalKind::Role:
         probeNow();
-        return fail(ErrorKind::NoPrimary, "the member is not the primary of that term: " + refusal.message, kComeBack);
+        return fail(ErrorKind::NoPrimary, "the member is not the primary of that term: " + refusal.message, kRetryAfter);
     case links::RefusalKind::Behind:
-        return fail(ErrorKind::NotCaughtUp, "the member has not caught up: " + refusal.message, kComeBack);
+        return fail(ErrorKind::NotCaughtUp, "the member has not caught up: " + refusal.message, kRetryAfter);
     case links::RefusalKind::KeyClosed:
         return fail(ErrorKind::KeyClosed, "the request key was settled as not run");
     case links::RefusalKind::Connections:
-        return fail(ErrorKind::Overloaded, "the member takes no more connections", decisions::jitterRetryAfter(kComeBack, base::getRandom()));
+        return fail(ErrorKind::Overloaded, "the member takes no more connections", decisions::jitterRetryAfter(kRetryAfter, base::getRandom()));
     case links::RefusalKind::Transaction:
         return fail(ErrorKind::TransactionUnknown, refusal.message);
     default:
--- a/src/controllers/group_transactions.cpp
+++ b/src/controllers/group_transactions.cpp
@@ -37,7 +37,7 @@
             auto failure = handleTargetFailure(answer.error(), *primary);
             // A begin without an answer has changed nothing that lasts: its connection is closed, which rolls it back.
             if (isDue(request.deadline))
-                co_return fail(ErrorKind::NoPrimary, failure.error().message, kComeBack);
+                co_return fail(ErrorKind::NoPrimary, failure.error().message, kRetryAfter);
             co_await waitForHealthChange(std::min(request.deadline, Clock::now() + milliseconds(10)));
             continue;
         }
--- a/src/filters/chain.cpp
+++ b/src/filters/chain.cpp
@@ -15,11 +15,11 @@
 using decisions::Error;
 using decisions::ErrorKind;
 
-static constexpr unsigned kMaximumHops = 2; // to a home, and on to one that reaches the primary
+static constexpr unsigned kMaxHops = 2; // to a home, and on to one that reaches the primary
 static constexpr int kRelayRounds = 12; // times that the homes are tried while none is reachable
 static constexpr milliseconds kRelayPause { 60 }; // between two of these rounds
 static constexpr milliseconds kRelayMargin { 10 }; // kept back from the deadline at each relay
-static constexpr milliseconds kComeBack { 500 };
+static constexpr milliseconds kRetryAfter { 500 };
 
 // ---- replies ----
 
@@ -40,7 +40,7 @@
 }
 
 // A session that lost writes goes on from what the group holds now, once it has been told.
-static Reply replyFor(const Services& services, RequestContext& context, const Error& error)
+static Reply replyWithContextError(const Services& services, RequestContext& context, const Error& error)
 {
     if (error.kind == ErrorKind::SessionWritesLost)
         context.marks.erase(context.group);
@@ -80,10 +80,10 @@
 static asio::awaitable<std::optional<Reply>> setDeadline(const Services& services, RequestContext& context)
 {
     auto& settings = services.node.settings;
-    auto asked = context.deadline.value_or(milliseconds(std::min(settings.defaultDeadlineMs, settings.maxDeadlineMs)));
-    if (asked.count() <= 0 || asked.count() > settings.maxDeadlineMs)
-        co_return replyFor(services, context, { ErrorKind::BadDeadline, fmt::format("deadlineMs must be from 1 to {}", settings.maxDeadlineMs) });
-    context.request.deadline = context.receivedAt + std::min(asked, context.remaining.value_or(asked));
+    auto requested = context.deadline.value_or(milliseconds(std::min(settings.defaultDeadlineMs, settings.maxDeadlineMs)));
+    if (requested.count() <= 0 || requested.count() > settings.maxDeadlineMs)
+        co_return replyWithContextError(services, context, { ErrorKind::BadDeadline, fmt::format("deadlineMs must be from 1 to {}", settings.maxDeadlineMs) });
+    context.request.deadline = context.receivedAt + std::min(requested, context.remaining.value_or(requested));
     co_return std::nullopt;
 }
 
@@ -91,7 +91,7 @@
 {
     auto configuration = services.configuration.getSnapshot().read();
     if (!configuration->isLoaded)
-        co_return replyFor(services, context, { ErrorKind::NotConfigured, "this host has no records yet", kComeBack });
+        co_return replyWithContextError(services, context, { ErrorKind::NotConfigured, "this host has no records yet", kRetryAfter });
     co_return std::nullopt;
 }
 
@@ -100,13 +100,13 @@
     auto table = services.groups.getTable().read();
     auto it = table->find(context.group);
     if (it == table->end() || it->second.record->isRetired)
-        co_return replyFor(services, context, { ErrorKind::UnknownGroup, "no record in force names the group " + context.group });
+        co_return replyWithContextError(services, context, { ErrorKind::UnknownGroup, "no record in force names the group " + context.group });
     context.entry = it->second;
     if (context.readKind) {
         auto& kinds = context.entry.record->readKinds;
         auto kind = kinds.find(*context.readKind);
         if (kind == kinds.end())
-            co_return replyFor(services, context, { ErrorKind::BadRequest, "the group's record has no kind of read " + *context.readKind });
+            co_return replyWithContextError(services, context, { ErrorKind::BadRequest, "the group's record has no kind of read " + *context.readKind });
         if (!context.request.maximumAge)
             context.request.maximumAge = kind->second;
     }
@@ -134,18 +134,18 @@
 {
     auto membership = services.hosts.getSnapshot().read();
     auto* host = decisions::findHost(*membership, name);
-    auto left = std::chrono::duration_cast<milliseconds>(context.request.deadline - Clock::now()) - kRelayMargin;
-    if (!host || left.count() <= 0)
+    auto remainingTime = std::chrono::duration_cast<milliseconds>(context.request.deadline - Clock::now()) - kRelayMargin;
+    if (!host || remainingTime.count() <= 0)
         co_return RelayResult {};
     peer::RelayRequest request;
     request.set_from(services.node.settings.name);
     request.set_operation(context.path);
     request.set_body(context.body);
-    request.set_remaining_ms(static_cast<uint32_t>(left.count()));
+    request.set_remaining_ms(static_cast<uint32_t>(remainingTime.count()));
     request.set_hops(context.hops + 1);
     base::count(base::Counter::RequestsRelayed);
     auto address = host->peerAddress;
-    auto reply = co_await services.node.peers.relay(name, address, std::move(request), left + kRelayMargin / 2);
+    auto reply = co_await services.node.peers.relay(name, address, std::move(request), remainingTime + kRelayMargin / 2);
     if (!reply) {
         services.hosts.checkHost(name);
         co_return RelayResult { std::nullopt, reply.error().mayHaveArrived };
@@ -167,8 +167,8 @@
     auto owner = getTransactionOwner(context.request.transaction);
     if (context.request.transaction.empty() || owner == services.node.settings.name)
         co_return std::nullopt;
-    if (context.hops >= kMaximumHops)
-        co_return replyFor(services, context, { ErrorKind::TransactionUnknown, "no host knows this transaction" });
+    if (context.hops >= kMaxHops)
+        co_return replyWithContextError(services, context, { ErrorKind::TransactionUnknown, "no host knows this transaction" });
     // A channel that failed to connect a moment ago refuses for up to its backoff without trying; only an owner that stays
     // out of reach is gone.
     auto result = co_await relayTo(services, context, owner);
@@ -181,24 +181,24 @@
     if (result.reply)
         co_return result.reply;
     if (!result.mayHaveArrived)
-        co_return replyFor(services, context, { ErrorKind::TransactionUnknown, "the host that holds the transaction is gone: it is rolled back" });
-    co_return replyFor(services, context, { ErrorKind::OutcomeUnknown, "the host that holds the transaction did not answer", kComeBack });
+        co_return replyWithContextError(services, context, { ErrorKind::TransactionUnknown, "the host that holds the transaction is gone: it is rolled back" });
+    co_return replyWithContextError(services, context, { ErrorKind::OutcomeUnknown, "the host that holds the transaction did not answer", kRetryAfter });
 }
 
 // Whether this host is a home that does not reach the primary, which another home may reach.
-static bool mustPassOn(const RequestContext& context)
+static bool mustForward(const RequestContext& context)
 {
     if (!context.entry.isHome || !context.entry.controller)
         return false;
     bool needsPrimary = context.request.isWrite || context.request.operation != Operation::Execute;
-    bool canGoOn = context.hops < kMaximumHops && !context.entry.relayOrder.empty();
-    return needsPrimary && canGoOn && context.entry.controller->getStatus().read()->isPathFault;
+    bool canRelay = context.hops < kMaxHops && !context.entry.relayOrder.empty();
+    return needsPrimary && canRelay && context.entry.controller->getStatus().read()->isPathFault;
 }
 
 // Whether this host should serve the request itself.
 static bool isServedHere(const RequestContext& context)
 {
-    return context.entry.isHome && context.entry.controller && !mustPassOn(context);
+    return context.entry.isHome && context.entry.controller && !mustForward(context);
 }
 
 static asio::awaitable<std::optional<Reply>> executeHere(const Services& services, RequestContext& context)
@@ -207,38 +207,38 @@
     if (!isOwned && !isServedHere(context))
         co_return std::nullopt;
     if (!context.entry.controller)
-        co_return replyFor(services, context, { ErrorKind::TransactionUnknown, "this host holds no such transaction" });
+        co_return replyWithContextError(services, context, { ErrorKind::TransactionUnknown, "this host holds no such transaction" });
     auto outcome = co_await context.entry.controller->run(context.request);
     if (outcome)
         co_return replyWithOutcome(services, context, *outcome);
     // The group has moved to other homes since the table was read; nothing ran here.
     if (outcome.error().kind == ErrorKind::Draining && !isOwned)
         co_return std::nullopt;
-    co_return replyFor(services, context, outcome.error());
+    co_return replyWithContextError(services, context, outcome.error());
 }
 
 // A relayed request that reaches a host which is no home goes back to its sender, who knows other homes and may wait. Sent
 // on from here, it could go to and fro between two hosts whose views differ until its hops are used up, within a millisecond.
 static asio::awaitable<std::optional<Reply>> declineRelay(const Services&, RequestContext& context)
 {
-    if (context.hops == 0 || mustPassOn(context))
+    if (context.hops == 0 || mustForward(context))
         co_return std::nullopt;
-    Reply reply { 503, {}, kComeBack };
+    Reply reply { 503, {}, kRetryAfter };
     reply.isNotHome = true;
     co_return reply;
 }
 
 // Tries the homes in turn. A home that was not reached is passed over; one that may have run the request is not, unless
 // the request may be repeated.
-static asio::awaitable<std::optional<Reply>> tryHomes(const Services& services, RequestContext& context, bool mayRepeat)
+static asio::awaitable<std::optional<Reply>> tryHomes(const Services& services, RequestContext& context, bool canRepeat)
 {
     auto homes = context.entry.relayOrder;
     for (auto& home : homes) {
         auto result = co_await relayTo(services, context, home);
         if (result.reply)
             co_return result.reply;
-        if (result.mayHaveArrived && !mayRepeat)
-            co_return replyFor(services, context, { ErrorKind::OutcomeUnknown, "a home of the group took the request and did not answer", kComeBack });
+        if (result.mayHaveArrived && !canRepeat)
+            co_return replyWithContextError(services, context, { ErrorKind::OutcomeUnknown, "a home of the group took the request and did not answer", kRetryAfter });
         if (result.mayHaveArrived)
             base::count(base::Counter::Retries);
     }
@@ -249,9 +249,9 @@
 // host may find itself a home. The number of rounds is bounded, so that a caller gets its answer soon.
 static asio::awaitable<std::optional<Reply>> relayToHome(const Services& services, RequestContext& context)
 {
-    bool mayRepeat = context.request.isRepeatable || (!context.request.isWrite && context.request.operation == Operation::Execute);
-    for (int round = 0; round < kRelayRounds && context.hops < kMaximumHops; ++round) {
-        if (auto reply = co_await tryHomes(services, context, mayRepeat))
+    bool canRepeat = context.request.isRepeatable || (!context.request.isWrite && context.request.operation == Operation::Execute);
+    for (int round = 0; round < kRelayRounds && context.hops < kMaxHops; ++round) {
+        if (auto reply = co_await tryHomes(services, context, canRepeat))
             co_return reply;
         if (Clock::now() + kRelayPause >= context.request.deadline - kRelayMargin)
             break;
@@ -262,8 +262,8 @@
             co_return reply;
     }
     if (Clock::now() >= context.request.deadline - kRelayMargin)
-        co_return replyFor(services, context, { mayRepeat ? ErrorKind::OutcomeUnknown : ErrorKind::DeadlineExceeded, "no home of the group answered in time", kComeBack });
-    co_return replyFor(services, context, { ErrorKind::NoPrimary, "no home of the group is reachable from here", kComeBack });
+        co_return replyWithContextError(services, context, { canRepeat ? ErrorKind::OutcomeUnknown : ErrorKind::DeadlineExceeded, "no home of the group answered in time", kRetryAfter });
+    co_return replyWithContextError(services, context, { ErrorKind::NoPrimary, "no home of the group is reachable from here", kRetryAfter });
 }
 
 const std::vector<Filter>& getChain()
@@ -278,7 +278,7 @@
         if (auto reply = co_await filter(services, context))
             co_return *reply;
     }
-    co_return replyFor(services, context, { ErrorKind::Internal, "no filter answered the request" });
+    co_return replyWithContextError(services, context, { ErrorKind::Internal, "no filter answered the request" });
 }
 
 // A fault of ours must not take the process with it: the caller is told that the outcome is unknown.
@@ -292,7 +292,7 @@
         reply = co_await runFilters(services, context);
     } catch (const std::exception& error) {
         base::getTimeline().add("internal-error", context.group, error.what());
-        reply = replyFor(services, context, { ErrorKind::Internal, "a fault of alderward; please report it" });
+        reply = replyWithContextError(services, context, { ErrorKind::Internal, "a fault of alderward; please report it" });
     }
     base::record(base::Latency::Request, Clock::now() - began);
     co_return reply;
--- a/src/filters/decode.cpp
+++ b/src/filters/decode.cpp
@@ -19,8 +19,8 @@
     std::pair { "/v1/transaction/rollback", Operation::Rollback },
     std::pair { "/v1/settle", Operation::Settle },
 };
-static constexpr size_t kKeyLimit = 200; // characters of a request key
-static constexpr int64_t kMostAgeMs = 24 * 3600 * 1000;
+static constexpr size_t kMaxRequestKeyLength = 200; // characters of a request key
+static constexpr int64_t kMaxAgeMs = 24 * 3600 * 1000;
 
 static Result<std::string> readString(const json::object& object, const char* name)
 {
@@ -62,8 +62,8 @@
         return fail(ErrorKind::BadRequest, "group must name a database group");
     if (!transaction)
         return tl::make_unexpected(transaction.error());
-    if (!requestKey || requestKey->size() > kKeyLimit)
-        return fail(ErrorKind::BadRequest, fmt::format("requestKey must be a string of at most {} characters", kKeyLimit));
+    if (!requestKey || requestKey->size() > kMaxRequestKeyLength)
+        return fail(ErrorKind::BadRequest, fmt::format("requestKey must be a string of at most {} characters", kMaxRequestKeyLength));
     context.group = *group;
     context.request.transaction = *transaction;
     context.request.requestKey = *requestKey;
@@ -103,16 +103,16 @@
     return {};
 }
 
-static Result<void> readAge(RequestContext& context, const json::object& object)
+static Result<void> readMaximumAge(RequestContext& context, const json::object& object)
 {
     auto age = readInteger(object, "maximumAgeMs");
     auto readKind = readString(object, "readKind");
-    if (!age || (*age && (**age < 0 || **age > kMostAgeMs)))
-        return fail(ErrorKind::BadRequest, fmt::format("maximumAgeMs must be a whole number from 0 to {}", kMostAgeMs));
+    if (!age || (*age && (**age < 0 || **age > kMaxAgeMs)))
+        return fail(ErrorKind::BadRequest, fmt::format("maximumAgeMs must be a whole number from 0 to {}", kMaxAgeMs));
     if (!readKind)
         return tl::make_unexpected(readKind.error());
-    bool isAged = *age || !readKind->empty();
-    if (isAged && (context.request.isWrite || context.request.operation != Operation::Execute))
+    bool hasAgeBound = *age || !readKind->empty();
+    if (hasAgeBound && (context.request.isWrite || context.request.operation != Operation::Execute))
         return fail(ErrorKind::BadRequest, "maximumAgeMs and readKind go with reads only");
     if (*age)
         context.request.maximumAge = base::milliseconds(**age);
@@ -164,7 +164,7 @@
     auto result = checkFields(object).and_then([&] { return readNames(context, object); }).and_then([&] { return readSession(context, object, sessionKey); });
     if (result && context.request.operation == Operation::Execute)
         result = readStatement(context, object);
-    return result.and_then([&] { return readAge(context, object); }).and_then([&] { return readRepeatable(context, object); }).and_then([&] { return readDeadline(context, object); });
+    return result.and_then([&] { return readMaximumAge(context, object); }).and_then([&] { return readRepeatable(context, object); }).and_then([&] { return readDeadline(context, object); });
 }
 
 }
