--- a/src/controllers/group.cpp
+++ b/src/controllers/group.cpp
@@ -217,7 +217,7 @@
         it.probeTimer->cancel();
 }
 
-void GroupController::takeNews(const peer::GroupNews& news)
+void GroupController::handleGroupNews(const peer::GroupNews& news)
 {
     asio::post(m_strand, [self = shared_from_this(), term = news.term()] {
         if (self->m_isActive && term > self->m_state.health.term)
@@ -240,12 +240,12 @@
         publishStatus();
     }
     for (auto& it : step.actions)
-        perform(it);
+        performAction(it);
     if (std::holds_alternative<decisions::FailoverEvent>(event))
         return;
     if (wasHealthy && !decisions::isGroupHealthy(m_state.health))
         probeNow();
-    repairFollowers();
+    resendFollows();
     wakeHealthWaiters();
 }
 
--- a/src/controllers/group.h
+++ b/src/controllers/group.h
@@ -86,9 +86,9 @@
     // Takes up or lays down the work of a home, and follows changes of the record. Any thread.
     void setConfiguration(GroupConfiguration configuration);
     // Tells the other homes; set once, before setRole().
-    void onAnnounce(std::function<void(const peer::GroupNews&)> callback) { m_announce = std::move(callback); }
+    void onPrimaryAnnounced(std::function<void(const peer::GroupNews&)> callback) { m_onPrimaryAnnounced = std::move(callback); }
     // A peer says that the group has a new primary: the members are asked at once.
-    void takeNews(const peer::GroupNews& news);
+    void handleGroupNews(const peer::GroupNews& news);
     // Serves one order. Switches to the group's strand by itself.
     boost::asio::awaitable<decisions::Result<Outcome>> run(GroupRequest request);
     const base::Snapshot<GroupStatus>& getStatus() const { return m_status; }
@@ -106,7 +106,7 @@
         uint64_t knownTerm { 0 };
         std::shared_ptr<boost::asio::steady_timer> probeTimer; // cancelled to probe at once
         std::shared_ptr<boost::asio::steady_timer> confirmTimer; // cancelled when a write waits
-        base::TimePoint followedAt {}; // last repair, see repairFollowers()
+        base::TimePoint followSentAt {}; // last repair, see repairFollowers()
         base::TimePoint leavingSince {}; // meaningful while the member is leaving
     };
     struct PendingConfirmation { // a write that ran and waits for its confirmation
@@ -146,15 +146,15 @@
     void expireTransactions();
 
     // ---- failover ----
-    void perform(const decisions::FailoverAction& action);
+    void performAction(const decisions::FailoverAction& action);
     boost::asio::awaitable<void> sendFence(decisions::SendFence action);
     boost::asio::awaitable<void> sendPromote(decisions::SendPromote action);
     boost::asio::awaitable<void> sendFollow(decisions::SendFollow action);
     boost::asio::awaitable<void> writeClaim(uint64_t term);
     boost::asio::awaitable<decisions::ClaimAnswered> tryClaim(uint64_t term, base::TimePoint deadline);
-    boost::asio::awaitable<void> writeClaimLate(uint64_t term);
-    void announce(const decisions::AnnouncePrimary& action);
-    void repairFollowers();
+    boost::asio::awaitable<void> writeDeferredClaim(uint64_t term);
+    void announcePrimary(const decisions::AnnouncePrimary& action);
+    void resendFollows();
 
     // ---- confirmation ----
     boost::asio::awaitable<decisions::Confirmation> confirm(decisions::PendingWrite write, std::string primary, base::TimePoint deadline);
@@ -187,7 +187,7 @@
     Node& m_node;
     const std::string m_name;
     boost::asio::strand<boost::asio::io_context::executor_type> m_strand;
-    std::function<void(const peer::GroupNews&)> m_announce;
+    std::function<void(const peer::GroupNews&)> m_onPrimaryAnnounced;
     GroupConfiguration m_configuration;
     std::vector<Member> m_members;
     decisions::GroupState m_state; // changed by takeEvent() only
--- a/src/controllers/group_failover.cpp
+++ b/src/controllers/group_failover.cpp
@@ -16,12 +16,12 @@
 using base::milliseconds;
 using base::TimePoint;
 
-static constexpr milliseconds kMemberTimeout { 300 }; // for fence, promote and follow
-static constexpr milliseconds kFollowPause { 300 }; // between two repairs of one member
-static constexpr milliseconds kLateClaimPause { 1000 };
-static constexpr unsigned kLateClaimTries = 600; // ten minutes of outage; then the next promotion's claim shows the term
+static constexpr milliseconds kControlTimeout { 300 }; // for fence, promote and follow
+static constexpr milliseconds kMinFollowInterval { 300 }; // between two repairs of one member
+static constexpr milliseconds kDeferredClaimPause { 1000 };
+static constexpr unsigned kMaxDeferredClaimAttempts = 600; // ten minutes of outage; then the next promotion's claim shows the term
 
-void GroupController::perform(const decisions::FailoverAction& action)
+void GroupController::performAction(const decisions::FailoverAction& action)
 {
     if (auto* claim = std::get_if<decisions::WriteClaim>(&action))
         asio::co_spawn(m_strand, writeClaim(claim->term), asio::detached);
@@ -32,7 +32,7 @@
     else if (auto* follow = std::get_if<decisions::SendFollow>(&action))
         asio::co_spawn(m_strand, sendFollow(*follow), asio::detached);
     else if (auto* news = std::get_if<decisions::AnnouncePrimary>(&action))
-        announce(*news);
+        announcePrimary(*news);
     else if (auto* note = std::get_if<decisions::AddTimelineEntry>(&action)) {
         if (note->kind == "promotion-held-back")
             base::count(base::Counter::PromotionsHeldBack);
@@ -42,7 +42,7 @@
 
 // ---- messages to members: each on a connection of its own, so that none waits behind a probe ----
 
-static asio::awaitable<std::unique_ptr<links::HttpConnection>> openControl(asio::any_io_executor executor, std::string address, TimePoint deadline)
+static asio::awaitable<std::unique_ptr<links::HttpConnection>> openControlConnection(asio::any_io_executor executor, std::string address, TimePoint deadline)
 {
     auto link = links::makeHttpConnection(executor, address);
     if (!co_await link->open(deadline))
@@ -54,9 +54,9 @@
 {
     auto self = shared_from_this();
     auto epoch = m_epoch;
-    auto deadline = Clock::now() + kMemberTimeout;
+    auto deadline = Clock::now() + kControlTimeout;
     decisions::FenceAnswered event { action.term, action.member, {} };
-    auto link = co_await openControl(m_strand, m_members[action.member].record.address, deadline);
+    auto link = co_await openControlConnection(m_strand, m_members[action.member].record.address, deadline);
     if (link) {
         auto answer = co_await links::fence(*link, m_node.settings.name, action.term, m_node.settings.name, deadline);
         if (answer)
@@ -70,9 +70,9 @@
 {
     auto self = shared_from_this();
     auto epoch = m_epoch;
-    auto deadline = Clock::now() + kMemberTimeout;
+    auto deadline = Clock::now() + kControlTimeout;
     decisions::PromoteAnswered event { action.term, false };
-    auto link = co_await openControl(m_strand, m_members[action.member].record.address, deadline);
+    auto link = co_await openControlConnection(m_strand, m_members[action.member].record.address, deadline);
     if (link)
         event.isDone = (co_await links::promote(*link, m_node.settings.name, action.term, m_node.settings.name, deadline)).has_value();
     if (event.isDone)
@@ -85,9 +85,9 @@
 {
     auto self = shared_from_this();
     auto epoch = m_epoch;
-    auto deadline = Clock::now() + kMemberTimeout;
+    auto deadline = Clock::now() + kControlTimeout;
     auto primary = m_members[action.primary].record;
-    auto link = co_await openControl(m_strand, m_members[action.member].record.address, deadline);
+    auto link = co_await openControlConnection(m_strand, m_members[action.member].record.address, deadline);
     if (!link)
         co_return;
     auto answer = co_await links::follow(*link, m_node.settings.name, action.term, primary.name, primary.address, deadline);
@@ -96,31 +96,31 @@
 }
 
 // A member that was away during a promotion is told when it comes back. This finishes the promotion; it is no new one.
-void GroupController::repairFollowers()
+void GroupController::resendFollows()
 {
     if (m_state.failover.phase != decisions::FailoverPhase::Idle)
         return;
     auto now = Clock::now();
     for (auto& it : decisions::getPendingFollows(*m_configuration.record, m_state.health)) {
         auto& member = m_members[it.member];
-        if (now - member.followedAt < kFollowPause)
+        if (now - member.followSentAt < kMinFollowInterval)
             continue;
-        member.followedAt = now;
+        member.followSentAt = now;
         base::getTimeline().add("follow-sent", m_name, fmt::format("{} was not following {} in term {}", member.record.name, m_members[it.primary].record.name, it.term));
         asio::co_spawn(m_strand, sendFollow(it), asio::detached);
     }
 }
 
-void GroupController::announce(const decisions::AnnouncePrimary& action)
+void GroupController::announcePrimary(const decisions::AnnouncePrimary& action)
 {
     peer::GroupNews news;
     news.set_group(m_name);
     news.set_term(action.term);
     news.set_primary(m_members[action.primary].record.name);
-    if (m_announce)
-        m_announce(news);
+    if (m_onPrimaryAnnounced)
+        m_onPrimaryAnnounced(news);
     probeNow();
-    asio::co_spawn(m_strand, writeClaimLate(action.term), asio::detached);
+    asio::co_spawn(m_strand, writeDeferredClaim(action.term), asio::detached);
 }
 
 // ---- the claim in the platform's store ----
@@ -152,8 +152,8 @@
     auto claim = links::parseObject(stored->value).value_or(json::object());
     event.storedTerm = links::getNumber(claim, "term");
     if (event.storedTerm >= term) {
-        bool isOurs = event.storedTerm == term && links::getString(claim, "host") == m_node.settings.name;
-        event.outcome = isOurs ? decisions::ClaimOutcome::Taken : decisions::ClaimOutcome::Lost;
+        bool isOwnClaim = event.storedTerm == term && links::getString(claim, "host") == m_node.settings.name;
+        event.outcome = isOwnClaim ? decisions::ClaimOutcome::Taken : decisions::ClaimOutcome::Lost;
         co_return event;
     }
     auto swap = co_await links::compareAndSwap(m_node.platform, key, stored->revision, formatClaim(term, m_node.settings.name), deadline);
@@ -166,14 +166,14 @@
 }
 
 // In an outage the fence alone decided: the claim follows when the store is back, unless a later one stands there.
-asio::awaitable<void> GroupController::writeClaimLate(uint64_t term)
+asio::awaitable<void> GroupController::writeDeferredClaim(uint64_t term)
 {
     auto self = shared_from_this();
-    for (unsigned i = 0; i < kLateClaimTries && m_state.health.term <= term; ++i) {
-        auto answer = co_await tryClaim(term, Clock::now() + kLateClaimPause);
+    for (unsigned i = 0; i < kMaxDeferredClaimAttempts && m_state.health.term <= term; ++i) {
+        auto answer = co_await tryClaim(term, Clock::now() + kDeferredClaimPause);
         if (answer.outcome != decisions::ClaimOutcome::Unavailable)
             co_return;
-        co_await base::sleepFor(kLateClaimPause);
+        co_await base::sleepFor(kDeferredClaimPause);
     }
 }
 
--- a/src/controllers/groups.cpp
+++ b/src/controllers/groups.cpp
@@ -20,7 +20,7 @@
     m_configuration.onChange([this, refreshLater] { m_hosts.noteConfiguration(refreshLater); });
     m_hosts.onChange(refreshLater);
     m_configuration.onNewValues([this](std::vector<peer::RecordBody> bodies) { m_hosts.pushRecords(std::move(bodies)); });
-    m_hosts.onGroupNews([this](const peer::GroupNews& news) { takeNews(news); });
+    m_hosts.onGroupNews([this](const peer::GroupNews& news) { handleGroupNews(news); });
 }
 
 size_t GroupsController::getOpenTransactions() const
@@ -31,28 +31,28 @@
     return n;
 }
 
-void GroupsController::takeNews(const peer::GroupNews& news)
+void GroupsController::handleGroupNews(const peer::GroupNews& news)
 {
     auto table = m_table.read();
     auto it = table->find(news.group());
     if (it != table->end() && it->second.controller)
-        it->second.controller->takeNews(news);
+        it->second.controller->handleGroupNews(news);
 }
 
-std::vector<std::string> GroupsController::orderForRelay(const std::vector<std::string>& homes, const decisions::Membership& membership) const
+std::vector<std::string> GroupsController::sortForRelay(const std::vector<std::string>& homes, const decisions::Membership& membership) const
 {
-    std::vector<std::string> order;
-    std::ranges::copy_if(homes, std::back_inserter(order), [this](const std::string& it) { return it != m_node.settings.name; });
-    std::ranges::stable_partition(order, [&](const std::string& it) {
+    std::vector<std::string> sorted;
+    std::ranges::copy_if(homes, std::back_inserter(sorted), [this](const std::string& it) { return it != m_node.settings.name; });
+    std::ranges::stable_partition(sorted, [&](const std::string& it) {
         auto* host = decisions::findHost(membership, it);
         return host && host->dataCentre == m_node.settings.dataCentre;
     });
     // A suspect may still be the only home that is left, so it stays in, at the end.
-    std::ranges::stable_partition(order, [&](const std::string& it) {
+    std::ranges::stable_partition(sorted, [&](const std::string& it) {
         auto* host = decisions::findHost(membership, it);
         return host && host->state == decisions::HostState::Alive;
     });
-    return order;
+    return sorted;
 }
 
 GroupEntry GroupsController::makeEntry(const std::string& name, const GroupInForce& group, const Configuration& configuration, const decisions::Membership& membership, const std::vector<decisions::PlacedHost>& live)
@@ -61,12 +61,12 @@
     entry.record = group.record;
     entry.version = group.version;
     entry.homes = decisions::chooseHomes(*group.record, live, static_cast<unsigned>(m_node.settings.maxHomes));
-    entry.relayOrder = orderForRelay(entry.homes, membership);
+    entry.relayOrder = sortForRelay(entry.homes, membership);
     entry.isHome = std::ranges::find(entry.homes, m_node.settings.name) != entry.homes.end();
     auto& controller = m_controllers[name];
     if (!controller && entry.isHome) {
         controller = std::make_shared<GroupController>(m_node, name);
-        controller->onAnnounce([this](const peer::GroupNews& news) {
+        controller->onPrimaryAnnounced([this](const peer::GroupNews& news) {
             auto table = m_table.read();
             auto it = table->find(news.group());
             if (it != table->end())
--- a/src/controllers/groups.h
+++ b/src/controllers/groups.h
@@ -35,8 +35,8 @@
 private:
     void refresh();
     GroupEntry makeEntry(const std::string& name, const GroupInForce& group, const Configuration& configuration, const decisions::Membership& membership, const std::vector<decisions::PlacedHost>& live);
-    std::vector<std::string> orderForRelay(const std::vector<std::string>& homes, const decisions::Membership& membership) const;
-    void takeNews(const peer::GroupNews& news);
+    std::vector<std::string> sortForRelay(const std::vector<std::string>& homes, const decisions::Membership& membership) const;
+    void handleGroupNews(const peer::GroupNews& news);
 
     Node& m_node;
     ConfigurationController& m_configuration;
