--- a/src/controllers/group.cpp
+++ b/src/controllers/group.cpp
@@ -86,7 +86,7 @@
     }
     // Statements that wait at a member that is gone look for another one.
     for (auto& it : m_members)
-        it.pool->wakeAll();
+        it.pool->cancelWaiters();
     m_members = std::move(members);
 }
 
@@ -255,11 +255,11 @@
     auto& health = m_state.health;
     for (size_t i = 0; i < m_members.size(); ++i) {
         if (!health.members[i].isReachable() || health.primary != i)
-            m_members[i].pool->wakeAll();
+            m_members[i].pool->cancelWaiters();
         // A superseded primary that does not answer will not be waited for: its callers get their answer now.
         bool isSuperseded = health.primary && health.primary != i && health.members[i].failures > 0 && health.term > termBefore;
         if (isSuperseded)
-            m_members[i].pool->abortRunning();
+            m_members[i].pool->abortLeased();
     }
 }
 
--- a/src/controllers/group_statements.cpp
+++ b/src/controllers/group_statements.cpp
@@ -144,7 +144,7 @@
         co_return handleTargetFailure(answer.error(), index);
     }
     lease->release();
-    pool->noteLatency(latency);
+    pool->recordLatency(latency);
     base::record(base::Latency::Read, latency);
     if (index >= m_members.size() || m_members[index].record.name != member)
         co_return fail(ErrorKind::OutcomeUnknown, "the record changed during the read");
@@ -270,7 +270,7 @@
         co_return handleTargetFailure(answer.error(), index);
     }
     lease->release();
-    pool->noteLatency(ranAt - sentAt);
+    pool->recordLatency(ranAt - sentAt);
     if (index < m_members.size() && m_members[index].record.name == member)
         handlePiggybackedStatus(index, answer->glimpse, sentAt);
     Outcome outcome;
--- a/src/controllers/group_transactions.cpp
+++ b/src/controllers/group_transactions.cpp
@@ -41,7 +41,7 @@
             co_await waitForHealthChange(std::min(request.deadline, Clock::now() + milliseconds(10)));
             continue;
         }
-        lease->beginPause();
+        lease->releaseSlot();
         auto name = makeTransactionName(m_node.settings.name);
         auto transaction = std::make_shared<Transaction>();
         transaction->lease = std::move(*lease);
@@ -84,12 +84,12 @@
     if (transaction->isBusy)
         co_return fail(ErrorKind::TransactionUnknown, "another statement of this transaction is running");
     transaction->isBusy = true;
-    transaction->lease.endPause();
+    transaction->lease.acquireSlot();
     auto answer = co_await sendInTransaction(request, *transaction);
     auto ranAt = Clock::now();
     transaction->isBusy = false;
     transaction->lastUsedAt = ranAt;
-    transaction->lease.beginPause();
+    transaction->lease.releaseSlot();
     bool isLast = request.operation == Operation::Commit || request.operation == Operation::Rollback;
     bool isLost = !answer && !answer.error().refusal;
     if (isLast || isLost)
--- a/src/controllers/pool.cpp
+++ b/src/controllers/pool.cpp
@@ -12,8 +12,8 @@
 using decisions::ErrorKind;
 using decisions::fail;
 
-static constexpr milliseconds kRefusedPause { 500 }; // no new connection after a refusal for this long
-static constexpr double kSmoothing = 0.1;
+static constexpr milliseconds kRefusalTimeout { 500 }; // no new connection after a refusal for this long
+static constexpr double kLatencySmoothing = 0.1;
 static constexpr auto kUseAwaitable = asio::as_tuple(asio::use_awaitable);
 
 // ---- lease ----
@@ -31,7 +31,7 @@
 void Lease::release()
 {
     if (m_link)
-        m_pool->giveBack(std::move(m_link), m_holdsSlot, m_isTransaction);
+        m_pool->returnConnection(std::move(m_link), m_holdsSlot, m_isTransaction);
 }
 
 void Lease::discard()
@@ -43,17 +43,17 @@
     m_pool->close(std::move(m_link), m_holdsSlot, m_isTransaction);
 }
 
-void Lease::beginPause()
+void Lease::releaseSlot()
 {
     if (!m_holdsSlot)
         return;
     m_holdsSlot = false;
     --m_pool->m_running;
-    m_pool->wakeNext();
+    m_pool->serveNextWaiter();
 }
 
 // A transaction's next statement goes before new work: it takes its place without queueing.
-void Lease::endPause()
+void Lease::acquireSlot()
 {
     if (m_holdsSlot)
         return;
@@ -81,7 +81,7 @@
         m_idle.pop_back();
         --m_open;
     }
-    wakeNext();
+    serveNextWaiter();
 }
 
 unsigned Pool::getWaiting() const
@@ -94,17 +94,17 @@
 
 decisions::QueueState Pool::getQueueState() const
 {
-    return { getWaiting(), m_perStatement, std::min(m_limit.getLimit(), m_limits.share.connections) };
+    return { getWaiting(), m_serviceTime, std::min(m_limit.getLimit(), m_limits.share.connections) };
 }
 
-void Pool::noteLatency(std::chrono::duration<double, std::milli> latency)
+void Pool::recordLatency(std::chrono::duration<double, std::milli> latency)
 {
     m_limit = decisions::updateLimit(m_limit, latency);
-    m_perStatement += kSmoothing * (latency.count() - m_perStatement);
+    m_serviceTime += kLatencySmoothing * (latency.count() - m_serviceTime);
 }
 
 // Transactions may hold all connections but one, so that single statements always get through.
-bool Pool::hasRoom(bool isTransaction) const
+bool Pool::hasCapacity(bool isTransaction) const
 {
     if (m_running >= m_limit.getLimit())
         return false;
@@ -112,15 +112,15 @@
         return false;
     if (!m_idle.empty())
         return true;
-    return m_open < m_limits.share.connections && (Clock::now() >= m_noNewBefore || m_open == 0);
+    return m_open < m_limits.share.connections && (Clock::now() >= m_earliestConnect || m_open == 0);
 }
 
 asio::awaitable<decisions::Result<Lease>> Pool::acquire(Lane lane, base::TimePoint deadline, bool isTransaction)
 {
     auto began = Clock::now();
     auto& queue = m_lanes[static_cast<size_t>(lane)];
-    if (getWaiting() == 0 && hasRoom(isTransaction))
-        co_return co_await take(reserve(isTransaction), deadline, isTransaction);
+    if (getWaiting() == 0 && hasCapacity(isTransaction))
+        co_return co_await makeLease(reserve(isTransaction), deadline, isTransaction);
     auto state = getQueueState();
     auto remaining = std::chrono::duration_cast<milliseconds>(deadline - began);
     if (!decisions::isAdmitted(state, remaining) || getWaiting() >= m_limits.queueLimit)
@@ -132,7 +132,7 @@
     co_await waiter->timer.async_wait(kUseAwaitable);
     base::record(base::Latency::ConnectionWait, Clock::now() - began);
     if (waiter->isServed)
-        co_return co_await take(std::move(waiter->link), deadline, isTransaction);
+        co_return co_await makeLease(std::move(waiter->link), deadline, isTransaction);
     std::erase(queue, waiter);
     if (Clock::now() >= deadline)
         co_return fail(ErrorKind::Overloaded, "no connection to the member became free in time", decisions::getRetryAfter(getQueueState(), base::getRandom()));
@@ -154,11 +154,11 @@
     return link;
 }
 
-asio::awaitable<decisions::Result<Lease>> Pool::take(std::unique_ptr<links::HttpConnection> link, base::TimePoint deadline, bool isTransaction)
+asio::awaitable<decisions::Result<Lease>> Pool::makeLease(std::unique_ptr<links::HttpConnection> link, base::TimePoint deadline, bool isTransaction)
 {
     auto remaining = std::chrono::duration_cast<milliseconds>(deadline - Clock::now());
     if (!decisions::isWorthSending(getQueueState(), remaining)) {
-        putBack(std::move(link), isTransaction);
+        cancelReservation(std::move(link), isTransaction);
         co_return fail(ErrorKind::Overloaded, "too little of the deadline is left to run it", decisions::getRetryAfter(getQueueState(), base::getRandom()));
     }
     bool isNew = !link || !link->isOpen();
@@ -171,7 +171,7 @@
             co_return tl::make_unexpected(opened.error());
         }
     }
-    m_used.push_back(link.get());
+    m_leased.push_back(link.get());
     co_return Lease(shared_from_this(), std::move(link), isTransaction);
 }
 
@@ -181,48 +181,48 @@
     auto opened = co_await link.open(deadline);
     if (!opened)
         co_return fail(ErrorKind::NoPrimary, "cannot connect to the member: " + opened.error().reason);
-    auto hello = co_await links::sendHello(link, m_from, links::Purpose::Work, deadline);
-    if (hello)
+    auto handshake = co_await links::sendHello(link, m_from, links::Purpose::Work, deadline);
+    if (handshake)
         co_return decisions::Result<void> {};
     link.close();
-    if (!hello.error().refusal)
+    if (!handshake.error().refusal)
         co_return fail(ErrorKind::NoPrimary, "the member does not answer");
     base::count(base::Counter::ConnectionsRefused);
-    m_noNewBefore = Clock::now() + kRefusedPause;
+    m_earliestConnect = Clock::now() + kRefusalTimeout;
     co_return fail(ErrorKind::Overloaded, "the member takes no more connections", decisions::getRetryAfter(getQueueState(), base::getRandom()));
 }
 
-void Pool::giveBack(std::unique_ptr<links::HttpConnection> link, bool holdsSlot, bool isTransaction)
+void Pool::returnConnection(std::unique_ptr<links::HttpConnection> link, bool holdsSlot, bool isTransaction)
 {
-    std::erase(m_used, link.get());
-    bool isWanted = link->isOpen() && m_open <= m_limits.share.connections;
-    if (!isWanted)
+    std::erase(m_leased, link.get());
+    bool canReuse = link->isOpen() && m_open <= m_limits.share.connections;
+    if (!canReuse)
         return close(std::move(link), holdsSlot, isTransaction);
     m_running -= holdsSlot ? 1 : 0;
     m_transactions -= isTransaction ? 1 : 0;
     m_idle.push_back(std::move(link));
-    wakeNext();
+    serveNextWaiter();
 }
 
 // Undoes reserve().
-void Pool::putBack(std::unique_ptr<links::HttpConnection> link, bool isTransaction)
+void Pool::cancelReservation(std::unique_ptr<links::HttpConnection> link, bool isTransaction)
 {
     if (link)
-        return giveBack(std::move(link), true, isTransaction);
+        return returnConnection(std::move(link), true, isTransaction);
     --m_running;
     m_transactions -= isTransaction ? 1 : 0;
     --m_open;
-    wakeNext();
+    serveNextWaiter();
 }
 
 void Pool::close(std::unique_ptr<links::HttpConnection> link, bool holdsSlot, bool isTransaction)
 {
-    std::erase(m_used, link.get());
+    std::erase(m_leased, link.get());
     link->close();
     m_running -= holdsSlot ? 1 : 0;
     m_transactions -= isTransaction ? 1 : 0;
     --m_open;
-    wakeNext();
+    serveNextWaiter();
 }
 
 std::shared_ptr<Pool::Waiter> Pool::popWaiter()
@@ -230,7 +230,7 @@
     for (size_t i = 0; i < m_lanes.size(); ++i) {
         auto& lane = m_lanes[(m_nextLane + i) % m_lanes.size()];
         for (auto it = lane.begin(); it != lane.end(); ++it) {
-            if (!hasRoom((*it)->isTransaction))
+            if (!hasCapacity((*it)->isTransaction))
                 continue;
             auto waiter = *it;
             lane.erase(it);
@@ -241,7 +241,7 @@
     return nullptr;
 }
 
-void Pool::wakeNext()
+void Pool::serveNextWaiter()
 {
     auto waiter = popWaiter();
     if (!waiter)
@@ -251,7 +251,7 @@
     waiter->timer.cancel();
 }
 
-void Pool::wakeAll()
+void Pool::cancelWaiters()
 {
     for (auto& lane : m_lanes) {
         for (auto& it : lane)
@@ -260,9 +260,9 @@
     }
 }
 
-void Pool::abortRunning()
+void Pool::abortLeased()
 {
-    for (auto* it : m_used)
+    for (auto* it : m_leased)
         it->close();
 }
 
--- a/src/controllers/pool.h
+++ b/src/controllers/pool.h
@@ -38,8 +38,8 @@
     // The connection is closed: a late answer has nowhere to go.
     void discard();
     // A transaction keeps its connection between statements, but not its place among the statements in flight.
-    void beginPause();
-    void endPause();
+    void releaseSlot();
+    void acquireSlot();
 
 private:
     std::shared_ptr<Pool> m_pool;
@@ -61,12 +61,12 @@
     // Takes a connection, or waits for one until the deadline. Refuses at once what cannot be served in time.
     boost::asio::awaitable<decisions::Result<Lease>> acquire(Lane lane, base::TimePoint deadline, bool isTransaction);
     // The member is gone or has lost its role: statements that wait for it are told to look for another.
-    void wakeAll();
+    void cancelWaiters();
     // The member was superseded: exchanges in flight end now, as ones that may have arrived.
-    void abortRunning();
+    void abortLeased();
     // Closes idle connections, e.g. when the member leaves.
     void closeIdle();
-    void noteLatency(std::chrono::duration<double, std::milli> latency);
+    void recordLatency(std::chrono::duration<double, std::milli> latency);
     decisions::QueueState getQueueState() const;
     unsigned getWaiting() const;
     unsigned getRunning() const { return m_running; }
@@ -86,14 +86,14 @@
         bool isTransaction { false };
     };
 
-    bool hasRoom(bool isTransaction) const; // for one more statement
+    bool hasCapacity(bool isTransaction) const; // for one more statement
     std::unique_ptr<links::HttpConnection> reserve(bool isTransaction);
-    boost::asio::awaitable<decisions::Result<Lease>> take(std::unique_ptr<links::HttpConnection> link, base::TimePoint deadline, bool isTransaction);
+    boost::asio::awaitable<decisions::Result<Lease>> makeLease(std::unique_ptr<links::HttpConnection> link, base::TimePoint deadline, bool isTransaction);
     boost::asio::awaitable<decisions::Result<void>> openLink(links::HttpConnection& link, base::TimePoint deadline);
-    void putBack(std::unique_ptr<links::HttpConnection> link, bool isTransaction);
-    void giveBack(std::unique_ptr<links::HttpConnection> link, bool holdsSlot, bool isTransaction);
+    void cancelReservation(std::unique_ptr<links::HttpConnection> link, bool isTransaction);
+    void returnConnection(std::unique_ptr<links::HttpConnection> link, bool holdsSlot, bool isTransaction);
     void close(std::unique_ptr<links::HttpConnection> link, bool holdsSlot, bool isTransaction);
-    void wakeNext();
+    void serveNextWaiter();
     std::shared_ptr<Waiter> popWaiter();
 
     boost::asio::any_io_executor m_executor;
@@ -102,14 +102,14 @@
     PoolLimits m_limits;
     decisions::AdaptiveLimit m_limit;
     std::vector<std::unique_ptr<links::HttpConnection>> m_idle;
-    std::vector<links::HttpConnection*> m_used; // leased, also to transactions
+    std::vector<links::HttpConnection*> m_leased; // leased, also to transactions
     std::array<std::deque<std::shared_ptr<Waiter>>, static_cast<size_t>(Lane::Count)> m_lanes;
     size_t m_nextLane { 0 };
     unsigned m_open { 0 }; // connections open or being opened
     unsigned m_running { 0 }; // statements in flight
     unsigned m_transactions { 0 }; // connections held by transactions, running or idle
-    double m_perStatement { 1 }; // ms; smoothed time a statement holds its place
-    base::TimePoint m_noNewBefore {}; // after the member refused a connection
+    double m_serviceTime { 1 }; // ms; smoothed time a statement holds its place
+    base::TimePoint m_earliestConnect {}; // after the member refused a connection
 };
 
 }
