--- a/src/controllers/configuration.cpp
+++ b/src/controllers/configuration.cpp
@@ -14,7 +14,7 @@
 
 static constexpr milliseconds kStoreTimeout { 2000 };
 static constexpr milliseconds kRetryPause { 200 };
-static constexpr milliseconds kIdlePause { 500 }; // how often a host looks whether it has become a watcher
+static constexpr milliseconds kWatcherCheckInterval { 500 }; // how often a host looks whether it has become a watcher
 
 static std::vector<std::string> getWatchedPrefixes()
 {
@@ -27,7 +27,7 @@
 {
 }
 
-void ConfigurationController::begin(std::function<bool()> isWatcher)
+void ConfigurationController::start(std::function<bool()> isWatcher)
 {
     m_isWatcher = std::move(isWatcher);
     asio::co_spawn(m_strand, watchForever(), asio::detached);
@@ -87,14 +87,14 @@
 
 std::vector<peer::RecordBody> ConfigurationController::getNewerBodies(const std::vector<peer::RecordVersion>& versions, const decisions::BucketMask& buckets, size_t limit) const
 {
-    std::map<std::string, uint64_t> theirs;
+    std::map<std::string, uint64_t> peerVersions;
     for (auto& it : versions)
-        theirs[it.key()] = it.version();
+        peerVersions[it.key()] = it.version();
     BodyList list { limit };
     std::lock_guard lock(m_mutex);
     for (auto& [key, value] : m_values) {
-        auto it = theirs.find(key);
-        bool isNewer = buckets[decisions::getBucket(key)] && (it == theirs.end() || it->second < value.version);
+        auto it = peerVersions.find(key);
+        bool isNewer = buckets[decisions::getBucket(key)] && (it == peerVersions.end() || it->second < value.version);
         if (isNewer && !list.tryAdd(key, value))
             break;
     }
@@ -113,35 +113,35 @@
     return std::move(list.bodies);
 }
 
-std::vector<std::string> ConfigurationController::getLacking(const std::vector<peer::RecordVersion>& versions) const
+std::vector<std::string> ConfigurationController::findOutdatedKeys(const std::vector<peer::RecordVersion>& versions) const
 {
     std::vector<std::string> keys;
     std::lock_guard lock(m_mutex);
     for (auto& it : versions) {
-        auto mine = m_values.find(it.key());
-        if (mine == m_values.end() || mine->second.version < it.version())
+        auto local = m_values.find(it.key());
+        if (local == m_values.end() || local->second.version < it.version())
             keys.push_back(it.key());
     }
     return keys;
 }
 
-void ConfigurationController::takeBodies(const std::vector<peer::RecordBody>& bodies)
+void ConfigurationController::applyBodies(const std::vector<peer::RecordBody>& bodies)
 {
     if (bodies.empty())
         return;
     decisions::ValueMap values;
     for (auto& it : bodies)
         values[it.key()] = { it.version(), it.value() };
-    asio::post(m_strand, [this, values = std::move(values)] { takeValues(values, "peer"); });
+    asio::post(m_strand, [this, values = std::move(values)] { applyValues(values, "peer"); });
 }
 
 // ---- taking values in ----
 
-void ConfigurationController::takeValues(const decisions::ValueMap& values, const std::string& source)
+void ConfigurationController::applyValues(const decisions::ValueMap& values, const std::string& source)
 {
     auto next = std::make_shared<Configuration>(*m_snapshot.read());
     bool hasChanged = !next->isLoaded;
-    std::vector<peer::RecordBody> news;
+    std::vector<peer::RecordBody> changedBodies;
     next->isLoaded = true;
     for (auto& [key, value] : values) {
         {
@@ -150,16 +150,16 @@
                 continue;
         }
         hasChanged = true;
-        news.push_back(makeBody(key, value));
+        changedBodies.push_back(makeBody(key, value));
         next->storeRevision = std::max(next->storeRevision, value.version);
         if (key.starts_with(decisions::kHostListPrefix)) {
-            takePlatformHost(*next, key.substr(decisions::kHostListPrefix.size()), value);
+            applyPlatformHost(*next, key.substr(decisions::kHostListPrefix.size()), value);
             continue;
         }
         if (!key.starts_with(decisions::kGroupPrefix))
             continue;
         auto name = key.substr(decisions::kGroupPrefix.size());
-        if (takeGroup(*next, name, value))
+        if (applyGroup(*next, name, value))
             base::getTimeline().add("record-in-force", name, fmt::format("version {} from {}", value.version, source));
     }
     if (!hasChanged)
@@ -171,11 +171,11 @@
     m_snapshot.publish(next);
     if (m_onChange)
         m_onChange();
-    if (m_onNewValues && !news.empty())
-        m_onNewValues(std::move(news));
+    if (m_onNewValues && !changedBodies.empty())
+        m_onNewValues(std::move(changedBodies));
 }
 
-bool ConfigurationController::takeGroup(Configuration& next, const std::string& name, const decisions::VersionedValue& value)
+bool ConfigurationController::applyGroup(Configuration& next, const std::string& name, const decisions::VersionedValue& value)
 {
     tl::expected<decisions::GroupRecord, decisions::RecordProblem> record = tl::make_unexpected(decisions::RecordProblem {});
     auto envelope = decisions::parseEnvelope(value.value);
@@ -190,15 +190,15 @@
         base::getTimeline().add("record-refused", name, fmt::format("version {}: {}", value.version, text));
         return false;
     }
-    auto& inForce = next.groups[name];
-    base::checkInvariant(value.version > inForce.version, "a record's version in force went back", name);
-    inForce = { std::make_shared<const decisions::GroupRecord>(std::move(*record)), value.version };
+    auto& current = next.groups[name];
+    base::checkInvariant(value.version > current.version, "a record's version in force went back", name);
+    current = { std::make_shared<const decisions::GroupRecord>(std::move(*record)), value.version };
     next.refused.erase(name);
     base::count(base::Counter::RecordsApplied);
     return true;
 }
 
-void ConfigurationController::takePlatformHost(Configuration& next, const std::string& name, const decisions::VersionedValue& value)
+void ConfigurationController::applyPlatformHost(Configuration& next, const std::string& name, const decisions::VersionedValue& value)
 {
     if (auto host = decisions::parsePlatformHost(name, value.value))
         next.platformHosts[name] = std::move(*host);
@@ -206,7 +206,7 @@
 
 // ---- the platform ----
 
-void ConfigurationController::notePlatform(bool isReachable)
+void ConfigurationController::updatePlatformReachability(bool isReachable)
 {
     if (isReachable != m_isPlatformReachable)
         base::getTimeline().add(isReachable ? "platform-reachable" : "platform-unreachable", "", "answer to the watch of the records");
@@ -223,21 +223,21 @@
         if (isLoaded && !m_isWatcher()) {
             link.reset();
             mustLoad = true;
-            co_await base::sleepFor(kIdlePause);
+            co_await base::sleepFor(kWatcherCheckInterval);
             continue;
         }
         if (mustLoad) {
-            bool isDone = co_await loadAll();
-            notePlatform(isDone);
-            mustLoad = !isDone;
-            if (!isDone)
+            bool hasSucceeded = co_await loadAll();
+            updatePlatformReachability(hasSucceeded);
+            mustLoad = !hasSucceeded;
+            if (!hasSucceeded)
                 co_await base::sleepFor(kRetryPause);
             continue;
         }
         if (!link || !link->isOpen()) {
             link = links::makeHttpConnection(m_strand, m_node.settings.platformAddress);
             auto opened = co_await link->open(Clock::now() + kStoreTimeout);
-            notePlatform(opened.has_value());
+            updatePlatformReachability(opened.has_value());
             if (!opened) {
                 link.reset();
                 co_await base::sleepFor(kRetryPause);
@@ -258,7 +258,7 @@
     decisions::ValueMap values;
     for (auto& it : list->values)
         values[it.key] = { it.revision, it.value };
-    takeValues(values, "platform");
+    applyValues(values, "platform");
     m_watchedRevision = list->revision;
     co_return true;
 }
@@ -267,7 +267,7 @@
 {
     auto wait = milliseconds(m_node.settings.watchWaitMs);
     auto list = co_await links::watchValues(m_node.platform, link, getWatchedPrefixes(), m_watchedRevision, wait);
-    notePlatform(list.has_value());
+    updatePlatformReachability(list.has_value());
     if (!list || list->wasCompacted)
         co_return false;
     decisions::ValueMap values;
@@ -275,7 +275,7 @@
         if (!it.isDeleted)
             values[it.key] = { it.revision, it.value };
     }
-    takeValues(values, "platform");
+    applyValues(values, "platform");
     m_watchedRevision = std::max(m_watchedRevision, list->revision);
     co_return true;
 }
--- a/src/controllers/configuration.h
+++ b/src/controllers/configuration.h
@@ -14,7 +14,7 @@
 namespace alderward::controllers {
 
 // A record in force.
-struct GroupInForce {
+struct ActiveGroupRecord {
     std::shared_ptr<const decisions::GroupRecord> record {};
     uint64_t version { 0 }; // store revision of the record in force
 };
@@ -29,7 +29,7 @@
 // What request threads read.
 struct Configuration {
     bool isLoaded { false }; // at least one answer from the platform or a peer has been taken in
-    std::map<std::string, GroupInForce> groups {}; // by group name
+    std::map<std::string, ActiveGroupRecord> groups {}; // by group name
     std::map<std::string, RefusedRecord> refused {}; // by group name
     std::map<std::string, decisions::PlatformHost> platformHosts {}; // by host or target name
     uint64_t storeRevision { 0 }; // newest revision heard of
@@ -40,7 +40,7 @@
     explicit ConfigurationController(Node& node);
 
     // Starts the watch loop; it holds a watch only while `isWatcher()` says so.
-    void begin(std::function<bool()> isWatcher);
+    void start(std::function<bool()> isWatcher);
     const base::Snapshot<Configuration>& getSnapshot() const { return m_snapshot; }
     // Called on the controller's strand after every change.
     void onChange(std::function<void()> callback) { m_onChange = std::move(callback); }
@@ -57,17 +57,17 @@
     // Bodies of these keys, at most `limit` bytes.
     std::vector<peer::RecordBody> getBodies(const std::vector<std::string>& keys, size_t limit) const;
     // Keys that a peer knows in a newer version.
-    std::vector<std::string> getLacking(const std::vector<peer::RecordVersion>& versions) const;
-    void takeBodies(const std::vector<peer::RecordBody>& bodies);
+    std::vector<std::string> findOutdatedKeys(const std::vector<peer::RecordVersion>& versions) const;
+    void applyBodies(const std::vector<peer::RecordBody>& bodies);
 
 private:
-    void takeValues(const decisions::ValueMap& values, const std::string& source);
-    bool takeGroup(Configuration& next, const std::string& name, const decisions::VersionedValue& value);
-    static void takePlatformHost(Configuration& next, const std::string& name, const decisions::VersionedValue& value);
+    void applyValues(const decisions::ValueMap& values, const std::string& source);
+    bool applyGroup(Configuration& next, const std::string& name, const decisions::VersionedValue& value);
+    static void applyPlatformHost(Configuration& next, const std::string& name, const decisions::VersionedValue& value);
     boost::asio::awaitable<void> watchForever();
     boost::asio::awaitable<bool> loadAll();
     boost::asio::awaitable<bool> watchOnce(links::HttpConnection& link);
-    void notePlatform(bool isReachable);
+    void updatePlatformReachability(bool isReachable);
 
     Node& m_node;
     boost::asio::strand<boost::asio::io_context::executor_type> m_strand;
--- a/src/controllers/group.cpp
+++ b/src/controllers/group.cpp
@@ -323,7 +323,7 @@
     status->isPathFault = isPathFault();
     status->transactions = m_transactions.size();
     for (auto& it : m_members) {
-        status->open.push_back(it.pool->getOpen());
+        status->openConnections.push_back(it.pool->getOpen());
         status->limits.push_back(it.pool->getLimit());
         status->waiting += it.pool->getWaiting();
     }
--- a/src/controllers/group.h
+++ b/src/controllers/group.h
@@ -71,7 +71,7 @@
 struct GroupStatus {
     decisions::GroupHealth health {};
     decisions::FailoverState failover {};
-    std::vector<unsigned> open {}; // connections by member
+    std::vector<unsigned> openConnections {}; // connections by member
     std::vector<unsigned> limits {}; // adaptive limit by member
     size_t waiting { 0 };
     size_t transactions { 0 };
--- a/src/controllers/groups.cpp
+++ b/src/controllers/groups.cpp
@@ -14,10 +14,10 @@
 {
 }
 
-void GroupsController::begin()
+void GroupsController::start()
 {
     auto refreshLater = [this] { asio::post(m_strand, [this] { refresh(); }); };
-    m_configuration.onChange([this, refreshLater] { m_hosts.noteConfiguration(refreshLater); });
+    m_configuration.onChange([this, refreshLater] { m_hosts.applyHostList(refreshLater); });
     m_hosts.onChange(refreshLater);
     m_configuration.onNewValues([this](std::vector<peer::RecordBody> bodies) { m_hosts.pushRecords(std::move(bodies)); });
     m_hosts.onGroupNews([this](const peer::GroupNews& news) { handleGroupNews(news); });
@@ -55,7 +55,7 @@
     return sorted;
 }
 
-GroupEntry GroupsController::makeEntry(const std::string& name, const GroupInForce& group, const Configuration& configuration, const decisions::Membership& membership, const std::vector<decisions::PlacedHost>& live)
+GroupEntry GroupsController::makeEntry(const std::string& name, const ActiveGroupRecord& group, const Configuration& configuration, const decisions::Membership& membership, const std::vector<decisions::PlacedHost>& live)
 {
     GroupEntry entry;
     entry.record = group.record;
--- a/src/controllers/groups.h
+++ b/src/controllers/groups.h
@@ -28,13 +28,13 @@
 public:
     GroupsController(Node& node, ConfigurationController& configuration, HostsController& hosts);
 
-    void begin();
+    void start();
     const base::Snapshot<GroupTable>& getTable() const { return m_table; }
     size_t getOpenTransactions() const;
 
 private:
     void refresh();
-    GroupEntry makeEntry(const std::string& name, const GroupInForce& group, const Configuration& configuration, const decisions::Membership& membership, const std::vector<decisions::PlacedHost>& live);
+    GroupEntry makeEntry(const std::string& name, const ActiveGroupRecord& group, const Configuration& configuration, const decisions::Membership& membership, const std::vector<decisions::PlacedHost>& live);
     std::vector<std::string> sortForRelay(const std::vector<std::string>& homes, const decisions::Membership& membership) const;
     void handleGroupNews(const peer::GroupNews& news);
 
--- a/src/controllers/hosts.cpp
+++ b/src/controllers/hosts.cpp
@@ -17,41 +17,41 @@
 using decisions::HostState;
 
 static constexpr milliseconds kExchangeTimeout { 400 };
-static constexpr size_t kWitnesses = 2; // others that are asked to probe a silent host
+static constexpr size_t kIndirectProbers = 2; // others that are asked to probe a silent host
 static constexpr unsigned kMismatchesBeforeSync = 4; // news still on its way explains fewer
-static constexpr size_t kBodyBytes = 256 * 1024; // record bodies in one message at most
+static constexpr size_t kMaxBodyBytes = 256 * 1024; // record bodies in one message at most
 static constexpr size_t kPushPartners = 4; // hosts that a new record is passed on to at once
-static constexpr size_t kPushBytes = 64 * 1024; // more than this is left to the exchanges
-static constexpr uint64_t kRoundsPerRevival = 10; // a dead host is tried again every so many rounds
+static constexpr size_t kMaxPushBytes = 64 * 1024; // more than this is left to the exchanges
+static constexpr uint64_t kRoundsPerDeadHostRetry = 10; // a dead host is tried again every so many rounds
 static constexpr decisions::BucketMask kAllBuckets = [] {
     decisions::BucketMask all {};
     all.fill(true);
     return all;
 }();
-static constexpr size_t kLeavingTold = 4; // peers told at once of our leaving
+static constexpr size_t kLeavingRecipients = 4; // peers told at once of our leaving
 
-static peer::HostNews toMessage(const HostInfo& news)
+static peer::HostNews toMessage(const HostInfo& info)
 {
     peer::HostNews it;
-    it.set_name(news.name);
-    it.set_incarnation(news.incarnation);
-    it.set_state(static_cast<uint32_t>(news.state));
-    it.set_data_centre(news.dataCentre);
-    it.set_peer_address(news.peerAddress);
-    it.set_caller_address(news.callerAddress);
-    it.set_operator_address(news.operatorAddress);
+    it.set_name(info.name);
+    it.set_incarnation(info.incarnation);
+    it.set_state(static_cast<uint32_t>(info.state));
+    it.set_data_centre(info.dataCentre);
+    it.set_peer_address(info.peerAddress);
+    it.set_caller_address(info.callerAddress);
+    it.set_operator_address(info.operatorAddress);
     return it;
 }
 
 template <typename Messages>
 static std::vector<HostInfo> fromMessages(const Messages& messages)
 {
-    std::vector<HostInfo> news;
+    std::vector<HostInfo> updates;
     for (const peer::HostNews& it : messages) {
         auto state = std::min(it.state(), static_cast<uint32_t>(HostState::Dead));
-        news.push_back({ it.name(), it.incarnation(), static_cast<HostState>(state), it.data_centre(), it.peer_address(), it.caller_address(), it.operator_address() });
+        updates.push_back({ it.name(), it.incarnation(), static_cast<HostState>(state), it.data_centre(), it.peer_address(), it.caller_address(), it.operator_address() });
     }
-    return news;
+    return updates;
 }
 
 template <typename Messages>
@@ -79,9 +79,9 @@
 {
 }
 
-void HostsController::begin()
+void HostsController::start()
 {
-    m_rounds = m_node.timers.subscribe(m_strand, milliseconds(m_node.settings.exchangeIntervalMs), [this] { beginRound(); });
+    m_rounds = m_node.timers.subscribe(m_strand, milliseconds(m_node.settings.exchangeIntervalMs), [this] { startRound(); });
 }
 
 bool HostsController::isWatcher() const
@@ -118,10 +118,10 @@
         m_onChange();
 }
 
-void HostsController::takeNews(const std::vector<HostInfo>& news, const std::string& from)
+void HostsController::applyUpdates(const std::vector<HostInfo>& updates, const std::string& from)
 {
     checkStrand();
-    publish(decisions::applyHostUpdates(m_membership, news, Clock::now()), "news from " + from);
+    publish(decisions::applyHostUpdates(m_membership, updates, Clock::now()), "news from " + from);
 }
 
 peer::ExchangeRequest HostsController::makeRequest()
@@ -168,14 +168,14 @@
 }
 
 // Hosts that only the platform's list knows are worth talking to; what they say of themselves wins over the list.
-void HostsController::takePlatformList()
+void HostsController::applyPlatformHosts()
 {
     checkStrand();
     auto configuration = m_configuration.getSnapshot().read();
-    bool isDue = configuration != m_listedConfiguration || m_round % kRoundsPerRevival == 0;
+    bool isDue = configuration != m_appliedConfiguration || m_round % kRoundsPerDeadHostRetry == 0;
     if (!isDue)
         return;
-    m_listedConfiguration = configuration;
+    m_appliedConfiguration = configuration;
     std::vector<decisions::PlatformHost> listed;
     for (auto& [name, host] : configuration->platformHosts)
         listed.push_back(host);
@@ -188,22 +188,22 @@
         m_onChange();
 }
 
-void HostsController::noteConfiguration(std::function<void()> then)
+void HostsController::applyHostList(std::function<void()> then)
 {
     asio::post(m_strand, [this, then = std::move(then)] {
-        takePlatformList();
+        applyPlatformHosts();
         then();
     });
 }
 
-void HostsController::beginRound()
+void HostsController::startRound()
 {
     auto seed = decisions::getHash(m_node.settings.name) + m_round;
     publish(decisions::expireHosts(m_membership, m_timings, Clock::now()), "no refutation in time");
-    takePlatformList();
+    applyPlatformHosts();
     for (auto& it : decisions::choosePartners(m_membership, static_cast<size_t>(m_node.settings.partnersPerExchange), seed))
         asio::co_spawn(m_strand, exchangeWith(it), asio::detached);
-    if (m_round % kRoundsPerRevival == 0) {
+    if (m_round % kRoundsPerDeadHostRetry == 0) {
         if (auto dead = decisions::chooseDeadHost(m_membership, seed))
             asio::co_spawn(m_strand, synchronise(*dead), asio::detached);
     }
@@ -214,10 +214,10 @@
 {
     auto reply = co_await send(name, makeRequest(), kExchangeTimeout);
     if (!reply) {
-        co_await probeThroughOthers(name);
+        co_await probeIndirectly(name);
         co_return;
     }
-    takeReply(*reply, name);
+    applyReply(*reply, name);
     bool hostsDiffer = reply->hosts_digest() != decisions::getDigest(m_membership);
     m_hostMismatches = hostsDiffer ? m_hostMismatches + 1 : 0;
     bool recordsDiffer = reply->records_digest() != m_configuration.getDigest();
@@ -227,10 +227,10 @@
     }
 }
 
-void HostsController::takeReply(const peer::ExchangeReply& reply, const std::string& from)
+void HostsController::applyReply(const peer::ExchangeReply& reply, const std::string& from)
 {
-    takeNews(fromMessages(reply.hosts()), from);
-    m_configuration.takeBodies(toVector(reply.bodies()));
+    applyUpdates(fromMessages(reply.hosts()), from);
+    m_configuration.applyBodies(toVector(reply.bodies()));
 }
 
 static void addHosts(auto& message, const decisions::Membership& membership, const decisions::BucketMask& buckets)
@@ -255,37 +255,37 @@
 // bodies that either lacks. So a difference in a few keys costs a few KB, whatever the number of records and hosts.
 asio::awaitable<void> HostsController::synchronise(std::string name)
 {
-    auto question = makeRequest();
-    addBuckets(question);
-    auto reply = co_await send(name, std::move(question), kExchangeTimeout * 2);
+    auto request = makeRequest();
+    addBuckets(request);
+    auto reply = co_await send(name, std::move(request), kExchangeTimeout * 2);
     if (!reply)
         co_return;
     auto hostBuckets = decisions::findDifferingBuckets(decisions::getBucketDigests(m_membership), toSpan(reply->host_buckets()));
     auto recordBuckets = decisions::findDifferingBuckets(m_configuration.getBucketDigests(), toSpan(reply->record_buckets()));
-    takeReply(*reply, name);
-    auto answer = makeRequest();
-    addHosts(answer, m_membership, hostBuckets);
+    applyReply(*reply, name);
+    auto differences = makeRequest();
+    addHosts(differences, m_membership, hostBuckets);
     auto versions = toVector(reply->versions());
-    for (auto& it : m_configuration.getLacking(versions))
-        answer.add_wanted(it);
-    for (auto& it : m_configuration.getNewerBodies(versions, recordBuckets, kBodyBytes))
-        *answer.add_bodies() = it;
-    if (answer.hosts().empty() && answer.wanted().empty() && answer.bodies().empty())
+    for (auto& it : m_configuration.findOutdatedKeys(versions))
+        differences.add_wanted(it);
+    for (auto& it : m_configuration.getNewerBodies(versions, recordBuckets, kMaxBodyBytes))
+        *differences.add_bodies() = it;
+    if (differences.hosts().empty() && differences.wanted().empty() && differences.bodies().empty())
         co_return;
-    auto last = co_await send(name, std::move(answer), kExchangeTimeout * 2);
-    if (last)
-        takeReply(*last, name);
+    auto finalReply = co_await send(name, std::move(differences), kExchangeTimeout * 2);
+    if (finalReply)
+        applyReply(*finalReply, name);
 }
 
-asio::awaitable<void> HostsController::probeThroughOthers(std::string name)
+asio::awaitable<void> HostsController::probeIndirectly(std::string name)
 {
-    auto witnesses = decisions::choosePartners(m_membership, kWitnesses + 1, m_round * 7919);
-    std::erase(witnesses, name);
-    if (witnesses.size() > kWitnesses)
-        witnesses.resize(kWitnesses);
-    size_t asked = 0;
-    size_t silent = 0;
-    for (auto& it : witnesses) {
+    auto probers = decisions::choosePartners(m_membership, kIndirectProbers + 1, m_round * 7919);
+    std::erase(probers, name);
+    if (probers.size() > kIndirectProbers)
+        probers.resize(kIndirectProbers);
+    size_t probeCount = 0;
+    size_t unanswered = 0;
+    for (auto& it : probers) {
         peer::ExchangeRequest request;
         request.set_from(m_node.settings.name);
         request.set_hosts_digest(decisions::getDigest(m_membership));
@@ -294,15 +294,15 @@
         auto reply = co_await send(it, std::move(request), kExchangeTimeout * 3);
         if (!reply)
             continue;
-        ++asked;
+        ++probeCount;
         if (!reply->probe_answered())
-            ++silent;
+            ++unanswered;
         else
             co_return;
     }
     auto* host = decisions::findHost(m_membership, name);
-    if (host && decisions::suspectHost(m_membership, name, silent, asked, Clock::now()))
-        publish({ name }, fmt::format("no answer to us and {} of {} witnesses", silent, asked));
+    if (host && decisions::suspectHost(m_membership, name, unanswered, probeCount, Clock::now()))
+        publish({ name }, fmt::format("no answer to us and {} of {} witnesses", unanswered, probeCount));
 }
 
 // Spawned on the strand: `co_await dispatch(m_strand, use_awaitable)` would come back on the caller's own executor.
@@ -318,14 +318,14 @@
         auto probed = co_await send(request.probe(), makeRequest(), kExchangeTimeout);
         reply.set_probe_answered(probed.has_value());
     }
-    takeNews(fromMessages(request.hosts()), request.from());
+    applyUpdates(fromMessages(request.hosts()), request.from());
     for (auto& it : request.groups()) {
         if (m_onGroupNews)
             m_onGroupNews(it);
     }
-    m_configuration.takeBodies(toVector(request.bodies()));
-    auto mine = decisions::getDigest(m_membership);
-    reply.set_hosts_digest(mine);
+    m_configuration.applyBodies(toVector(request.bodies()));
+    auto hostsDigest = decisions::getDigest(m_membership);
+    reply.set_hosts_digest(hostsDigest);
     reply.set_records_digest(m_configuration.getDigest());
     bool isSynchronising = !request.record_buckets().empty();
     if (isSynchronising) {
@@ -338,8 +338,8 @@
             *reply.add_hosts() = toMessage(it);
     }
     // A sender that is new and knows nothing gets everything with its first exchange.
-    bool isNew = !isSynchronising && request.records_digest() == 0 && m_configuration.getDigest() != 0;
-    auto bodies = isNew ? m_configuration.getNewerBodies({}, kAllBuckets, kBodyBytes) : m_configuration.getBodies(toVector(request.wanted()), kBodyBytes);
+    bool isNewHost = !isSynchronising && request.records_digest() == 0 && m_configuration.getDigest() != 0;
+    auto bodies = isNewHost ? m_configuration.getNewerBodies({}, kAllBuckets, kMaxBodyBytes) : m_configuration.getBodies(toVector(request.wanted()), kMaxBodyBytes);
     for (auto& it : bodies)
         *reply.add_bodies() = it;
     co_return reply;
@@ -347,16 +347,16 @@
 
 asio::awaitable<void> HostsController::announceLeaving()
 {
-    co_await asio::co_spawn(m_strand, tellLeaving(), asio::use_awaitable);
+    co_await asio::co_spawn(m_strand, sendLeaving(), asio::use_awaitable);
 }
 
-asio::awaitable<void> HostsController::tellLeaving()
+asio::awaitable<void> HostsController::sendLeaving()
 {
     auto self = m_membership.hosts[m_node.settings.name].info;
     self.state = HostState::Leaving;
     decisions::setSelfInfo(m_membership, self, Clock::now());
     publish({ self.name }, "planned stop");
-    for (auto& it : decisions::choosePartners(m_membership, kLeavingTold, m_round))
+    for (auto& it : decisions::choosePartners(m_membership, kLeavingRecipients, m_round))
         co_await send(it, makeRequest(), kExchangeTimeout);
 }
 
@@ -366,7 +366,7 @@
     for (auto& it : bodies)
         n += it.value().size();
     // The first load of everything is no news; those who lack it ask for it.
-    if (n > kPushBytes)
+    if (n > kMaxPushBytes)
         return;
     asio::post(m_strand, [this, bodies = std::move(bodies)] {
         // Each host must choose others than its neighbours do, or some hosts are never told.
@@ -381,14 +381,14 @@
     });
 }
 
-void HostsController::checkHost(const std::string& name)
+void HostsController::exchangeNow(const std::string& name)
 {
     asio::co_spawn(
         m_strand, [this, name]() -> asio::awaitable<void> {
-            if (!m_checking.insert(name).second)
+            if (!m_hostsBeingChecked.insert(name).second)
                 co_return;
             co_await exchangeWith(name);
-            m_checking.erase(name);
+            m_hostsBeingChecked.erase(name);
         },
         asio::detached);
 }
--- a/src/controllers/hosts.h
+++ b/src/controllers/hosts.h
@@ -15,7 +15,7 @@
 public:
     HostsController(Node& node, ConfigurationController& configuration, uint64_t incarnation);
 
-    void begin();
+    void start();
     const base::Snapshot<decisions::Membership>& getSnapshot() const { return m_snapshot; }
     // Called on the controller's strand when hosts came, went or changed state.
     void onChange(std::function<void()> callback) { m_onChange = std::move(callback); }
@@ -23,7 +23,7 @@
 
     // Takes in the host list of a new configuration, then calls `then`. A host that has just started would otherwise know
     // groups before it knows other hosts, and take itself for the only home of all of them.
-    void noteConfiguration(std::function<void()> then);
+    void applyHostList(std::function<void()> then);
 
     // Whether this host is one of the watchers of its data centre.
     bool isWatcher() const;
@@ -34,23 +34,23 @@
     // Passes new records on at once to a few partners; they do the same, so that a change spreads in a few hops.
     void pushRecords(std::vector<peer::RecordBody> bodies);
     // A relay to this host got no answer: it is asked at once whether it lives.
-    void checkHost(const std::string& name);
+    void exchangeNow(const std::string& name);
     // Any thread.
     boost::asio::awaitable<peer::ExchangeReply> handleExchange(peer::ExchangeRequest request);
 
 private:
     void checkStrand() const;
     boost::asio::awaitable<peer::ExchangeReply> answerExchange(peer::ExchangeRequest request);
-    boost::asio::awaitable<void> tellLeaving();
-    void beginRound();
-    void takePlatformList();
+    boost::asio::awaitable<void> sendLeaving();
+    void startRound();
+    void applyPlatformHosts();
     boost::asio::awaitable<void> exchangeWith(std::string name);
-    boost::asio::awaitable<void> probeThroughOthers(std::string name);
+    boost::asio::awaitable<void> probeIndirectly(std::string name);
     peer::ExchangeRequest makeRequest();
     void addBuckets(auto& message) const;
-    void takeReply(const peer::ExchangeReply& reply, const std::string& from);
+    void applyReply(const peer::ExchangeReply& reply, const std::string& from);
     boost::asio::awaitable<void> synchronise(std::string name);
-    void takeNews(const std::vector<decisions::HostInfo>& news, const std::string& from);
+    void applyUpdates(const std::vector<decisions::HostInfo>& updates, const std::string& from);
     void publish(const std::vector<std::string>& changed, const std::string& cause);
     boost::asio::awaitable<links::LinkResult<peer::ExchangeReply>> send(std::string name, peer::ExchangeRequest request, base::milliseconds limit);
 
@@ -64,9 +64,9 @@
     std::function<void(const peer::GroupNews&)> m_onGroupNews;
     unsigned m_hostMismatches { 0 }; // exchanges in a row whose host digests differed
     base::TimerSubscription m_rounds;
-    std::shared_ptr<const Configuration> m_listedConfiguration; // whose host list was taken in last
+    std::shared_ptr<const Configuration> m_appliedConfiguration; // whose host list was taken in last
     uint64_t m_round { 0 };
-    std::set<std::string> m_checking; // hosts that checkHost() is asking now
+    std::set<std::string> m_hostsBeingChecked; // hosts that checkHost() is asking now
 };
 
 }
--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -131,9 +131,9 @@
         if (!operators)
             return tl::make_unexpected(operators.error());
         m_operators = std::move(*operators);
-        m_groups.begin();
-        m_hosts.begin();
-        m_configuration.begin([this] { return m_hosts.isWatcher(); });
+        m_groups.start();
+        m_hosts.start();
+        m_configuration.start([this] { return m_hosts.isWatcher(); });
         waitForSignal();
         base::getTimeline().add("started", "", fmt::format("version {} in {}", ALDERWARD_VERSION, m_settings.dataCentre));
         return {};
--- a/src/daemon/operators.cpp
+++ b/src/daemon/operators.cpp
@@ -75,8 +75,8 @@
     json::array members;
     for (size_t i = 0; i < entry.record->members.size(); ++i) {
         auto member = describeMember(entry.record->members[i], status->health.members[i], status->health);
-        if (i < status->open.size()) {
-            member["connections"] = status->open[i];
+        if (i < status->openConnections.size()) {
+            member["connections"] = status->openConnections[i];
             member["inFlightLimit"] = status->limits[i];
         }
         members.push_back(std::move(member));
--- a/src/filters/chain.cpp
+++ b/src/filters/chain.cpp
@@ -126,7 +126,7 @@
     if (!reply.not_home())
         return false;
     base::count(base::Counter::RelaysDeclined);
-    services.hosts.checkHost(name);
+    services.hosts.exchangeNow(name);
     return true;
 }
 
@@ -147,7 +147,7 @@
     auto address = host->peerAddress;
     auto reply = co_await services.node.peers.relay(name, address, std::move(request), remainingTime + kRelayMargin / 2);
     if (!reply) {
-        services.hosts.checkHost(name);
+        services.hosts.exchangeNow(name);
         co_return RelayResult { std::nullopt, reply.error().mayHaveArrived };
     }
     if (isDeclined(services, *reply, name))
