--- a/src/controllers/configuration.cpp
+++ b/src/controllers/configuration.cpp
@@ -14,7 +14,7 @@
 
 static constexpr milliseconds kStoreTimeout { 2000 };
 static constexpr milliseconds kRetryPause { 200 };
-static constexpr milliseconds kWatcherCheckInterval { 500 }; // how often a host looks whether it has become a watcher
+static constexpr milliseconds kWatcherCheckInterval { 500 }; // interval of checking whether this host has become a watcher
 
 static std::vector<std::string> getWatchedPrefixes()
 {
@@ -67,7 +67,7 @@
 
 namespace {
 
-// Collects bodies up to a number of bytes; the first one always fits.
+// Collects bodies up to a limit in bytes. The first body is always added.
 struct BodyList {
     size_t limit { 0 };
     size_t size { 0 };
@@ -135,7 +135,7 @@
     asio::post(m_strand, [this, values = std::move(values)] { applyValues(values, "peer"); });
 }
 
-// ---- taking values in ----
+// ---- applying values ----
 
 void ConfigurationController::applyValues(const decisions::ValueMap& values, const std::string& source)
 {
@@ -191,7 +191,7 @@
         return false;
     }
     auto& current = next.groups[name];
-    base::checkInvariant(value.version > current.version, "a record's version in force went back", name);
+    base::checkInvariant(value.version > current.version, "the version of an active record decreased", name);
     current = { std::make_shared<const decisions::GroupRecord>(std::move(*record)), value.version };
     next.refused.erase(name);
     base::count(base::Counter::RecordsApplied);
@@ -209,11 +209,11 @@
 void ConfigurationController::updatePlatformReachability(bool isReachable)
 {
     if (isReachable != m_isPlatformReachable)
-        base::getTimeline().add(isReachable ? "platform-reachable" : "platform-unreachable", "", "answer to the watch of the records");
+        base::getTimeline().add(isReachable ? "platform-reachable" : "platform-unreachable", "", "result of the record watch");
     m_isPlatformReachable = isReachable;
 }
 
-// A host without records loads them once whether it is a watcher or not: with peers down, too, it can then serve.
+// A host without records loads them once even if it is no watcher, so that it can serve while its peers are down.
 asio::awaitable<void> ConfigurationController::watchForever()
 {
     std::unique_ptr<links::HttpConnection> link;
--- a/src/controllers/group.cpp
+++ b/src/controllers/group.cpp
@@ -16,10 +16,10 @@
 using base::milliseconds;
 using base::TimePoint;
 
-static constexpr milliseconds kTickInterval { 50 }; // answers step the decisions, too; ticks only serve limits of time
-static constexpr milliseconds kPublishInterval { 200 }; // of the status, when nothing changed of note
-static constexpr milliseconds kPathFaultDelay { 600 }; // a replica's word is older than the fault until then
-static constexpr milliseconds kLeavingPrimaryGrace { 2500 }; // a leaving primary takes writes this long, until it is handed over
+static constexpr milliseconds kTickInterval { 50 }; // for timeouts; answers are also applied when they arrive
+static constexpr milliseconds kPublishInterval { 200 }; // of the status, without notable changes
+static constexpr milliseconds kPathFaultDelay { 600 }; // earlier, a replica's report may predate the fault
+static constexpr milliseconds kLeavingPrimaryGrace { 2500 }; // a leaving primary accepts writes for this time, until the handover
 static constexpr auto kUseAwaitable = asio::as_tuple(asio::use_awaitable);
 
 GroupController::GroupController(Node& node, std::string name)
@@ -30,7 +30,7 @@
 {
 }
 
-// ---- role ----
+// ---- configuration ----
 
 void GroupController::setConfiguration(GroupConfiguration configuration)
 {
@@ -84,7 +84,7 @@
         member.confirmTimer = std::make_shared<asio::steady_timer>(m_strand);
         members.push_back(std::move(member));
     }
-    // Statements that wait at a member that is gone look for another one.
+    // Statements that wait for a removed member try another one.
     for (auto& it : m_members)
         it.pool->cancelWaiters();
     m_members = std::move(members);
@@ -122,7 +122,7 @@
 
 void GroupController::handleTick()
 {
-    // A host that is no home any more finishes what it began: writes may still wait for their confirmation.
+    // A host that is no longer a home finishes its requests, as writes may still wait for their confirmation.
     bool isDone = !m_isActive && m_activeRequests == 0 && m_transactions.empty();
     if (isDone) {
         stopLoops();
@@ -149,7 +149,7 @@
     }
 }
 
-// Until a probe is due, which ordinary answers put off, or until somebody cancels the timer.
+// Waits until a probe is due or the timer is cancelled. Piggybacked statuses postpone the probe.
 asio::awaitable<void> GroupController::waitForProbe(size_t index, TimePoint sentAt, uint64_t epoch)
 {
     auto timer = m_members[index].probeTimer;
@@ -175,7 +175,7 @@
     return timings;
 }
 
-// Every answer tells something of its member: a status need be asked only where there was none.
+// Ordinary answers carry a member's status, which saves probes. A status that differs from the last one triggers a probe.
 void GroupController::handlePiggybackedStatus(size_t index, const decisions::PiggybackedStatus& piggybacked, TimePoint askedAt)
 {
     if (index >= m_members.size() || piggybacked.term == 0)
@@ -225,8 +225,8 @@
     });
 }
 
-// The one place where the group's state changes. What comes of it is carried out here; after news of members, statements
-// that wait may go on.
+// The only place that changes the group's state. Performs the resulting actions, and wakes waiting requests after events of
+// members.
 void GroupController::applyEvent(const decisions::GroupEvent& event)
 {
     auto termBefore = m_state.health.term;
@@ -249,14 +249,14 @@
     wakeHealthWaiters();
 }
 
-// Statements that wait at a member that is gone or lost its role look for another.
+// Statements that wait for an unreachable member or a former primary try another member.
 void GroupController::rerouteWaitingStatements(uint64_t termBefore)
 {
     auto& health = m_state.health;
     for (size_t i = 0; i < m_members.size(); ++i) {
         if (!health.members[i].isReachable() || health.primary != i)
             m_members[i].pool->cancelWaiters();
-        // A superseded primary that does not answer will not be waited for: its callers get their answer now.
+        // Statements running on a superseded, unresponsive primary end now instead of at their deadline.
         bool isSuperseded = health.primary && health.primary != i && health.members[i].failures > 0 && health.term > termBefore;
         if (isSuperseded)
             m_members[i].pool->abortLeased();
@@ -282,7 +282,7 @@
 
 // ---- views ----
 
-// We do not reach the primary, but a replica still hears it: another home may reach it.
+// Whether a replica is still in contact with the primary that this host cannot reach. Another home may reach it.
 bool GroupController::isPathFault() const
 {
     if (!m_state.health.primary || m_state.health.members[*m_state.health.primary].failures == 0)
--- a/src/controllers/group.h
+++ b/src/controllers/group.h
@@ -1,7 +1,6 @@
-// One database group at one of its homes: probes, failover, confirmation of writes, connections, transactions.
+// One database group at one of its homes: probes, failover, confirmation of writes, connections and transactions.
 // Everything runs on the group's strand; run() may be called from any coroutine.
-// The parts live in group.cpp (life, status), group_failover.cpp (arbitration), group_confirm.cpp (confirmation) and
-// group_statements.cpp and group_transactions.cpp (what callers asked for).
+// Sources: group.cpp (configuration, probes, status), group_failover.cpp, group_confirm.cpp, group_statements.cpp, group_transactions.cpp.
 #pragma once
 #include "base/snapshot.h"
 #include "controllers/node.h"
@@ -19,10 +18,10 @@
 
 namespace alderward::controllers {
 
-// Without statements for so long, a group is probed less often.
+// A group without requests for this time is probed less often.
 inline constexpr base::milliseconds kGroupIdleTimeout { 5000 };
 
-inline constexpr base::milliseconds kRetryAfter { 500 }; // told to callers while a primary is being replaced
+inline constexpr base::milliseconds kRetryAfter { 500 }; // retry-after time while a primary is being replaced
 
 enum class Operation { Execute,
     Begin,
@@ -30,7 +29,7 @@
     Rollback,
     Settle };
 
-// A checked request of a caller, on its way to the group.
+// A validated request of a caller to the group.
 struct GroupRequest {
     Operation operation { Operation::Execute };
     bool isWrite { false };
@@ -39,26 +38,26 @@
     std::string parameters {}; // JSON array, or empty
     std::string requestKey {}; // empty: none
     std::string transaction {}; // empty: none
-    decisions::Mark mark {}; // what the session has seen of this group
+    decisions::Mark mark {}; // newest log entry of this group that the session has seen
     std::optional<base::milliseconds> maximumAge {}; // reads
     base::TimePoint deadline {};
 };
 
 inline bool isDue(base::TimePoint deadline) { return base::Clock::now() >= deadline; }
 
-// What came of it.
+// The result of a successful request.
 struct Outcome {
     std::string result { "null" }; // JSON
-    decisions::Mark mark {}; // what the session has seen now
+    decisions::Mark mark {}; // newest log entry that the session has seen after the request
     std::string member {};
     decisions::Role role { decisions::Role::Primary };
-    std::optional<base::milliseconds> age {}; // upper bound, reads
+    std::optional<base::milliseconds> age {}; // upper bound of the staleness, for reads
     bool wasReplayed { false };
-    bool didRun { true }; // settle: false means that the key is closed as not run
-    std::string transaction {}; // begin: its name
+    bool didRun { true }; // settle: false if the write did not run and its request key is now closed
+    std::string transaction {}; // begin: name of the new transaction
 };
 
-// What the record, the membership and the platform's list say of a group at this host.
+// A group's configuration at this host, from its record, the membership and the platform's host list.
 struct GroupConfiguration {
     std::shared_ptr<const decisions::GroupRecord> record {};
     uint64_t version { 0 };
@@ -67,33 +66,33 @@
     std::vector<bool> isLeaving {}; // by member
 };
 
-// For /status, published on every change of health.
+// The status for /status and the request chain, published on changes of health and periodically.
 struct GroupStatus {
     decisions::GroupHealth health {};
     decisions::FailoverState failover {};
-    std::vector<unsigned> openConnections {}; // connections by member
-    std::vector<unsigned> limits {}; // adaptive limit by member
+    std::vector<unsigned> openConnections {}; // by member
+    std::vector<unsigned> limits {}; // adaptive concurrency limit by member
     size_t waiting { 0 };
     size_t transactions { 0 };
     bool isActive { false };
-    bool isPathFault { false }; // the primary lives, but we do not reach it
+    bool isPathFault { false }; // the primary is alive but unreachable from this host
 };
 
 class GroupController : public std::enable_shared_from_this<GroupController> {
 public:
     GroupController(Node& node, std::string name);
 
-    // Takes up or lays down the work of a home, and follows changes of the record. Any thread.
+    // Applies a change of the record, the homes or the leaving members; starts or stops serving as a home. Any thread.
     void setConfiguration(GroupConfiguration configuration);
-    // Tells the other homes; set once, before setRole().
+    // Sets the callback that notifies the other homes of a new primary. Called on the strand; set once, before setConfiguration().
     void onPrimaryAnnounced(std::function<void(const peer::GroupNews&)> callback) { m_onPrimaryAnnounced = std::move(callback); }
-    // A peer says that the group has a new primary: the members are asked at once.
+    // Probes all members immediately if a peer reports a newer term. Any thread.
     void handleGroupNews(const peer::GroupNews& news);
-    // Serves one order. Switches to the group's strand by itself.
+    // Serves one request on the group's strand. Any thread.
     boost::asio::awaitable<decisions::Result<Outcome>> run(GroupRequest request);
     const base::Snapshot<GroupStatus>& getStatus() const { return m_status; }
     size_t getOpenTransactions() const { return m_openTransactions.load(); }
-    // Events and decisions since this host became a home, if [debug] trace_events asks for them.
+    // The first events and actions of the group at this host, if [debug] trace_events is set.
     std::string getTrace() const { return m_trace.getText(); }
 
 private:
@@ -101,17 +100,17 @@
     struct Member {
         decisions::MemberRecord record;
         std::shared_ptr<Pool> pool;
-        decisions::ConfirmationReply confirmationReply; // newest answer to a confirmation question
+        decisions::ConfirmationReply confirmationReply; // last reply to a confirmation question
         uint64_t knownPosition { 0 }; // newest position seen in term knownTerm
         uint64_t knownTerm { 0 };
-        std::shared_ptr<boost::asio::steady_timer> probeTimer; // cancelled to probe at once
-        std::shared_ptr<boost::asio::steady_timer> confirmTimer; // cancelled when a write waits
-        base::TimePoint followSentAt {}; // last repair, see repairFollowers()
+        std::shared_ptr<boost::asio::steady_timer> probeTimer; // cancelled to probe immediately
+        std::shared_ptr<boost::asio::steady_timer> confirmTimer; // cancelled when a write needs a confirmation
+        base::TimePoint followSentAt {}; // last follow order sent by resendFollows()
         base::TimePoint leavingSince {}; // meaningful while the member is leaving
     };
-    struct PendingConfirmation { // a write that ran and waits for its confirmation
+    struct PendingConfirmation { // of a write that has run
         decisions::PendingWrite write;
-        std::string primary; // the member that ran it: its vote is counted already and must not count twice
+        std::string primary; // the member that ran the write: its vote is already counted
         decisions::Confirmation answer { decisions::Confirmation::Pending };
         std::shared_ptr<boost::asio::steady_timer> timer;
     };
@@ -124,7 +123,7 @@
         base::TimePoint lastUsedAt {};
     };
 
-    // ---- life ----
+    // ---- configuration, probes and status ----
     void applyConfiguration(GroupConfiguration configuration);
     void rebuildMembers(const GroupConfiguration& configuration);
     void startLoops();
@@ -190,23 +189,23 @@
     std::function<void(const peer::GroupNews&)> m_onPrimaryAnnounced;
     GroupConfiguration m_configuration;
     std::vector<Member> m_members;
-    decisions::GroupState m_state; // changed by takeEvent() only
+    decisions::GroupState m_state; // changed only by applyEvent()
     TraceRecorder m_trace;
     decisions::RetryBudget m_retryBudget;
-    std::list<PendingConfirmation*> m_pendingConfirmations; // writes that wait for confirmation
-    std::list<boost::asio::steady_timer*> m_healthWaiters; // requests that wait for a change of health
+    std::list<PendingConfirmation*> m_pendingConfirmations; // owned by confirm()
+    std::list<boost::asio::steady_timer*> m_healthWaiters; // timers of requests that wait for a change of health
     std::map<std::string, std::shared_ptr<Transaction>> m_transactions;
     std::atomic<size_t> m_openTransactions { 0 };
     base::Snapshot<GroupStatus> m_status;
     base::TimerSubscription m_tick;
     base::TimePoint m_statusPublishedAt {};
-    uint64_t m_epoch { 0 }; // raised when work begins or ends: loops of older epochs stop
-    bool m_isActive { false }; // a home: takes new orders
-    bool m_isRunning { false }; // loops are running; outlives m_isActive until all orders are done
-    size_t m_activeRequests { 0 }; // orders being served
-    base::TimePoint m_lastRequestAt {}; // when the last order began
-    size_t m_heldWrites { 0 }; // writes held while there is no primary
-    uint64_t m_acknowledgedTerm { 0 }; // invariant: never acknowledge in a term below one acknowledged in
+    uint64_t m_epoch { 0 }; // incremented when loops start or stop: loops of older epochs end
+    bool m_isActive { false }; // this host is a home and accepts new requests
+    bool m_isRunning { false }; // loops run; stays set after m_isActive until all requests are done
+    size_t m_activeRequests { 0 }; // requests being served
+    base::TimePoint m_lastRequestAt {}; // start of the last request
+    size_t m_heldWrites { 0 }; // writes held until a primary is available
+    uint64_t m_acknowledgedTerm { 0 }; // newest term of an acknowledged write; no write of an older term may be acknowledged
 };
 
 }
--- a/src/controllers/group_confirm.cpp
+++ b/src/controllers/group_confirm.cpp
@@ -1,5 +1,5 @@
-// Confirmation: a write is acknowledged only after a majority, asked after it ran, still stood in its term (and, with
-// acknowledge = replicated, holds its position). One answer of a member serves every write that waits for it.
+// Confirmation: a write is acknowledged only after a majority, queried after it ran, is still in its term (and, with
+// acknowledge = replicated, holds its log entry). One reply of a member may confirm several writes.
 #include "base/metrics.h"
 #include "base/timeline.h"
 #include "controllers/group.h"
@@ -15,8 +15,8 @@
 using base::TimePoint;
 using decisions::Confirmation;
 
-static constexpr milliseconds kMaxPositionWait { 50 }; // how long a member may hold a question back
-static constexpr milliseconds kPositionReplyTimeout { 350 }; // then it counts as not answered
+static constexpr milliseconds kMaxPositionWait { 50 }; // how long a member may wait for the position before it replies
+static constexpr milliseconds kPositionReplyTimeout { 350 }; // then the query has failed
 static constexpr milliseconds kRetryPause { 20 };
 static constexpr auto kUseAwaitable = asio::as_tuple(asio::use_awaitable);
 
@@ -45,8 +45,8 @@
     return isInTerm && (it.position >= write.mark.position || (!write.needsPosition && it.askedAt >= write.ranAt));
 }
 
-// The lowest position that some write still needs from this member: it comes first, and its answer tells how far the
-// member has come, which often covers the others.
+// The lowest position that a write still needs from this member. The member reaches it first, and its reply often covers
+// higher positions as well.
 std::optional<decisions::Mark> GroupController::getAwaitedMark(size_t index) const
 {
     std::optional<decisions::Mark> awaited;
--- a/src/controllers/group_failover.cpp
+++ b/src/controllers/group_failover.cpp
@@ -1,4 +1,4 @@
-// Arbitration: carries out what decisions/failover.h says, and feeds the answers back.
+// Failover: performs the actions that decisions/failover.h chooses, and applies the answers as events.
 #include "base/metrics.h"
 #include "base/timeline.h"
 #include "controllers/group.h"
@@ -16,10 +16,10 @@
 using base::milliseconds;
 using base::TimePoint;
 
-static constexpr milliseconds kControlTimeout { 300 }; // for fence, promote and follow
-static constexpr milliseconds kMinFollowInterval { 300 }; // between two repairs of one member
+static constexpr milliseconds kControlTimeout { 300 }; // for fence, promote and follow requests
+static constexpr milliseconds kMinFollowInterval { 300 }; // between two follow requests to one member
 static constexpr milliseconds kDeferredClaimPause { 1000 };
-static constexpr unsigned kMaxDeferredClaimAttempts = 600; // ten minutes of outage; then the next promotion's claim shows the term
+static constexpr unsigned kMaxDeferredClaimAttempts = 600; // the claim of the next promotion replaces one that is given up
 
 void GroupController::performAction(const decisions::FailoverAction& action)
 {
@@ -40,7 +40,7 @@
     }
 }
 
-// ---- messages to members: each on a connection of its own, so that none waits behind a probe ----
+// ---- requests to members, each on its own connection so that none waits for a probe ----
 
 static asio::awaitable<std::unique_ptr<links::HttpConnection>> openControlConnection(asio::any_io_executor executor, std::string address, TimePoint deadline)
 {
@@ -95,7 +95,7 @@
         m_members[action.member].probeTimer->cancel();
 }
 
-// A member that was away during a promotion is told when it comes back. This finishes the promotion; it is no new one.
+// Completes a promotion for members that were unreachable during it.
 void GroupController::resendFollows()
 {
     if (m_state.failover.phase != decisions::FailoverPhase::Idle)
@@ -141,7 +141,7 @@
         applyEvent(decisions::FailoverEvent { answer });
 }
 
-// Reads before it writes, so an answer lost after the swap took effect is found out at the next try.
+// Reads before it writes, so that a retry detects a swap whose answer was lost.
 asio::awaitable<decisions::ClaimAnswered> GroupController::tryClaim(uint64_t term, TimePoint deadline)
 {
     decisions::ClaimAnswered event { term, decisions::ClaimOutcome::Unavailable, 0 };
@@ -165,7 +165,7 @@
     co_return event;
 }
 
-// In an outage the fence alone decided: the claim follows when the store is back, unless a later one stands there.
+// After a promotion decided by fencing alone during an outage of the store, writes the claim unless a newer one is stored.
 asio::awaitable<void> GroupController::writeDeferredClaim(uint64_t term)
 {
     auto self = shared_from_this();
--- a/src/controllers/group_statements.cpp
+++ b/src/controllers/group_statements.cpp
@@ -1,4 +1,4 @@
-// What callers asked for: reads, writes and settlements, on the group's strand. Transactions: group_transactions.cpp.
+// Reads, writes and settlements of callers, on the group's strand. Transactions: group_transactions.cpp.
 #include "base/metrics.h"
 #include "base/random.h"
 #include "base/timeline.h"
@@ -21,11 +21,11 @@
 using decisions::Result;
 using decisions::RouteKind;
 
-static constexpr milliseconds kMaxReroutePause { 50 }; // longest wait before a route is looked up again
-static constexpr milliseconds kMaxFreshnessWait { 300 }; // how long a read waits for a fresh enough member to appear
-static constexpr milliseconds kReplyMargin { 5 }; // kept back from the deadline for the answer's way home
+static constexpr milliseconds kMaxReroutePause { 50 }; // maximum time before a request is routed again
+static constexpr milliseconds kMaxFreshnessWait { 300 }; // how long a read waits for a sufficiently fresh member
+static constexpr milliseconds kReplyMargin { 5 }; // part of the deadline reserved for the reply to the caller
 
-// After a refusal the connection is as good as before; after anything else a late answer could still come on it.
+// A refusal leaves the connection usable. After any other failure, a late answer could still arrive on it.
 static void releaseAfterFailure(Lease& lease, const links::TargetFailure& failure)
 {
     if (failure.refusal)
@@ -50,7 +50,7 @@
     co_return outcome;
 }
 
-// After an idle time this home knows the group as it was up to a second ago: the members are asked beside the order.
+// After an idle time the known state of the group may be outdated, so the members are probed alongside the request.
 void GroupController::refreshAfterIdle()
 {
     auto now = Clock::now();
@@ -64,7 +64,7 @@
     if (!request.transaction.empty())
         co_return co_await runInTransaction(std::move(request));
     if (!m_isActive)
-        co_return fail(ErrorKind::Draining, "this host is not a home of the group any more", kRetryAfter);
+        co_return fail(ErrorKind::Draining, "this host is no longer a home of the group", kRetryAfter);
     if (request.operation == Operation::Begin)
         co_return co_await runBegin(std::move(request));
     bool isWrite = request.isWrite || request.operation == Operation::Settle;
@@ -79,13 +79,13 @@
 {
     switch (reason) {
     case ErrorKind::TooStale:
-        return "no reachable member is fresh enough";
+        return "no reachable member is within the maximum age";
     case ErrorKind::NotCaughtUp:
-        return "the session is ahead of every reachable member";
+        return "no reachable member has caught up with the session";
     case ErrorKind::SessionWritesLost:
-        return "a change of primary lost writes that this session had seen; a session without the token starts anew";
+        return "a change of primary lost writes that this session had seen; continue with the returned token or without one";
     default:
-        return "no member that could serve this is reachable";
+        return "no member that can serve the request is reachable";
     }
 }
 
@@ -106,7 +106,7 @@
             continue;
         }
         auto outcome = co_await tryRead(request, route);
-        // A read that did not come through may go elsewhere: reads change nothing.
+        // A failed read may be repeated at another member, because it changes nothing.
         bool isWorthRetrying = !outcome && (outcome.error().kind == ErrorKind::NoPrimary || outcome.error().kind == ErrorKind::NotCaughtUp || outcome.error().kind == ErrorKind::OutcomeUnknown);
         if (!isWorthRetrying || isDue(request.deadline)) {
             if (outcome)
@@ -150,7 +150,7 @@
         co_return fail(ErrorKind::OutcomeUnknown, "the record changed during the read");
     updateKnownPosition(index, answer->mark);
     handlePiggybackedStatus(index, answer->glimpse, sentAt);
-    base::checkInvariant(answer->mark.term >= request.mark.term, "a read was answered from before what its session saw", m_name);
+    base::checkInvariant(answer->mark.term >= request.mark.term, "a read was answered from an older term than its session has seen", m_name);
     Outcome outcome;
     outcome.result = std::move(answer->result);
     outcome.mark = std::max(request.mark, answer->mark);
@@ -161,8 +161,8 @@
     co_return co_await checkStaleness(request, std::move(outcome), index, sentAt);
 }
 
-// A read with a stated age is answered only if the bound holds at the end. The primary of a term that a majority still
-// confirms, asked after the read was sent, was up to date when it read.
+// Answers a read with a maximum age only if the bound holds at its end. A primary whose term a majority confirms after the
+// read was sent was up to date when it ran the read.
 asio::awaitable<Result<Outcome>> GroupController::checkStaleness(const GroupRequest& request, Outcome outcome, size_t member, TimePoint sentAt)
 {
     if (!request.maximumAge || (outcome.age && *outcome.age <= *request.maximumAge))
@@ -179,7 +179,7 @@
 
 // ---- writes ----
 
-// A write may be held while a promotion can still come; otherwise the caller gets its final answer now.
+// Whether a write may wait for a primary. If not, it fails immediately.
 bool GroupController::canHoldWrites() const
 {
     decisions::WriteHoldConditions conditions { m_state.health };
@@ -194,7 +194,7 @@
     return decisions::canHoldWrite(conditions, Clock::now());
 }
 
-// Waits for a primary. An error ends the order, nothing having been sent.
+// Waits for a change that may bring a primary. An error ends the request; nothing was sent.
 asio::awaitable<std::optional<decisions::Error>> GroupController::holdWrite(const GroupRequest& request, const decisions::Route& route)
 {
     if (route.kind == RouteKind::Refuse)
@@ -211,7 +211,7 @@
     co_return std::nullopt;
 }
 
-// The primary as it is known now, waited for as long as one can come.
+// Returns the known primary, or waits for one while a promotion is possible.
 asio::awaitable<Result<size_t>> GroupController::findPrimary(const GroupRequest& request)
 {
     for (;;) {
@@ -235,7 +235,7 @@
             co_return outcome;
         }
         auto kind = outcome.error().kind;
-        bool didNotRun = kind == ErrorKind::NoPrimary; // the member is not the primary any more, or is gone
+        bool didNotRun = kind == ErrorKind::NoPrimary; // the member was unreachable or is not the primary
         bool canRepeat = kind == ErrorKind::OutcomeUnknown && request.isRepeatable;
         if ((!didNotRun && !canRepeat) || isDue(request.deadline))
             co_return outcome;
@@ -286,7 +286,7 @@
 
 asio::awaitable<Result<Outcome>> GroupController::acknowledge(const GroupRequest& request, Outcome outcome, TimePoint ranAt)
 {
-    // A settlement must survive a promotion in any mode, or "not run" would not be final.
+    // A settlement must survive a promotion in any mode. Otherwise "not run" would not be final.
     bool mustReplicate = m_configuration.record->acknowledge == decisions::Acknowledge::Replicated || request.operation == Operation::Settle;
     decisions::PendingWrite write { outcome.mark, ranAt, mustReplicate };
     auto answer = co_await confirm(write, outcome.member, request.deadline);
@@ -299,11 +299,11 @@
         co_return outcome;
     }
     if (answer == Confirmation::Superseded)
-        co_return fail(ErrorKind::OutcomeUnknown, "the primary that ran it was superseded", kRetryAfter);
-    co_return fail(ErrorKind::OutcomeUnknown, "it ran, but a majority did not confirm it in time", kRetryAfter);
+        co_return fail(ErrorKind::OutcomeUnknown, "the primary that ran the write was superseded", kRetryAfter);
+    co_return fail(ErrorKind::OutcomeUnknown, "the write ran, but a majority did not confirm it in time", kRetryAfter);
 }
 
-// Turns a failure at a member into an answer, and into knowledge about the member.
+// Converts a member's failure into an error, and probes members whose state may have changed.
 Result<Outcome> GroupController::handleTargetFailure(const links::TargetFailure& failure, size_t member)
 {
     if (!failure.refusal) {
@@ -311,7 +311,7 @@
             m_members[member].probeTimer->cancel();
         if (!failure.link.mayHaveArrived)
             return fail(ErrorKind::NoPrimary, failure.link.reason, kRetryAfter);
-        return fail(ErrorKind::OutcomeUnknown, "sent, but no answer came: " + failure.link.reason, kRetryAfter);
+        return fail(ErrorKind::OutcomeUnknown, "the request was sent but not answered: " + failure.link.reason, kRetryAfter);
     }
     auto& refusal = *failure.refusal;
     switch (refusal.kind) {
@@ -324,7 +324,7 @@
     case links::RefusalKind::KeyClosed:
         return fail(ErrorKind::KeyClosed, "the request key was settled as not run");
     case links::RefusalKind::Connections:
-        return fail(ErrorKind::Overloaded, "the member takes no more connections", decisions::jitterRetryAfter(kRetryAfter, base::getRandom()));
+        return fail(ErrorKind::Overloaded, "the member accepts no more connections", decisions::jitterRetryAfter(kRetryAfter, base::getRandom()));
     case links::RefusalKind::Transaction:
         return fail(ErrorKind::TransactionUnknown, refusal.message);
     default:
--- a/src/controllers/group_transactions.cpp
+++ b/src/controllers/group_transactions.cpp
@@ -1,4 +1,4 @@
-// Transactions of callers: each keeps a connection until it ends, on the group's strand.
+// Transactions of callers, on the group's strand. Each holds a connection until it ends.
 #include "base/metrics.h"
 #include "controllers/group.h"
 #include <boost/asio/use_awaitable.hpp>
@@ -35,7 +35,7 @@
         if (!answer) {
             lease->discard();
             auto failure = handleTargetFailure(answer.error(), *primary);
-            // A begin without an answer has changed nothing that lasts: its connection is closed, which rolls it back.
+            // Closing the connection rolls back a transaction whose begin was not answered, so begin can be repeated.
             if (isDue(request.deadline))
                 co_return fail(ErrorKind::NoPrimary, failure.error().message, kRetryAfter);
             co_await waitForHealthChange(std::min(request.deadline, Clock::now() + milliseconds(10)));
@@ -79,7 +79,7 @@
 {
     auto it = m_transactions.find(request.transaction);
     if (it == m_transactions.end())
-        co_return fail(ErrorKind::TransactionUnknown, "the transaction ended, or the host that held it is gone: it was rolled back");
+        co_return fail(ErrorKind::TransactionUnknown, "the transaction has ended, or it was rolled back because its host stopped");
     auto transaction = it->second;
     if (transaction->isBusy)
         co_return fail(ErrorKind::TransactionUnknown, "another statement of this transaction is running");
@@ -96,11 +96,11 @@
         endTransaction(request.transaction, !isLost);
     if (!answer) {
         auto failure = handleTargetFailure(answer.error(), transaction->member);
-        // Before its commit a transaction has changed nothing; a lost connection rolls it back.
+        // A lost connection rolls back a transaction that has not been committed.
         if (request.operation != Operation::Commit && isLost)
-            co_return fail(ErrorKind::TransactionUnknown, "the connection was lost: the transaction is rolled back");
+            co_return fail(ErrorKind::TransactionUnknown, "the transaction was rolled back because its connection was lost");
         if (failure.error().kind == ErrorKind::NoPrimary)
-            co_return fail(ErrorKind::TransactionUnknown, "the primary was superseded: the transaction is rolled back");
+            co_return fail(ErrorKind::TransactionUnknown, "the transaction was rolled back because its primary was superseded");
         co_return failure;
     }
     Outcome outcome;
@@ -127,7 +127,7 @@
     --m_openTransactions;
 }
 
-// An idle transaction holds a scarce connection: closing it rolls it back at the member.
+// Closes the connections of idle transactions, which rolls them back at the member.
 void GroupController::expireTransactions()
 {
     auto limit = milliseconds(m_node.settings.transactionIdleMs);
--- a/src/controllers/groups.cpp
+++ b/src/controllers/groups.cpp
@@ -47,7 +47,7 @@
         auto* host = decisions::findHost(membership, it);
         return host && host->dataCentre == m_node.settings.dataCentre;
     });
-    // A suspect may still be the only home that is left, so it stays in, at the end.
+    // Suspects stay in the list, because one of them may be the only remaining home.
     std::ranges::stable_partition(sorted, [&](const std::string& it) {
         auto* host = decisions::findHost(membership, it);
         return host && host->state == decisions::HostState::Alive;
--- a/src/controllers/groups.h
+++ b/src/controllers/groups.h
@@ -1,5 +1,5 @@
-// Groups controller: one table of all groups for request threads, and a GroupController for each group that this host is
-// or was a home of. Recomputed when records, hosts or the platform's list change.
+// Maintains a table of all groups for request threads, and a GroupController for each group that this host is or was a home
+// of. Both are updated when records, hosts or the platform's list change.
 #pragma once
 #include "base/snapshot.h"
 #include "controllers/configuration.h"
@@ -16,10 +16,10 @@
 struct GroupEntry {
     std::shared_ptr<const decisions::GroupRecord> record {};
     uint64_t version { 0 };
-    std::vector<std::string> homes {}; // as chosen
-    std::vector<std::string> relayOrder {}; // homes other than this host, those of its data centre first
+    std::vector<std::string> homes {}; // best first
+    std::vector<std::string> relayOrder {}; // other homes: live ones before suspects, then those of this data centre first
     bool isHome { false };
-    std::shared_ptr<GroupController> controller {}; // empty: never was a home
+    std::shared_ptr<GroupController> controller {}; // empty: this host has never been a home
 };
 
 using GroupTable = std::map<std::string, GroupEntry>;
--- a/src/controllers/hosts.cpp
+++ b/src/controllers/hosts.cpp
@@ -17,18 +17,18 @@
 using decisions::HostState;
 
 static constexpr milliseconds kExchangeTimeout { 400 };
-static constexpr size_t kIndirectProbers = 2; // others that are asked to probe a silent host
-static constexpr unsigned kMismatchesBeforeSync = 4; // news still on its way explains fewer
-static constexpr size_t kMaxBodyBytes = 256 * 1024; // record bodies in one message at most
-static constexpr size_t kPushPartners = 4; // hosts that a new record is passed on to at once
-static constexpr size_t kMaxPushBytes = 64 * 1024; // more than this is left to the exchanges
-static constexpr uint64_t kRoundsPerDeadHostRetry = 10; // a dead host is tried again every so many rounds
+static constexpr size_t kIndirectProbers = 2; // hosts that are asked to probe an unresponsive host
+static constexpr unsigned kMismatchesBeforeSync = 4; // fewer mismatches may come from updates still in transit
+static constexpr size_t kMaxBodyBytes = 256 * 1024; // record bodies in one message
+static constexpr size_t kPushPartners = 4; // hosts to which a new record is sent immediately
+static constexpr size_t kMaxPushBytes = 64 * 1024; // larger sets of records spread by regular exchanges
+static constexpr uint64_t kRoundsPerDeadHostRetry = 10; // exchange rounds between attempts to reach a dead host
 static constexpr decisions::BucketMask kAllBuckets = [] {
     decisions::BucketMask all {};
     all.fill(true);
     return all;
 }();
-static constexpr size_t kLeavingRecipients = 4; // peers told at once of our leaving
+static constexpr size_t kLeavingRecipients = 4; // peers notified that this host is leaving
 
 static peer::HostNews toMessage(const HostInfo& info)
 {
@@ -97,10 +97,10 @@
     return std::find(ranked.begin(), ranked.begin() + static_cast<std::ptrdiff_t>(count), m_node.settings.name) != ranked.begin() + static_cast<std::ptrdiff_t>(count);
 }
 
-// The membership has no lock of its own.
+// The membership has no lock and is only accessed on the strand.
 void HostsController::checkStrand() const
 {
-    base::checkInvariant(m_strand.running_in_this_thread(), "the membership was touched off its strand", "");
+    base::checkInvariant(m_strand.running_in_this_thread(), "the membership was accessed outside its strand", "");
 }
 
 void HostsController::publish(const std::vector<std::string>& changed, const std::string& cause)
@@ -121,7 +121,7 @@
 void HostsController::applyUpdates(const std::vector<HostInfo>& updates, const std::string& from)
 {
     checkStrand();
-    publish(decisions::applyHostUpdates(m_membership, updates, Clock::now()), "news from " + from);
+    publish(decisions::applyHostUpdates(m_membership, updates, Clock::now()), "update from " + from);
 }
 
 peer::ExchangeRequest HostsController::makeRequest()
@@ -136,7 +136,7 @@
     return request;
 }
 
-// Payload of one message, in all and by purpose. What is left over are digests, names and clocks.
+// Counts the payload of a message, in total and by purpose. The remainder consists of digests, names and clocks.
 template <typename Message>
 static void countBytes(const Message& message)
 {
@@ -167,7 +167,7 @@
     co_return reply;
 }
 
-// Hosts that only the platform's list knows are worth talking to; what they say of themselves wins over the list.
+// Adds hosts that are known only from the platform's list. What a host reports of itself takes precedence over the list.
 void HostsController::applyPlatformHosts()
 {
     checkStrand();
@@ -242,7 +242,7 @@
     }
 }
 
-// Adds the digests by parts of what this host knows.
+// Adds the digests of all buckets.
 void HostsController::addBuckets(auto& message) const
 {
     for (auto it : decisions::getBucketDigests(m_membership))
@@ -251,8 +251,8 @@
         message.add_record_buckets(it);
 }
 
-// Two exchanges: the first finds the parts that differ and brings the other's side of them, the second brings ours, and the
-// bodies that either lacks. So a difference in a few keys costs a few KB, whatever the number of records and hosts.
+// Anti-entropy in two exchanges. The first finds the buckets that differ and fetches their remote contents; the second sends
+// the local contents and requests missing bodies. The cost depends on the number of differing buckets, not of all keys.
 asio::awaitable<void> HostsController::synchronise(std::string name)
 {
     auto request = makeRequest();
@@ -302,10 +302,10 @@
     }
     auto* host = decisions::findHost(m_membership, name);
     if (host && decisions::suspectHost(m_membership, name, unanswered, probeCount, Clock::now()))
-        publish({ name }, fmt::format("no answer to us and {} of {} witnesses", unanswered, probeCount));
+        publish({ name }, fmt::format("no answer to this host and {} of {} others", unanswered, probeCount));
 }
 
-// Spawned on the strand: `co_await dispatch(m_strand, use_awaitable)` would come back on the caller's own executor.
+// Spawned on the strand, because `co_await dispatch(m_strand, use_awaitable)` would resume on the caller's executor.
 asio::awaitable<peer::ExchangeReply> HostsController::handleExchange(peer::ExchangeRequest request)
 {
     co_return co_await asio::co_spawn(m_strand, answerExchange(std::move(request)), asio::use_awaitable);
@@ -337,7 +337,7 @@
         for (auto& it : decisions::takeUpdatesToSend(m_membership, m_timings))
             *reply.add_hosts() = toMessage(it);
     }
-    // A sender that is new and knows nothing gets everything with its first exchange.
+    // A new host without records receives all of them with its first exchange.
     bool isNewHost = !isSynchronising && request.records_digest() == 0 && m_configuration.getDigest() != 0;
     auto bodies = isNewHost ? m_configuration.getNewerBodies({}, kAllBuckets, kMaxBodyBytes) : m_configuration.getBodies(toVector(request.wanted()), kMaxBodyBytes);
     for (auto& it : bodies)
@@ -365,11 +365,11 @@
     size_t n = 0;
     for (auto& it : bodies)
         n += it.value().size();
-    // The first load of everything is no news; those who lack it ask for it.
+    // The initial load is not pushed. Hosts that lack records request them.
     if (n > kMaxPushBytes)
         return;
     asio::post(m_strand, [this, bodies = std::move(bodies)] {
-        // Each host must choose others than its neighbours do, or some hosts are never told.
+        // The seed differs by host: if all chose the same partners, some hosts would not be reached.
         auto seed = decisions::getHash(m_node.settings.name + bodies.front().key(), bodies.front().version());
         for (auto& name : decisions::choosePartners(m_membership, kPushPartners, seed)) {
             auto request = makeRequest();
--- a/src/controllers/hosts.h
+++ b/src/controllers/hosts.h
@@ -1,5 +1,5 @@
-// Hosts controller: which hosts are alive, by exchange with a fixed number of partners a second. The same exchange
-// carries digests of the records, and bodies only where a digest differed.
+// Gossip membership: hosts exchange their state with a fixed number of partners per interval. The exchanges also carry
+// digests of the records, and record bodies where the digests differ.
 #pragma once
 #include "base/snapshot.h"
 #include "controllers/configuration.h"
@@ -17,23 +17,23 @@
 
     void start();
     const base::Snapshot<decisions::Membership>& getSnapshot() const { return m_snapshot; }
-    // Called on the controller's strand when hosts came, went or changed state.
+    // Called on the controller's strand when hosts were added or changed their state.
     void onChange(std::function<void()> callback) { m_onChange = std::move(callback); }
     void onGroupNews(std::function<void(const peer::GroupNews&)> callback) { m_onGroupNews = std::move(callback); }
 
-    // Takes in the host list of a new configuration, then calls `then`. A host that has just started would otherwise know
-    // groups before it knows other hosts, and take itself for the only home of all of them.
+    // Applies the host list of a new configuration, then calls `then`. Without it, a host that has just started would know
+    // groups but no other hosts, and consider itself the only home of each group.
     void applyHostList(std::function<void()> then);
 
-    // Whether this host is one of the watchers of its data centre.
+    // Whether this host watches the platform for its data centre.
     bool isWatcher() const;
-    // Tells some peers at once that we are leaving; the rest hear it from them.
+    // Notifies some peers immediately that this host is leaving. They notify the others.
     boost::asio::awaitable<void> announceLeaving();
-    // Tells the named hosts at once about a group's new primary.
+    // Notifies these hosts immediately of a group's new primary.
     void sendGroupNews(const std::vector<std::string>& hosts, const peer::GroupNews& news);
-    // Passes new records on at once to a few partners; they do the same, so that a change spreads in a few hops.
+    // Sends new records immediately to a few partners, which do the same.
     void pushRecords(std::vector<peer::RecordBody> bodies);
-    // A relay to this host got no answer: it is asked at once whether it lives.
+    // Starts an exchange with this host outside the regular rounds, e.g. after a relay to it failed or was declined.
     void exchangeNow(const std::string& name);
     // Any thread.
     boost::asio::awaitable<peer::ExchangeReply> handleExchange(peer::ExchangeRequest request);
@@ -62,11 +62,11 @@
     base::Snapshot<decisions::Membership> m_snapshot;
     std::function<void()> m_onChange;
     std::function<void(const peer::GroupNews&)> m_onGroupNews;
-    unsigned m_hostMismatches { 0 }; // exchanges in a row whose host digests differed
+    unsigned m_hostMismatches { 0 }; // consecutive exchanges whose host digests differed
     base::TimerSubscription m_rounds;
-    std::shared_ptr<const Configuration> m_appliedConfiguration; // whose host list was taken in last
+    std::shared_ptr<const Configuration> m_appliedConfiguration; // whose host list was applied last
     uint64_t m_round { 0 };
-    std::set<std::string> m_hostsBeingChecked; // hosts that checkHost() is asking now
+    std::set<std::string> m_hostsBeingChecked; // hosts with an exchangeNow() in progress
 };
 
 }
--- a/src/controllers/node.h
+++ b/src/controllers/node.h
@@ -1,4 +1,4 @@
-// What every controller of one process shares. Plain references; main.cpp owns everything.
+// The services that all controllers of a process share. Their owner is the daemon (daemon/main.cpp).
 #pragma once
 #include "base/clock.h"
 #include "base/contexts.h"
--- a/src/controllers/pool.cpp
+++ b/src/controllers/pool.cpp
@@ -12,7 +12,7 @@
 using decisions::ErrorKind;
 using decisions::fail;
 
-static constexpr milliseconds kRefusalTimeout { 500 }; // no new connection after a refusal for this long
+static constexpr milliseconds kRefusalTimeout { 500 }; // no new connection for this time after a refusal
 static constexpr double kLatencySmoothing = 0.1;
 static constexpr auto kUseAwaitable = asio::as_tuple(asio::use_awaitable);
 
@@ -52,7 +52,7 @@
     m_pool->serveNextWaiter();
 }
 
-// A transaction's next statement goes before new work: it takes its place without queueing.
+// The next statement of a transaction takes precedence over new statements: it does not queue.
 void Lease::acquireSlot()
 {
     if (m_holdsSlot)
@@ -103,7 +103,7 @@
     m_serviceTime += kLatencySmoothing * (latency.count() - m_serviceTime);
 }
 
-// Transactions may hold all connections but one, so that single statements always get through.
+// Transactions may hold all connections but one, so that single statements are never blocked by them.
 bool Pool::hasCapacity(bool isTransaction) const
 {
     if (m_running >= m_limit.getLimit())
@@ -136,10 +136,10 @@
     std::erase(queue, waiter);
     if (Clock::now() >= deadline)
         co_return fail(ErrorKind::Overloaded, "no connection to the member became free in time", decisions::getRetryAfter(getQueueState(), base::getRandom()));
-    co_return fail(ErrorKind::NoPrimary, "the member is gone");
+    co_return fail(ErrorKind::NoPrimary, "the member was removed or is no longer usable");
 }
 
-// Takes the room that hasRoom() saw. Empty: the connection is counted and has yet to be opened.
+// Reserves the capacity found by hasCapacity(). Empty: the connection is counted and has yet to be opened.
 std::unique_ptr<links::HttpConnection> Pool::reserve(bool isTransaction)
 {
     ++m_running;
@@ -159,7 +159,7 @@
     auto remaining = std::chrono::duration_cast<milliseconds>(deadline - Clock::now());
     if (!decisions::isWorthSending(getQueueState(), remaining)) {
         cancelReservation(std::move(link), isTransaction);
-        co_return fail(ErrorKind::Overloaded, "too little of the deadline is left to run it", decisions::getRetryAfter(getQueueState(), base::getRandom()));
+        co_return fail(ErrorKind::Overloaded, "too little time is left before the deadline to run the statement", decisions::getRetryAfter(getQueueState(), base::getRandom()));
     }
     bool isNew = !link || !link->isOpen();
     if (isNew)
@@ -186,10 +186,10 @@
         co_return decisions::Result<void> {};
     link.close();
     if (!handshake.error().refusal)
-        co_return fail(ErrorKind::NoPrimary, "the member does not answer");
+        co_return fail(ErrorKind::NoPrimary, "the member did not answer the handshake");
     base::count(base::Counter::ConnectionsRefused);
     m_earliestConnect = Clock::now() + kRefusalTimeout;
-    co_return fail(ErrorKind::Overloaded, "the member takes no more connections", decisions::getRetryAfter(getQueueState(), base::getRandom()));
+    co_return fail(ErrorKind::Overloaded, "the member accepts no more connections", decisions::getRetryAfter(getQueueState(), base::getRandom()));
 }
 
 void Pool::returnConnection(std::unique_ptr<links::HttpConnection> link, bool holdsSlot, bool isTransaction)
--- a/src/controllers/pool.h
+++ b/src/controllers/pool.h
@@ -1,5 +1,5 @@
-// Connections from this home to one member of a group: bounded, queued fairly, opened on demand.
-// Not thread safe: everything runs on the group's strand.
+// A bounded connection pool from this home to one member of a group. Connections are opened on demand.
+// Not thread-safe: it runs on the group's strand.
 #pragma once
 #include "controllers/node.h"
 #include "decisions/limits.h"
@@ -11,14 +11,14 @@
 
 namespace alderward::controllers {
 
-// Queues of waiting statements; the pool serves them in turn, so that neither reads nor writes starve the other.
+// Queues of waiting statements. The pool serves them round-robin, so that neither reads nor writes starve.
 enum class Lane { Write,
     Read,
     Count };
 
 class Pool;
 
-// A connection taken from a pool. Give it back with release(); a lease that is destroyed closes its connection.
+// A connection leased from a pool. release() returns it; destroying the lease closes it.
 class Lease {
 public:
     Lease() = default;
@@ -33,11 +33,11 @@
     ~Lease() { discard(); }
 
     links::HttpConnection& getLink() { return *m_link; }
-    // The connection goes back to the pool, if it is still open.
+    // Returns the connection to the pool if it is still open.
     void release();
-    // The connection is closed: a late answer has nowhere to go.
+    // Closes the connection, so that a late answer cannot reach another statement.
     void discard();
-    // A transaction keeps its connection between statements, but not its place among the statements in flight.
+    // Between statements a transaction keeps its connection but not its slot among the statements in flight.
     void releaseSlot();
     void acquireSlot();
 
@@ -58,11 +58,12 @@
     Pool(boost::asio::any_io_executor executor, std::string address, std::string from);
 
     void setLimits(const PoolLimits& limits);
-    // Takes a connection, or waits for one until the deadline. Refuses at once what cannot be served in time.
+    // Leases a connection, or waits for one until the deadline. Fails immediately with Overloaded if the queue is too long for the
+    // deadline, and with NoPrimary if the member is removed or loses its role while the statement waits.
     boost::asio::awaitable<decisions::Result<Lease>> acquire(Lane lane, base::TimePoint deadline, bool isTransaction);
-    // The member is gone or has lost its role: statements that wait for it are told to look for another.
+    // Ends all waits, after the member was removed or lost its role. The statements then try another member.
     void cancelWaiters();
-    // The member was superseded: exchanges in flight end now, as ones that may have arrived.
+    // Closes all leased connections of a superseded member. Their statements end with an unknown outcome.
     void abortLeased();
     // Closes idle connections, e.g. when the member leaves.
     void closeIdle();
@@ -81,7 +82,7 @@
         {
         }
         boost::asio::steady_timer timer;
-        std::unique_ptr<links::HttpConnection> link {}; // reserved for it; empty: it opens one
+        std::unique_ptr<links::HttpConnection> link {}; // reserved; empty: a connection has yet to be opened
         bool isServed { false };
         bool isTransaction { false };
     };
@@ -102,14 +103,14 @@
     PoolLimits m_limits;
     decisions::AdaptiveLimit m_limit;
     std::vector<std::unique_ptr<links::HttpConnection>> m_idle;
-    std::vector<links::HttpConnection*> m_leased; // leased, also to transactions
+    std::vector<links::HttpConnection*> m_leased; // including those of transactions
     std::array<std::deque<std::shared_ptr<Waiter>>, static_cast<size_t>(Lane::Count)> m_lanes;
     size_t m_nextLane { 0 };
     unsigned m_open { 0 }; // connections open or being opened
     unsigned m_running { 0 }; // statements in flight
     unsigned m_transactions { 0 }; // connections held by transactions, running or idle
-    double m_serviceTime { 1 }; // ms; smoothed time a statement holds its place
-    base::TimePoint m_earliestConnect {}; // after the member refused a connection
+    double m_serviceTime { 1 }; // ms; smoothed time for which a statement holds its slot
+    base::TimePoint m_earliestConnect {}; // no new connection before, after the member refused one
 };
 
 }
--- a/src/controllers/trace_recorder.h
+++ b/src/controllers/trace_recorder.h
@@ -1,4 +1,4 @@
-// Keeps the first events of one group and what was decided on them, for GET /debug/trace (decisions/trace.h).
+// Records the first events of a group and the resulting actions, for GET /debug/trace (decisions/trace.h).
 #pragma once
 #include "decisions/trace.h"
 #include <mutex>
@@ -8,7 +8,7 @@
 
 class TraceRecorder {
 public:
-    // `limit`: entries kept; 0 records nothing. Later ones are dropped, as a trace without its beginning cannot be replayed.
+    // `limit`: maximum number of entries; 0 records nothing. Later entries are dropped, because a replay needs the first ones.
     explicit TraceRecorder(size_t limit)
         : m_limit(limit)
     {
@@ -38,7 +38,7 @@
     const size_t m_limit;
     size_t m_count { 0 };
     decisions::TimePoint m_origin {};
-    mutable std::mutex m_mutex; // the group's strand writes, the operators' address reads
+    mutable std::mutex m_mutex; // guards m_text, which the strand writes and operators read
     std::string m_text;
 };
 
--- a/src/filters/chain.cpp
+++ b/src/filters/chain.cpp
@@ -15,15 +15,15 @@
 using decisions::Error;
 using decisions::ErrorKind;
 
-static constexpr unsigned kMaxHops = 2; // to a home, and on to one that reaches the primary
-static constexpr int kRelayRounds = 12; // times that the homes are tried while none is reachable
-static constexpr milliseconds kRelayPause { 60 }; // between two of these rounds
-static constexpr milliseconds kRelayMargin { 10 }; // kept back from the deadline at each relay
+static constexpr unsigned kMaxHops = 2; // to a home, and from there to a home that reaches the primary
+static constexpr int kRelayRounds = 12; // attempts over all homes while none is reachable
+static constexpr milliseconds kRelayPause { 60 }; // between two rounds
+static constexpr milliseconds kRelayMargin { 10 }; // part of the deadline reserved at each relay
 static constexpr milliseconds kRetryAfter { 500 };
 
 // ---- replies ----
 
-// The queue's own times are spread where they are made; all others are here, once: relays pass the reply on as it is.
+// Adds jitter to the retry-after time, except for Overloaded, which has it already. Relays return replies unchanged.
 static milliseconds getRetryAfter(const Error& error)
 {
     return error.kind == ErrorKind::Overloaded ? error.retryAfter : decisions::jitterRetryAfter(error.retryAfter, base::getRandom());
@@ -39,7 +39,7 @@
     return { row.status, json::serialize(answer), retryAfter };
 }
 
-// A session that lost writes goes on from what the group holds now, once it has been told.
+// After the error that reports lost writes, the session continues from the group's present state.
 static Reply replyWithContextError(const Services& services, RequestContext& context, const Error& error)
 {
     if (error.kind == ErrorKind::SessionWritesLost)
@@ -100,13 +100,13 @@
     auto table = services.groups.getTable().read();
     auto it = table->find(context.group);
     if (it == table->end() || it->second.record->isRetired)
-        co_return replyWithContextError(services, context, { ErrorKind::UnknownGroup, "no record in force names the group " + context.group });
+        co_return replyWithContextError(services, context, { ErrorKind::UnknownGroup, "no active record names the group " + context.group });
     context.entry = it->second;
     if (context.readKind) {
         auto& kinds = context.entry.record->readKinds;
         auto kind = kinds.find(*context.readKind);
         if (kind == kinds.end())
-            co_return replyWithContextError(services, context, { ErrorKind::BadRequest, "the group's record has no kind of read " + *context.readKind });
+            co_return replyWithContextError(services, context, { ErrorKind::BadRequest, "the group's record does not define the read kind " + *context.readKind });
         if (!context.request.maximumAge)
             context.request.maximumAge = kind->second;
     }
@@ -116,11 +116,11 @@
 // ---- relays ----
 
 struct RelayResult {
-    std::optional<Reply> reply {}; // the far host's answer
-    bool mayHaveArrived { false }; // without a reply: whether it may have run
+    std::optional<Reply> reply {}; // the reply of the remote host
+    bool mayHaveArrived { false }; // without a reply: whether the request may have run
 };
 
-// The far host says that it is no home. Our views of the hosts differ: an exchange brings them together.
+// Whether the remote host is not a home. An exchange then reconciles the differing views of the hosts.
 static bool isDeclined(const Services& services, const peer::RelayReply& reply, const std::string& name)
 {
     if (!reply.not_home())
@@ -155,7 +155,7 @@
     co_return RelayResult { Reply { reply->status(), reply->body(), milliseconds(reply->retry_after_ms()) }, true };
 }
 
-// A transaction lives at the host that began it; its name starts with that host's.
+// A transaction belongs to the host that began it, whose name is the prefix of the transaction's name.
 static std::string getTransactionOwner(const std::string& transaction)
 {
     auto dot = transaction.rfind('.');
@@ -169,8 +169,8 @@
         co_return std::nullopt;
     if (context.hops >= kMaxHops)
         co_return replyWithContextError(services, context, { ErrorKind::TransactionUnknown, "no host knows this transaction" });
-    // A channel that failed to connect a moment ago refuses for up to its backoff without trying; only an owner that stays
-    // out of reach is gone.
+    // A channel whose last connect failed rejects requests until its backoff ends, so the owner counts as lost only after
+    // several attempts.
     auto result = co_await relayTo(services, context, owner);
     for (int round = 1; round < kRelayRounds && !result.reply && !result.mayHaveArrived; ++round) {
         if (Clock::now() + kRelayPause >= context.request.deadline - kRelayMargin)
@@ -181,11 +181,11 @@
     if (result.reply)
         co_return result.reply;
     if (!result.mayHaveArrived)
-        co_return replyWithContextError(services, context, { ErrorKind::TransactionUnknown, "the host that holds the transaction is gone: it is rolled back" });
+        co_return replyWithContextError(services, context, { ErrorKind::TransactionUnknown, "the transaction was rolled back because its host is unreachable" });
     co_return replyWithContextError(services, context, { ErrorKind::OutcomeUnknown, "the host that holds the transaction did not answer", kRetryAfter });
 }
 
-// Whether this host is a home that does not reach the primary, which another home may reach.
+// Whether this host is a home that cannot reach the primary while another home may reach it.
 static bool mustForward(const RequestContext& context)
 {
     if (!context.entry.isHome || !context.entry.controller)
@@ -195,7 +195,6 @@
     return needsPrimary && canRelay && context.entry.controller->getStatus().read()->isPathFault;
 }
 
-// Whether this host should serve the request itself.
 static bool isServedHere(const RequestContext& context)
 {
     return context.entry.isHome && context.entry.controller && !mustForward(context);
@@ -211,14 +210,14 @@
     auto outcome = co_await context.entry.controller->run(context.request);
     if (outcome)
         co_return replyWithOutcome(services, context, *outcome);
-    // The group has moved to other homes since the table was read; nothing ran here.
+    // This host is no longer a home of the group. Nothing ran, so the request can be relayed.
     if (outcome.error().kind == ErrorKind::Draining && !isOwned)
         co_return std::nullopt;
     co_return replyWithContextError(services, context, outcome.error());
 }
 
-// A relayed request that reaches a host which is no home goes back to its sender, who knows other homes and may wait. Sent
-// on from here, it could go to and fro between two hosts whose views differ until its hops are used up, within a millisecond.
+// Returns a relayed request to its sender if this host is not a home. Relaying it again could loop between two hosts with
+// differing views until its hops are used up.
 static asio::awaitable<std::optional<Reply>> declineRelay(const Services&, RequestContext& context)
 {
     if (context.hops == 0 || mustForward(context))
@@ -228,8 +227,7 @@
     co_return reply;
 }
 
-// Tries the homes in turn. A home that was not reached is passed over; one that may have run the request is not, unless
-// the request may be repeated.
+// Tries the homes in order. Continues after a home that may have run the request only if the request can be repeated.
 static asio::awaitable<std::optional<Reply>> tryHomes(const Services& services, RequestContext& context, bool canRepeat)
 {
     auto homes = context.entry.relayOrder;
@@ -238,15 +236,15 @@
         if (result.reply)
             co_return result.reply;
         if (result.mayHaveArrived && !canRepeat)
-            co_return replyWithContextError(services, context, { ErrorKind::OutcomeUnknown, "a home of the group took the request and did not answer", kRetryAfter });
+            co_return replyWithContextError(services, context, { ErrorKind::OutcomeUnknown, "a home of the group received the request but did not answer", kRetryAfter });
         if (result.mayHaveArrived)
             base::count(base::Counter::Retries);
     }
     co_return std::nullopt;
 }
 
-// While hosts come and go, the homes that this host knows may all be gone for a moment: the table is read again, and this
-// host may find itself a home. The number of rounds is bounded, so that a caller gets its answer soon.
+// Relays the request in several rounds, because all known homes may be unreachable while homes change. Each round reads the
+// group table again, as this host may have become a home.
 static asio::awaitable<std::optional<Reply>> relayToHome(const Services& services, RequestContext& context)
 {
     bool canRepeat = context.request.isRepeatable || (!context.request.isWrite && context.request.operation == Operation::Execute);
@@ -281,7 +279,7 @@
     co_return replyWithContextError(services, context, { ErrorKind::Internal, "no filter answered the request" });
 }
 
-// A fault of ours must not take the process with it: the caller is told that the outcome is unknown.
+// An internal error must not end the process. The caller gets an error with an unknown outcome.
 asio::awaitable<Reply> runChain(const Services& services, RequestContext context)
 {
     base::count(base::Counter::Requests);
@@ -292,7 +290,7 @@
         reply = co_await runFilters(services, context);
     } catch (const std::exception& error) {
         base::getTimeline().add("internal-error", context.group, error.what());
-        reply = replyWithContextError(services, context, { ErrorKind::Internal, "a fault of alderward; please report it" });
+        reply = replyWithContextError(services, context, { ErrorKind::Internal, "internal error in alderward; please report it" });
     }
     base::record(base::Latency::Request, Clock::now() - began);
     co_return reply;
--- a/src/filters/decode.cpp
+++ b/src/filters/decode.cpp
@@ -1,4 +1,4 @@
-// Reading a caller's JSON, field by field. docs/CALLERS.md is the page for callers; keep it and kFields together.
+// Parses a caller's JSON. Keep kFields consistent with docs/CALLERS.md.
 #include "filters/request.h"
 #include <algorithm>
 #include <array>
@@ -19,7 +19,7 @@
     std::pair { "/v1/transaction/rollback", Operation::Rollback },
     std::pair { "/v1/settle", Operation::Settle },
 };
-static constexpr size_t kMaxRequestKeyLength = 200; // characters of a request key
+static constexpr size_t kMaxRequestKeyLength = 200; // bytes
 static constexpr int64_t kMaxAgeMs = 24 * 3600 * 1000;
 
 static Result<std::string> readString(const json::object& object, const char* name)
@@ -52,7 +52,6 @@
     return {};
 }
 
-// Each reader takes one matter; the first problem ends the reading.
 static Result<void> readNames(RequestContext& context, const json::object& object)
 {
     auto group = readString(object, "group");
@@ -92,7 +91,7 @@
     if (!kind || (*kind != "read" && *kind != "write"))
         return fail(ErrorKind::BadRequest, "kind must be \"read\" or \"write\"");
     if (!statement || statement->empty())
-        return fail(ErrorKind::BadRequest, "statement must be a string that is not empty");
+        return fail(ErrorKind::BadRequest, "statement must be a non-empty string");
     context.request.isWrite = *kind == "write";
     context.request.statement = *statement;
     if (auto* parameters = object.if_contains("parameters")) {
@@ -113,7 +112,7 @@
         return tl::make_unexpected(readKind.error());
     bool hasAgeBound = *age || !readKind->empty();
     if (hasAgeBound && (context.request.isWrite || context.request.operation != Operation::Execute))
-        return fail(ErrorKind::BadRequest, "maximumAgeMs and readKind go with reads only");
+        return fail(ErrorKind::BadRequest, "maximumAgeMs and readKind are allowed only for reads");
     if (*age)
         context.request.maximumAge = base::milliseconds(**age);
     if (!readKind->empty())
@@ -136,7 +135,7 @@
         return fail(ErrorKind::BadRequest, "settle needs the requestKey");
     bool needsTransaction = request.operation == Operation::Commit || request.operation == Operation::Rollback;
     if (needsTransaction && request.transaction.empty())
-        return fail(ErrorKind::BadRequest, "transaction must name the transaction");
+        return fail(ErrorKind::BadRequest, "commit and rollback need the transaction");
     return {};
 }
 
--- a/src/filters/request.h
+++ b/src/filters/request.h
@@ -1,5 +1,5 @@
-// The chain that a caller's request passes: admit, decode, deadline, route, execute or relay. Each filter either ends the
-// request with a reply or lets it go on. Duplicates are found in the database, where request keys live with their writes.
+// The filter chain of callers' requests: decode, deadline, admission, routing, execution or relay. A filter either replies or
+// passes the request on. Members detect duplicates by the request keys that they store with writes.
 #pragma once
 #include "controllers/groups.h"
 #include "decisions/errors.h"
@@ -13,13 +13,13 @@
 
 namespace alderward::filters {
 
-// What a request has become on its way through the chain.
+// The state of a request in the chain.
 struct RequestContext {
     std::string path {}; // /v1/statement, ...
-    std::string body {}; // as it came
+    std::string body {}; // JSON as received
     base::TimePoint receivedAt {};
-    std::optional<base::milliseconds> remaining {}; // relayed requests: what the sender left of the deadline
-    unsigned hops { 0 }; // relays so far
+    std::optional<base::milliseconds> remaining {}; // relayed requests: time until the deadline at the sender
+    unsigned hops { 0 }; // number of relays so far
     // set by decode
     std::string group {};
     decisions::SessionMarks marks {};
@@ -30,15 +30,15 @@
     controllers::GroupEntry entry {};
 };
 
-// The answer to a caller, ready for the carrier.
+// The reply to a caller, independent of its transport.
 struct Reply {
     unsigned status { 200 };
     std::string body {};
     base::milliseconds retryAfter { 0 };
-    bool isNotHome { false }; // to a relay: nothing ran here, ask another home
+    bool isNotHome { false }; // of a relayed request: nothing ran, this host is not a home
 };
 
-// What filters may use.
+// The services available to filters.
 struct Services {
     controllers::Node& node;
     controllers::ConfigurationController& configuration;
@@ -49,12 +49,12 @@
 
 using Filter = std::function<boost::asio::awaitable<std::optional<Reply>>(const Services&, RequestContext&)>;
 
-// The chain in order; the last filter always replies.
+// The filters in their order. The last one always replies.
 const std::vector<Filter>& getChain();
 boost::asio::awaitable<Reply> runChain(const Services& services, RequestContext context);
 
 Reply replyWithError(const decisions::Error& error, const std::string& session);
-// Reads the body into `context`; the error names the field. Free of I/O, so that tests can call it.
+// Parses the body into `context`. Errors name the invalid field. Does no I/O.
 decisions::Result<void> decodeRequest(RequestContext& context, const std::string& sessionKey);
 
 }
