--- a/tests/process/callers_test.cpp
+++ b/tests/process/callers_test.cpp
@@ -1,4 +1,4 @@
-// What callers can send wrong, and what they get: each a clear error of its own, nothing run, no crash.
+// Invalid requests of callers: each gets its own error, runs nothing and does not end the process.
 #include "harness/harness.h"
 #include <boost/test/unit_test.hpp>
 #include <fmt/format.h>
@@ -12,9 +12,9 @@
     return fmt::format("POST {} HTTP/1.1\r\nHost: x\r\nContent-Type: application/json\r\nContent-Length: {}\r\nConnection: close\r\n\r\n{}", path, body.size(), body);
 }
 
-std::string getWrite(const std::string& more)
+std::string getWrite(const std::string& extraFields)
 {
-    return R"({"group":"orders","kind":"write","statement":"SET a 1","requestKey":"k")" + more + "}";
+    return R"({"group":"orders","kind":"write","statement":"SET a 1","requestKey":"k")" + extraFields + "}";
 }
 
 struct BadRequest {
@@ -27,7 +27,7 @@
 
 BOOST_AUTO_TEST_SUITE(callers)
 
-BOOST_AUTO_TEST_CASE(each_bad_request_has_an_error_of_its_own_and_runs_nothing)
+BOOST_AUTO_TEST_CASE(each_invalid_request_gets_its_own_error_and_runs_nothing)
 {
     auto shape = getSmallShape();
     shape.extraSettings = "[limits]\nbody_limit_kb = 4\nrequest_timeout_ms = 300\n";
@@ -61,16 +61,16 @@
         BOOST_CHECK_MESSAGE(answer.find("\"kind\":\"" + it.kind + "\"") != std::string::npos, (it.kind + " for " + it.body.substr(0, 100) + ", got " + answer));
         BOOST_TEST(answer.find("\"ran\":\"no\"") != std::string::npos, answer);
     }
-    // A slow sender: the head of a request and nothing more.
+    // A slow sender: the body is never completed.
     auto slow = Client(cluster.getCallerAddress(0)).sendRaw("POST /v1/statement HTTP/1.1\r\nHost: x\r\nContent-Length: 50\r\n\r\n{", milliseconds(3000));
     BOOST_TEST(slow.find("\"kind\":\"slow-sender\"") != std::string::npos, slow);
-    auto noHttp = Client(cluster.getCallerAddress(0)).sendRaw("what is this\r\n\r\n", milliseconds(3000));
-    BOOST_TEST(noHttp.find("\"kind\":\"bad-request\"") != std::string::npos, noHttp);
+    auto notHttp = Client(cluster.getCallerAddress(0)).sendRaw("what is this\r\n\r\n", milliseconds(3000));
+    BOOST_TEST(notHttp.find("\"kind\":\"bad-request\"") != std::string::npos, notHttp);
     BOOST_TEST(cluster.getMemberStats("orders-a")["position"].to_number<int>() == 1);
     BOOST_TEST(cluster.getHost(0).isRunning());
 }
 
-BOOST_AUTO_TEST_CASE(a_read_with_a_stated_age_is_answered_only_within_it)
+BOOST_AUTO_TEST_CASE(a_read_with_a_maximum_age_is_answered_within_that_age)
 {
     Cluster cluster(getSmallShape());
     cluster.beginAll();
@@ -84,7 +84,7 @@
     BOOST_TEST(portal.body.at("servedBy").at("ageMs").to_number<int>() <= 2000);
 }
 
-BOOST_AUTO_TEST_CASE(with_no_platform_and_no_peer_a_host_says_that_it_has_no_records)
+BOOST_AUTO_TEST_CASE(a_host_without_platform_and_peers_reports_that_it_is_not_configured)
 {
     auto shape = getSmallShape();
     shape.hosts = 1;
--- a/tests/process/failover_test.cpp
+++ b/tests/process/failover_test.cpp
@@ -1,4 +1,4 @@
-// Failover: killed, frozen and cut-off primaries; outages of the platform; bounds; planned hand-over.
+// Failover: killed, frozen and isolated primaries, outages of the platform, promotion limits, planned handover.
 #include "harness/harness.h"
 #include <boost/test/unit_test.hpp>
 #include <csignal>
@@ -16,7 +16,7 @@
     return array;
 }
 
-// Cuts a member off from everybody but the hosts named in `reachableFrom`.
+// Cuts the connections between a member and `others`, and between it and the other members of the group.
 void isolateMember(Cluster& cluster, const std::string& name, const std::vector<std::string>& others)
 {
     cluster.setMember(name, { { "cut", toArray(others) } });
@@ -53,7 +53,7 @@
     for (int i = 0; i < 10; ++i)
         BOOST_REQUIRE_EQUAL(caller.write("orders", "APPEND log " + std::to_string(i), "k" + std::to_string(i)).status, 200);
     cluster.getMember("orders-a").kill();
-    // Held within its deadline while the primary is replaced, then served.
+    // The write is held while the primary is replaced, then served within its deadline.
     auto after = caller.write("orders", "APPEND log x", "k-after");
     BOOST_TEST(after.status == 200u, json::serialize(after.body));
     BOOST_TEST(getResult(caller.read("orders", "GET log")) == "0123456789x");
@@ -61,7 +61,7 @@
     BOOST_TEST(cluster.sumMetric("invariant_violations") == 0u);
 }
 
-BOOST_AUTO_TEST_CASE(frozen_primary_that_wakes_acknowledges_nothing_and_follows)
+BOOST_AUTO_TEST_CASE(resumed_primary_acknowledges_nothing_and_becomes_a_replica)
 {
     Cluster cluster(getSmallShape());
     cluster.beginAll();
@@ -69,7 +69,7 @@
     BOOST_REQUIRE_EQUAL(caller.write("orders", "SET a 1", "k1").status, 200);
     cluster.getMember("orders-a").signal(SIGSTOP);
     auto during = caller.write("orders", "SET a 2", "k2", 8000);
-    // Sent to the frozen member it is unknown; the same key again settles that, without running it twice.
+    // The outcome may be unknown. Repeating the request key settles it without running the write twice.
     if (during.status != 200)
         BOOST_TEST(getRan(during) == "unknown");
     auto again = caller.write("orders", "SET a 2", "k2", 8000);
@@ -77,11 +77,11 @@
     cluster.getMember("orders-a").signal(SIGCONT);
     BOOST_TEST(waitUntil(milliseconds(5000), [&] { return getTerm(cluster, "orders-a") >= 2 && cluster.getMemberStats("orders-a")["role"] == "replica"; }));
     BOOST_TEST(getResult(caller.read("orders", "GET a")) == "2");
-    // No failing back.
+    // The old primary does not become primary again.
     BOOST_TEST(hasNewPrimary(cluster, "orders-a"));
 }
 
-BOOST_AUTO_TEST_CASE(cut_off_primary_with_callers_on_its_side_acknowledges_nothing)
+BOOST_AUTO_TEST_CASE(isolated_primary_with_callers_on_its_side_acknowledges_nothing)
 {
     auto shape = getSmallShape();
     shape.groups.front().acknowledge = "primary";
@@ -89,7 +89,7 @@
     cluster.beginAll();
     Caller caller(cluster.getCallerAddress(0));
     BOOST_REQUIRE_EQUAL(caller.write("orders", "SET a 1", "k1").status, 200);
-    // h1 and orders-a on one side, everything else on the other.
+    // A network partition: h1 and orders-a on one side, all others on the other.
     isolateMember(cluster, "orders-a", { "orders-b", "orders-c", "h2", "h3" });
     cluster.setMember("orders-b", { { "cut", toArray({ "orders-a", "h1" }) } });
     cluster.setMember("orders-c", { { "cut", toArray({ "orders-a", "h1" }) } });
@@ -102,14 +102,14 @@
     BOOST_TEST(waitUntil(milliseconds(6000), [&] { return cluster.getPrimary("orders", 1) != "orders-a" && !cluster.getPrimary("orders", 1).empty(); }));
     auto written = other.write("orders", "SET a 3", "k3");
     BOOST_TEST(written.status == 200u, json::serialize(written.body));
-    // The old side must still acknowledge nothing, and a read with a stated age must not be answered as fresh.
+    // The minority side must still acknowledge nothing, and must not answer a read with a maximum age.
     BOOST_TEST(caller.write("orders", "SET a lost2", "k4", 1000).status != 200u);
     auto stale = caller.read("orders", "GET a", 100, 1000);
     BOOST_TEST(stale.status != 200u, json::serialize(stale.body));
-    // A read of any age goes on: the data centre serves what it can.
-    auto any = Caller(cluster.getCallerAddress(0)).read("orders", "GET a", std::nullopt, 1000);
-    BOOST_TEST(any.status == 200u, json::serialize(any.body));
-    // Healed: the old primary follows, its tail is gone.
+    // Reads without a maximum age are still served.
+    auto anyAge = Caller(cluster.getCallerAddress(0)).read("orders", "GET a", std::nullopt, 1000);
+    BOOST_TEST(anyAge.status == 200u, json::serialize(anyAge.body));
+    // After the partition heals, the old primary follows and its unconfirmed writes are lost.
     for (auto& it : { "orders-a", "orders-b", "orders-c" })
         cluster.setMember(it, { { "cut", json::array() } });
     for (size_t i = 0; i < 3; ++i)
@@ -119,7 +119,7 @@
     BOOST_TEST(cluster.sumMetric("invariant_violations") == 0u);
 }
 
-BOOST_AUTO_TEST_CASE(failover_works_while_the_platform_is_down_and_the_claim_follows)
+BOOST_AUTO_TEST_CASE(failover_works_during_a_platform_outage_and_the_claim_is_written_afterwards)
 {
     Cluster cluster(getSmallShape());
     cluster.beginAll();
@@ -136,7 +136,7 @@
     }));
 }
 
-BOOST_AUTO_TEST_CASE(members_without_fence_are_promoted_only_with_the_claim)
+BOOST_AUTO_TEST_CASE(members_that_cannot_fence_are_promoted_only_with_a_claim)
 {
     auto shape = getSmallShape();
     shape.groups.front().canFence = false;
@@ -154,7 +154,7 @@
     BOOST_TEST(caller.write("orders", "SET a 2", "k2").status == 200u);
 }
 
-BOOST_AUTO_TEST_CASE(promotion_off_holds_back_says_so_and_refuses_at_once)
+BOOST_AUTO_TEST_CASE(disabled_promotion_is_reported_and_writes_fail_without_waiting)
 {
     auto shape = getSmallShape();
     shape.groups.front().promotion = R"({"mode":"off"})";
@@ -169,12 +169,12 @@
     BOOST_TEST((std::chrono::steady_clock::now() - began < std::chrono::seconds(10)));
     BOOST_TEST(refused.body.at("error").at("retryAfterMs").to_number<int>() > 0);
     BOOST_TEST(getTerm(cluster, "orders-b") == 1u);
-    // Reads of any age go on.
+    // Reads without a maximum age are still served.
     BOOST_TEST(Caller(cluster.getCallerAddress(0)).read("orders", "GET a").status == 200u);
 }
 
-// The home whose turn it is freezes while it replaces the primary, and wakes when another has finished.
-BOOST_AUTO_TEST_CASE(home_that_freezes_in_its_turn_is_passed_over_and_does_no_harm_when_it_wakes)
+// The first home freezes while it replaces the primary, and resumes when another home has completed the promotion.
+BOOST_AUTO_TEST_CASE(home_that_freezes_during_a_promotion_is_replaced_and_does_no_harm_when_resumed)
 {
     Cluster cluster(getSmallShape());
     cluster.beginAll();
@@ -185,7 +185,7 @@
         ++first;
     auto other = (first + 1) % 3;
     cluster.getMember("orders-a").kill();
-    std::this_thread::sleep_for(milliseconds(150)); // about when it begins; the outcome must be the same whenever
+    std::this_thread::sleep_for(milliseconds(150)); // about when the promotion begins; the outcome must not depend on the exact time
     cluster.getHost(first).signal(SIGSTOP);
     BOOST_TEST(waitUntil(milliseconds(15000), [&] { return Caller(cluster.getCallerAddress(other)).write("orders", "SET a after", "after", 1000).status == 200; }));
     auto primary = cluster.getPrimary("orders", other);
@@ -214,14 +214,14 @@
     }
     BOOST_TEST(waitUntil(milliseconds(5000), [&] { return hasNewPrimary(cluster, "orders-a"); }));
     BOOST_TEST(getResult(caller.read("orders", "GET log")) == expected);
-    // No new work for the one that leaves.
+    // The leaving member gets no new statements.
     auto reads = cluster.getMemberStats("orders-a")["reads"];
     for (int i = 0; i < 20; ++i)
         caller.read("orders", "GET log");
     BOOST_TEST((cluster.getMemberStats("orders-a")["reads"] == reads));
 }
 
-BOOST_AUTO_TEST_CASE(lost_tail_is_told_to_its_session)
+BOOST_AUTO_TEST_CASE(session_is_told_that_its_writes_were_lost)
 {
     auto shape = getSmallShape();
     shape.groups.front().acknowledge = "primary";
@@ -236,7 +236,7 @@
     cluster.setMember("orders-b", { { "lagMs", 0 } });
     cluster.setMember("orders-c", { { "lagMs", 0 } });
     BOOST_TEST(waitUntil(milliseconds(3000), [&] { return getErrorKind(caller.read("orders", "GET a", std::nullopt, 500)) == "session-writes-lost"; }));
-    // Once told, the session goes on from what the group holds.
+    // After that error, the session continues from the group's present state.
     auto next = caller.read("orders", "GET a");
     BOOST_TEST(next.status == 200u, json::serialize(next.body));
     BOOST_TEST(getResult(next) == "");
--- a/tests/process/hosts_test.cpp
+++ b/tests/process/hosts_test.cpp
@@ -1,4 +1,4 @@
-// Hosts among themselves: restarts, homes that die, members without room.
+// Membership and relays of hosts: restarts, crashed homes, members at their connection limit.
 #include "harness/harness.h"
 #include "links/peer.h"
 #include <algorithm>
@@ -14,7 +14,7 @@
 
 namespace {
 
-Shape makeSeven()
+Shape makeSevenHosts()
 {
     auto shape = getSmallShape();
     shape.hosts = 7;
@@ -30,7 +30,7 @@
     return host;
 }
 
-// Takes part among the hosts as a peer whose view of them differs: it declines every relay.
+// A peer whose view of the hosts differs from theirs: it declines every relay.
 class DecliningPeer {
 public:
     explicit DecliningPeer(const std::string& address)
@@ -38,7 +38,7 @@
     {
         links::PeerHandlers handlers;
         handlers.exchange = [this, address](peer::ExchangeRequest) -> asio::awaitable<peer::ExchangeReply> {
-            // A newer incarnation each time refutes whatever a slow machine made the others suspect.
+            // A newer incarnation in each reply refutes suspicions that a slow test machine may cause.
             peer::ExchangeReply reply;
             auto* self = reply.add_hosts();
             self->set_name("h9");
@@ -95,12 +95,12 @@
 
 BOOST_AUTO_TEST_SUITE(hosts)
 
-// Two hosts that each take the other for the home must not send a request to and fro.
-BOOST_AUTO_TEST_CASE(relay_to_a_host_that_is_no_home_goes_back_unrun_and_its_sender_asks_another)
+// Guards against relay loops between two hosts that each consider the other to be the home.
+BOOST_AUTO_TEST_CASE(relay_to_a_host_that_is_no_home_is_declined_and_its_sender_tries_another_home)
 {
     Cluster cluster(getSmallShape());
     cluster.beginAll();
-    // The hosts listen on 127.0.0.1 only, so a port of theirs is free on the next address.
+    // The hosts listen only on 127.0.0.1, so their ports are free on 127.0.0.2.
     auto port = cluster.getPeerAddress(0).substr(cluster.getPeerAddress(0).rfind(':'));
     DecliningPeer peer("127.0.0.2" + port);
     cluster.listHost("h9", { { "dataCentre", "vadodara" }, { "peerAddress", "127.0.0.2" + port } });
@@ -122,33 +122,33 @@
     BOOST_TEST(getResult(caller.read("orders", "GET a")) == "near");
 }
 
-// Exchanges arrive on the threads of gRPC and must be served on the one strand that owns the membership.
-BOOST_AUTO_TEST_CASE(exchanges_from_all_sides_touch_the_membership_in_one_place)
+// Exchanges arrive on gRPC threads and must be served on the strand that owns the membership.
+BOOST_AUTO_TEST_CASE(concurrent_exchanges_access_the_membership_only_on_its_strand)
 {
-    Cluster cluster(makeSeven());
+    Cluster cluster(makeSevenHosts());
     cluster.beginAll();
     BOOST_TEST(waitUntil(milliseconds(10000), [&] { return cluster.sumMetric("exchanges") > 100; }));
-    cluster.getHost(0).signal(SIGTERM); // its leaving is said by a path of its own
+    cluster.getHost(0).signal(SIGTERM); // leaving is announced by a separate code path
     BOOST_TEST(cluster.getHost(0).wait(milliseconds(20000)).value_or(-1) == 0);
     BOOST_TEST(cluster.sumMetric("invariant_violations") == 0u);
 }
 
-BOOST_AUTO_TEST_CASE(restarted_host_does_not_take_itself_for_the_only_home)
+BOOST_AUTO_TEST_CASE(restarted_host_does_not_consider_itself_the_only_home)
 {
-    Cluster cluster(makeSeven());
+    Cluster cluster(makeSevenHosts());
     cluster.beginAll();
     auto host = findNonHome(cluster);
     cluster.getHost(host).kill();
     cluster.beginHost(host);
     BOOST_TEST(waitUntil(milliseconds(8000), [&] { return Client(cluster.getOperatorAddress(host)).get("/healthz").status == 200; }));
     BOOST_TEST(waitUntil(milliseconds(8000), [&] { return Caller(cluster.getCallerAddress(host)).write("orders", "SET a 1", "k").status == 200; }));
-    // A home would have asked the members and seen the primary.
+    // A home would have probed the members and recorded the primary.
     BOOST_TEST(!cluster.hasEvent(host, "primary-seen", "orders"));
 }
 
-BOOST_AUTO_TEST_CASE(home_that_dies_costs_a_caller_at_most_one_answer_that_can_be_repeated)
+BOOST_AUTO_TEST_CASE(crashed_home_costs_a_caller_at_most_one_retryable_error)
 {
-    Cluster cluster(makeSeven());
+    Cluster cluster(makeSevenHosts());
     cluster.beginAll();
     auto host = findNonHome(cluster);
     Caller caller(cluster.getCallerAddress(host));
@@ -167,14 +167,14 @@
     BOOST_TEST(getResult(caller.read("orders", "GET log")) == std::string(300, 'x'));
 }
 
-BOOST_AUTO_TEST_CASE(members_are_never_asked_for_more_connections_than_they_take)
+BOOST_AUTO_TEST_CASE(members_never_get_more_connections_than_they_accept)
 {
-    auto shape = makeSeven();
+    auto shape = makeSevenHosts();
     shape.groups.front().connections = 5;
     Cluster cluster(shape);
     cluster.beginAll();
     cluster.setMember("orders-a", { { "serviceMs", 3 } });
-    // Homes come and go while callers write through every host.
+    // Homes are killed and restarted while callers write through every host.
     for (int round = 0; round < 3; ++round) {
         auto home = cluster.getHomes("orders").front();
         cluster.getHost(home).kill();
--- a/tests/process/transactions_test.cpp
+++ b/tests/process/transactions_test.cpp
@@ -1,4 +1,4 @@
-// Transactions: bound to one connection, reachable from every host, gone with their host; answers never cross.
+// Transactions: bound to one connection, reachable from every host, rolled back when their host stops. Answers reach only their own caller.
 #include "harness/harness.h"
 #include "links/json_fields.h"
 #include <atomic>
@@ -15,7 +15,7 @@
     return alderward::links::getString(begun.body, "transaction");
 }
 
-Answer writeIn(Caller& caller, const std::string& transaction, const std::string& statement)
+Answer writeInTransaction(Caller& caller, const std::string& transaction, const std::string& statement)
 {
     return caller.send("/v1/statement", { { "group", "orders" }, { "kind", "write" }, { "statement", statement }, { "transaction", transaction } });
 }
@@ -29,17 +29,17 @@
 
 BOOST_AUTO_TEST_SUITE(transactions)
 
-BOOST_AUTO_TEST_CASE(roaming_caller_reaches_the_owner_and_commit_is_whole)
+BOOST_AUTO_TEST_CASE(caller_that_changes_hosts_reaches_the_owner_and_commit_is_atomic)
 {
     Cluster cluster(getSmallShape());
     cluster.beginAll();
     Caller caller(cluster.getCallerAddress(0));
     auto name = beginTransaction(caller);
     BOOST_REQUIRE(!name.empty());
-    BOOST_TEST(writeIn(caller, name, "SET a 1").status == 200u);
+    BOOST_TEST(writeInTransaction(caller, name, "SET a 1").status == 200u);
     caller.roam(cluster.getCallerAddress(1));
-    BOOST_TEST(writeIn(caller, name, "SET b 2").status == 200u);
-    // Nobody else sees it before the commit.
+    BOOST_TEST(writeInTransaction(caller, name, "SET b 2").status == 200u);
+    // Other callers do not see the writes before the commit.
     Caller other(cluster.getCallerAddress(2));
     BOOST_TEST(getResult(other.read("orders", "GET a")) == "");
     caller.roam(cluster.getCallerAddress(2));
@@ -49,13 +49,13 @@
     BOOST_TEST(getErrorKind(endTransaction(caller, name, "commit")) == "transaction-unknown");
 }
 
-BOOST_AUTO_TEST_CASE(owner_that_has_just_started_is_reached_from_hosts_that_found_it_gone)
+BOOST_AUTO_TEST_CASE(restarted_owner_is_reached_from_hosts_whose_channels_to_it_failed)
 {
     Cluster cluster(getSmallShape());
     cluster.beginAll();
     for (int round = 0; round < 3; ++round) {
         cluster.getHost(0).kill();
-        // The others find it gone, and their channels to it wait longer and longer between two tries.
+        // The other hosts' channels to it fail and increase their reconnect backoff.
         std::this_thread::sleep_for(milliseconds(1300));
         cluster.beginHost(0);
         BOOST_TEST(waitUntil(milliseconds(8000), [&] { return Client(cluster.getOperatorAddress(0)).get("/healthz").status == 200; }));
@@ -64,14 +64,14 @@
         BOOST_REQUIRE(!name.empty());
         for (size_t i = 1; i < 3; ++i) {
             caller.roam(cluster.getCallerAddress(i));
-            auto written = writeIn(caller, name, "SET a 1");
+            auto written = writeInTransaction(caller, name, "SET a 1");
             BOOST_TEST(written.status == 200u, json::serialize(written.body));
         }
         BOOST_TEST(endTransaction(caller, name, "commit").status == 200u);
     }
 }
 
-BOOST_AUTO_TEST_CASE(rollback_and_idle_limit_leave_nothing)
+BOOST_AUTO_TEST_CASE(rolled_back_and_expired_transactions_leave_no_writes)
 {
     auto shape = getSmallShape();
     shape.extraSettings = "[limits]\ntransaction_idle_ms = 300\n";
@@ -79,10 +79,10 @@
     cluster.beginAll();
     Caller caller(cluster.getCallerAddress(0));
     auto first = beginTransaction(caller);
-    writeIn(caller, first, "SET a 1");
+    writeInTransaction(caller, first, "SET a 1");
     BOOST_TEST(endTransaction(caller, first, "rollback").status == 200u);
     auto second = beginTransaction(caller);
-    writeIn(caller, second, "SET a 2");
+    writeInTransaction(caller, second, "SET a 2");
     auto countOpen = [&] { return cluster.getStatus(0)["groups"].at("orders").at("transactions").to_number<int>(); };
     BOOST_TEST(waitUntil(milliseconds(3000), [&] { return countOpen() == 1; }));
     BOOST_TEST(waitUntil(milliseconds(3000), [&] { return countOpen() == 0; }));
@@ -90,20 +90,20 @@
     BOOST_TEST(getResult(caller.read("orders", "GET a")) == "");
 }
 
-BOOST_AUTO_TEST_CASE(host_that_dies_in_a_transaction_leaves_it_rolled_back)
+BOOST_AUTO_TEST_CASE(crash_of_the_owner_rolls_its_transaction_back)
 {
     Cluster cluster(getSmallShape());
     cluster.beginAll();
     Caller caller(cluster.getCallerAddress(0));
     auto name = beginTransaction(caller);
-    BOOST_TEST(writeIn(caller, name, "SET a 1").status == 200u);
+    BOOST_TEST(writeInTransaction(caller, name, "SET a 1").status == 200u);
     cluster.getHost(0).kill();
     caller.roam(cluster.getCallerAddress(1));
-    // Sent before h2 has noticed the death, the commit may have reached a living h1 for all that h2 knows.
-    auto atOnce = endTransaction(caller, name, "commit");
-    bool isHonest = getErrorKind(atOnce) == "transaction-unknown" || (getErrorKind(atOnce) == "outcome-unknown" && getRan(atOnce) == "unknown");
-    BOOST_TEST(isHonest, json::serialize(atOnce.body));
-    // Once its exchanges have failed, it knows that nothing can be sent there.
+    // Until h2 has detected the crash, it cannot know whether the commit reached h1.
+    auto immediate = endTransaction(caller, name, "commit");
+    bool isValidError = getErrorKind(immediate) == "transaction-unknown" || (getErrorKind(immediate) == "outcome-unknown" && getRan(immediate) == "unknown");
+    BOOST_TEST(isValidError, json::serialize(immediate.body));
+    // Once its exchanges have failed, h2 knows that the commit cannot reach h1.
     BOOST_TEST(waitUntil(milliseconds(10000), [&] { return cluster.getStatus(1)["hosts"].at("h1").at("state") != "alive"; }));
     auto answer = endTransaction(caller, name, "commit");
     BOOST_TEST(getErrorKind(answer) == "transaction-unknown", json::serialize(answer.body));
@@ -117,7 +117,7 @@
     cluster.beginAll();
     Caller caller(cluster.getCallerAddress(0));
     auto name = beginTransaction(caller);
-    BOOST_TEST(writeIn(caller, name, "SET a 1").status == 200u);
+    BOOST_TEST(writeInTransaction(caller, name, "SET a 1").status == 200u);
     cluster.getMember("orders-a").kill();
     auto answer = endTransaction(caller, name, "commit");
     BOOST_TEST(answer.status != 200u);
@@ -125,15 +125,15 @@
     BOOST_TEST(getResult(Caller(cluster.getCallerAddress(1)).read("orders", "GET a")) == "");
 }
 
-// Many callers at once through few connections, some answers late: each must get its own answer, whole.
-BOOST_AUTO_TEST_CASE(crowded_connections_never_cross_answers_or_transactions)
+// Concurrent callers share few connections and some answers arrive late: each caller must get only its own answers.
+BOOST_AUTO_TEST_CASE(shared_connections_never_mix_up_answers_or_transactions)
 {
     auto shape = getSmallShape();
     shape.groups.front().connections = 6;
     Cluster cluster(shape);
     cluster.beginAll();
     cluster.setMember("orders-a", { { "serviceMs", 1 } });
-    std::atomic<int> wrong { 0 };
+    std::atomic<int> wrongAnswers { 0 };
     std::atomic<int> done { 0 };
     std::vector<std::thread> callers;
     for (int n = 0; n < 12; ++n) {
@@ -146,31 +146,31 @@
                     auto name = beginTransaction(caller);
                     if (name.empty())
                         continue;
-                    writeIn(caller, name, "SET " + key + " " + value);
+                    writeInTransaction(caller, name, "SET " + key + " " + value);
                     auto inside = caller.send("/v1/statement", { { "group", "orders" }, { "kind", "read" }, { "statement", "GET " + key }, { "transaction", name } });
                     if (inside.status == 200 && getResult(inside) != value)
-                        ++wrong;
+                        ++wrongAnswers;
                     if (endTransaction(caller, name, "commit").status != 200)
                         continue;
                 } else {
-                    // A short deadline now and then: its answer comes late and must reach nobody.
-                    bool isHasty = i % 7 == 3;
-                    auto written = caller.write("orders", "SET " + key + " " + value, key + value, isHasty ? 12 : 5000);
+                    // Some deadlines are too short: the late answer must not reach any caller.
+                    bool hasShortDeadline = i % 7 == 3;
+                    auto written = caller.write("orders", "SET " + key + " " + value, key + value, hasShortDeadline ? 12 : 5000);
                     if (written.status != 200)
                         continue;
                     if (getResult(written) != value)
-                        ++wrong;
+                        ++wrongAnswers;
                 }
                 auto read = caller.read("orders", "GET " + key);
                 if (read.status == 200 && getResult(read) != value)
-                    ++wrong;
+                    ++wrongAnswers;
                 ++done;
             }
         });
     }
     for (auto& it : callers)
         it.join();
-    BOOST_TEST(wrong == 0);
+    BOOST_TEST(wrongAnswers == 0);
     BOOST_TEST(done > 150);
     BOOST_TEST(cluster.getMemberStats("orders-a")["mostConnections"].to_number<int>() <= 6);
 }
