--- a/src/filters/chain.cpp
+++ b/src/filters/chain.cpp
@@ -40,7 +40,7 @@
 }
 
 // After the error that reports lost writes, the session continues from the group's present state.
-static Reply replyWithContextError(const Services& services, RequestContext& context, const Error& error)
+static Reply makeErrorReply(const Services& services, RequestContext& context, const Error& error)
 {
     if (error.kind == ErrorKind::SessionWritesLost)
         context.marks.erase(context.group);
@@ -82,7 +82,7 @@
     auto& settings = services.node.settings;
     auto requested = context.deadline.value_or(milliseconds(std::min(settings.defaultDeadlineMs, settings.maxDeadlineMs)));
     if (requested.count() <= 0 || requested.count() > settings.maxDeadlineMs)
-        co_return replyWithContextError(services, context, { ErrorKind::BadDeadline, fmt::format("deadlineMs must be from 1 to {}", settings.maxDeadlineMs) });
+        co_return makeErrorReply(services, context, { ErrorKind::BadDeadline, fmt::format("deadlineMs must be from 1 to {}", settings.maxDeadlineMs) });
     context.request.deadline = context.receivedAt + std::min(requested, context.remaining.value_or(requested));
     co_return std::nullopt;
 }
@@ -91,7 +91,7 @@
 {
     auto configuration = services.configuration.getSnapshot().read();
     if (!configuration->isLoaded)
-        co_return replyWithContextError(services, context, { ErrorKind::NotConfigured, "this host has no records yet", kRetryAfter });
+        co_return makeErrorReply(services, context, { ErrorKind::NotConfigured, "this host has no records yet", kRetryAfter });
     co_return std::nullopt;
 }
 
@@ -100,13 +100,13 @@
     auto table = services.groups.getTable().read();
     auto it = table->find(context.group);
     if (it == table->end() || it->second.record->isRetired)
-        co_return replyWithContextError(services, context, { ErrorKind::UnknownGroup, "no active record names the group " + context.group });
+        co_return makeErrorReply(services, context, { ErrorKind::UnknownGroup, "no active record names the group " + context.group });
     context.entry = it->second;
     if (context.readKind) {
         auto& kinds = context.entry.record->readKinds;
         auto kind = kinds.find(*context.readKind);
         if (kind == kinds.end())
-            co_return replyWithContextError(services, context, { ErrorKind::BadRequest, "the group's record does not define the read kind " + *context.readKind });
+            co_return makeErrorReply(services, context, { ErrorKind::BadRequest, "the group's record does not define the read kind " + *context.readKind });
         if (!context.request.maximumAge)
             context.request.maximumAge = kind->second;
     }
@@ -168,7 +168,7 @@
     if (context.request.transaction.empty() || owner == services.node.settings.name)
         co_return std::nullopt;
     if (context.hops >= kMaxHops)
-        co_return replyWithContextError(services, context, { ErrorKind::TransactionUnknown, "no host knows this transaction" });
+        co_return makeErrorReply(services, context, { ErrorKind::TransactionUnknown, "no host knows this transaction" });
     // A channel whose last connect failed rejects requests until its backoff ends, so the owner counts as lost only after
     // several attempts.
     auto result = co_await relayTo(services, context, owner);
@@ -181,8 +181,8 @@
     if (result.reply)
         co_return result.reply;
     if (!result.mayHaveArrived)
-        co_return replyWithContextError(services, context, { ErrorKind::TransactionUnknown, "the transaction was rolled back because its host is unreachable" });
-    co_return replyWithContextError(services, context, { ErrorKind::OutcomeUnknown, "the host that holds the transaction did not answer", kRetryAfter });
+        co_return makeErrorReply(services, context, { ErrorKind::TransactionUnknown, "the host of the transaction is unreachable; the transaction is rolled back" });
+    co_return makeErrorReply(services, context, { ErrorKind::OutcomeUnknown, "the host that holds the transaction did not answer", kRetryAfter });
 }
 
 // Whether this host is a home that cannot reach the primary while another home may reach it.
@@ -206,14 +206,14 @@
     if (!isOwned && !isServedHere(context))
         co_return std::nullopt;
     if (!context.entry.controller)
-        co_return replyWithContextError(services, context, { ErrorKind::TransactionUnknown, "this host holds no such transaction" });
+        co_return makeErrorReply(services, context, { ErrorKind::TransactionUnknown, "this host holds no such transaction" });
     auto outcome = co_await context.entry.controller->run(context.request);
     if (outcome)
         co_return replyWithOutcome(services, context, *outcome);
     // This host is no longer a home of the group. Nothing ran, so the request can be relayed.
     if (outcome.error().kind == ErrorKind::Draining && !isOwned)
         co_return std::nullopt;
-    co_return replyWithContextError(services, context, outcome.error());
+    co_return makeErrorReply(services, context, outcome.error());
 }
 
 // Returns a relayed request to its sender if this host is not a home. Relaying it again could loop between two hosts with
@@ -236,7 +236,7 @@
         if (result.reply)
             co_return result.reply;
         if (result.mayHaveArrived && !canRepeat)
-            co_return replyWithContextError(services, context, { ErrorKind::OutcomeUnknown, "a home of the group received the request but did not answer", kRetryAfter });
+            co_return makeErrorReply(services, context, { ErrorKind::OutcomeUnknown, "a home of the group received the request but did not answer", kRetryAfter });
         if (result.mayHaveArrived)
             base::count(base::Counter::Retries);
     }
@@ -260,8 +260,8 @@
             co_return reply;
     }
     if (Clock::now() >= context.request.deadline - kRelayMargin)
-        co_return replyWithContextError(services, context, { canRepeat ? ErrorKind::OutcomeUnknown : ErrorKind::DeadlineExceeded, "no home of the group answered in time", kRetryAfter });
-    co_return replyWithContextError(services, context, { ErrorKind::NoPrimary, "no home of the group is reachable from here", kRetryAfter });
+        co_return makeErrorReply(services, context, { canRepeat ? ErrorKind::OutcomeUnknown : ErrorKind::DeadlineExceeded, "no home of the group answered in time", kRetryAfter });
+    co_return makeErrorReply(services, context, { ErrorKind::NoPrimary, "no home of the group is reachable from here", kRetryAfter });
 }
 
 const std::vector<Filter>& getChain()
@@ -276,7 +276,7 @@
         if (auto reply = co_await filter(services, context))
             co_return *reply;
     }
-    co_return replyWithContextError(services, context, { ErrorKind::Internal, "no filter answered the request" });
+    co_return makeErrorReply(services, context, { ErrorKind::Internal, "no filter answered the request" });
 }
 
 // An internal error must not end the process. The caller gets an error with an unknown outcome.
@@ -290,7 +290,7 @@
         reply = co_await runFilters(services, context);
     } catch (const std::exception& error) {
         base::getTimeline().add("internal-error", context.group, error.what());
-        reply = replyWithContextError(services, context, { ErrorKind::Internal, "internal error in alderward; please report it" });
+        reply = makeErrorReply(services, context, { ErrorKind::Internal, "internal error in alderward; please report it" });
     }
     base::record(base::Latency::Request, Clock::now() - began);
     co_return reply;
