--- a/src/filters/chain.cpp
+++ b/src/filters/chain.cpp
@@ -236,7 +236,7 @@
         if (result.reply)
             co_return result.reply;
         if (result.mayHaveArrived && !canRepeat)
-            co_return makeErrorReply(services, context, { ErrorKind::OutcomeUnknown, "a home of the group received the request but did not answer", kRetryAfter });
+            co_return makeErrorReply(services, context, { ErrorKind::OutcomeUnknown, "a home of the group did not answer and may have received the request", kRetryAfter });
         if (result.mayHaveArrived)
             base::count(base::Counter::Retries);
     }
