--- a/src/controllers/group.cpp
+++ b/src/controllers/group.cpp
@@ -84,7 +84,7 @@
         member.confirmTimer = std::make_shared<asio::steady_timer>(m_strand);
         members.push_back(std::move(member));
     }
-    // Statements that wait for a removed member try another one.
+    // Statements that wait for a connection are routed again, as their member may have been removed.
     for (auto& it : m_members)
         it.pool->cancelWaiters();
     m_members = std::move(members);
@@ -225,8 +225,8 @@
     });
 }
 
-// The only place that changes the group's state. Performs the resulting actions, and wakes waiting requests after events of
-// members.
+// The only place that changes the group's state. Performs the resulting actions, and wakes waiting requests unless the event is a
+// failover event.
 void GroupController::applyEvent(const decisions::GroupEvent& event)
 {
     auto termBefore = m_state.health.term;
@@ -249,7 +249,7 @@
     wakeHealthWaiters();
 }
 
-// Statements that wait for an unreachable member or a former primary try another member.
+// Statements that wait for an unreachable member or for one that is not the primary are routed again.
 void GroupController::rerouteWaitingStatements(uint64_t termBefore)
 {
     auto& health = m_state.health;
--- a/src/controllers/hosts.cpp
+++ b/src/controllers/hosts.cpp
@@ -365,7 +365,7 @@
     size_t n = 0;
     for (auto& it : bodies)
         n += it.value().size();
-    // The initial load is not pushed. Hosts that lack records request them.
+    // Large sets such as the initial load are not pushed. Hosts that lack records request them.
     if (n > kMaxPushBytes)
         return;
     asio::post(m_strand, [this, bodies = std::move(bodies)] {
--- a/src/controllers/pool.cpp
+++ b/src/controllers/pool.cpp
@@ -136,7 +136,7 @@
     std::erase(queue, waiter);
     if (Clock::now() >= deadline)
         co_return fail(ErrorKind::Overloaded, "no connection to the member became free in time", decisions::getRetryAfter(getQueueState(), base::getRandom()));
-    co_return fail(ErrorKind::NoPrimary, "the member was removed or is no longer usable");
+    co_return fail(ErrorKind::NoPrimary, "the wait for a connection was cancelled because the group's members changed");
 }
 
 // Reserves the capacity found by hasCapacity(). Empty: the connection is counted and has yet to be opened.
--- a/src/controllers/pool.h
+++ b/src/controllers/pool.h
@@ -59,9 +59,9 @@
 
     void setLimits(const PoolLimits& limits);
     // Leases a connection, or waits for one until the deadline. Fails immediately with Overloaded if the queue is too long for the
-    // deadline, and with NoPrimary if the member is removed or loses its role while the statement waits.
+    // deadline, and with NoPrimary if it cannot connect or the wait is cancelled.
     boost::asio::awaitable<decisions::Result<Lease>> acquire(Lane lane, base::TimePoint deadline, bool isTransaction);
-    // Ends all waits, after the member was removed or lost its role. The statements then try another member.
+    // Cancels all waits, so that the waiting statements are routed again.
     void cancelWaiters();
     // Closes all leased connections of a superseded member. Their statements end with an unknown outcome.
     void abortLeased();
