--- a/src/controllers/group_statements.cpp
+++ b/src/controllers/group_statements.cpp
@@ -1,4 +1,4 @@
-// What callers asked for: reads, writes and settlements, on the group's strand. Transactions: group_transactions.cpp.
+// Reads, writes and settlements of callers, on the group's strand. Transactions: group_transactions.cpp.
 #include "base/metrics.h"
 #include "base/random.h"
 #include "base/timeline.h"
@@ -21,12 +21,12 @@
 using decisions::Result;
 using decisions::RouteKind;
 
-static constexpr milliseconds kChangePause { 50 }; // longest wait before a route is looked up again
-static constexpr milliseconds kStaleWait { 300 }; // how long a read waits for a fresh enough member to appear
-static constexpr milliseconds kAnswerMargin { 5 }; // kept back from the deadline for the answer's way home
+static constexpr milliseconds kMaxReroutePause { 50 }; // maximum time before a request is routed again
+static constexpr milliseconds kMaxFreshnessWait { 300 }; // how long a read waits for a sufficiently fresh member
+static constexpr milliseconds kReplyMargin { 5 }; // part of the deadline reserved for the reply to the caller
 
-// After a refusal the connection is as good as before; after anything else a late answer could still come on it.
-static void putAway(Lease& lease, const links::TargetFailure& failure)
+// A refusal leaves the connection usable. After any other failure, a late answer could still arrive on it.
+static void releaseAfterFailure(Lease& lease, const links::TargetFailure& failure)
 {
     if (failure.refusal)
         lease.release();
@@ -34,43 +34,43 @@
         lease.discard();
 }
 
-asio::awaitable<Result<Outcome>> GroupController::run(Order order)
+asio::awaitable<Result<Outcome>> GroupController::run(GroupRequest request)
 {
-    order.deadline -= kAnswerMargin;
-    co_return co_await asio::co_spawn(m_strand, runHere(std::move(order)), asio::use_awaitable);
+    request.deadline -= kReplyMargin;
+    co_return co_await asio::co_spawn(m_strand, runOnStrand(std::move(request)), asio::use_awaitable);
 }
 
-asio::awaitable<Result<Outcome>> GroupController::runHere(Order order)
+asio::awaitable<Result<Outcome>> GroupController::runOnStrand(GroupRequest request)
 {
     auto self = shared_from_this();
-    ++m_orders;
-    beginUse();
-    auto outcome = co_await dispatch(std::move(order));
-    --m_orders;
+    ++m_activeRequests;
+    refreshAfterIdle();
+    auto outcome = co_await dispatch(std::move(request));
+    --m_activeRequests;
     co_return outcome;
 }
 
-// After an idle time this home knows the group as it was up to a second ago: the members are asked beside the order.
-void GroupController::beginUse()
+// After an idle time the known state of the group may be outdated, so the members are probed alongside the request.
+void GroupController::refreshAfterIdle()
 {
     auto now = Clock::now();
-    if (m_isActive && now - m_usedAt >= kIdleAfter)
+    if (m_isActive && now - m_lastRequestAt >= kGroupIdleTimeout)
         probeNow();
-    m_usedAt = now;
+    m_lastRequestAt = now;
 }
 
-asio::awaitable<Result<Outcome>> GroupController::dispatch(Order order)
+asio::awaitable<Result<Outcome>> GroupController::dispatch(GroupRequest request)
 {
-    if (!order.transaction.empty())
-        co_return co_await runInTransaction(std::move(order));
+    if (!request.transaction.empty())
+        co_return co_await runInTransaction(std::move(request));
     if (!m_isActive)
-        co_return fail(ErrorKind::Draining, "this host is not a home of the group any more", kComeBack);
-    if (order.operation == Operation::Begin)
-        co_return co_await runBegin(std::move(order));
-    bool isWrite = order.isWrite || order.operation == Operation::Settle;
+        co_return fail(ErrorKind::Draining, "this host is no longer a home of the group", kRetryAfter);
+    if (request.operation == Operation::Begin)
+        co_return co_await runBegin(std::move(request));
+    bool isWrite = request.isWrite || request.operation == Operation::Settle;
     if (isWrite)
-        co_return co_await runWrite(std::move(order));
-    co_return co_await runRead(std::move(order));
+        co_return co_await runWrite(std::move(request));
+    co_return co_await runRead(std::move(request));
 }
 
 // ---- reads ----
@@ -79,252 +79,252 @@
 {
     switch (reason) {
     case ErrorKind::TooStale:
-        return "no reachable member is fresh enough";
+        return "no reachable member is within the maximum age";
     case ErrorKind::NotCaughtUp:
-        return "the session is ahead of every reachable member";
+        return "no reachable member has caught up with the session";
     case ErrorKind::SessionWritesLost:
-        return "a change of primary lost writes that this session had seen; a session without the token starts anew";
+        return "a change of primary lost writes that this session had seen; continue with the returned token or without one";
     default:
-        return "no member that could serve this is reachable";
+        return "no member that can serve the request is reachable";
     }
 }
 
-asio::awaitable<Result<Outcome>> GroupController::runRead(Order order)
+asio::awaitable<Result<Outcome>> GroupController::runRead(GroupRequest request)
 {
-    auto giveUpAt = std::min(order.deadline, Clock::now() + kStaleWait);
-    decisions::ReadRequirements need { order.mark, order.maximumAge, {} };
+    auto freshnessDeadline = std::min(request.deadline, Clock::now() + kMaxFreshnessWait);
+    decisions::ReadRequirements requirements { request.mark, request.maximumAge, {} };
     for (;;) {
-        auto route = decisions::routeRead(m_state.health, getLoads(), need, Clock::now());
+        auto route = decisions::routeRead(m_state.health, getLoads(), requirements, Clock::now());
         if (route.kind == RouteKind::Refuse)
             co_return fail(route.reason, describeWait(route.reason));
-        bool mayCatchUp = route.reason == ErrorKind::NotCaughtUp;
-        if (route.kind == RouteKind::Wait && isDue(mayCatchUp ? order.deadline : giveUpAt))
-            co_return fail(route.reason, describeWait(route.reason), kComeBack);
+        bool canCatchUp = route.reason == ErrorKind::NotCaughtUp;
+        if (route.kind == RouteKind::Wait && isDue(canCatchUp ? request.deadline : freshnessDeadline))
+            co_return fail(route.reason, describeWait(route.reason), kRetryAfter);
         if (route.kind == RouteKind::Wait) {
-            co_await waitForChange(std::min(order.deadline, Clock::now() + kChangePause));
-            need.tried.clear();
+            co_await waitForHealthChange(std::min(request.deadline, Clock::now() + kMaxReroutePause));
+            requirements.tried.clear();
             continue;
         }
-        auto outcome = co_await tryRead(order, route);
-        // A read that did not come through may go elsewhere: reads change nothing.
+        auto outcome = co_await tryRead(request, route);
+        // A failed read may be repeated at another member, because it changes nothing.
         bool isWorthRetrying = !outcome && (outcome.error().kind == ErrorKind::NoPrimary || outcome.error().kind == ErrorKind::NotCaughtUp || outcome.error().kind == ErrorKind::OutcomeUnknown);
-        if (!isWorthRetrying || isDue(order.deadline)) {
+        if (!isWorthRetrying || isDue(request.deadline)) {
             if (outcome)
                 m_retryBudget = decisions::depositRetry(m_retryBudget);
             co_return outcome;
         }
         bool wasBehind = outcome.error().kind == ErrorKind::NotCaughtUp;
         if (wasBehind)
-            need.tried.push_back(route.member);
+            requirements.tried.push_back(route.member);
         if (!wasBehind && !decisions::tryTakeRetry(m_retryBudget))
             co_return outcome;
         base::count(Counter::Retries);
     }
 }
 
-asio::awaitable<Result<Outcome>> GroupController::tryRead(const Order& order, const decisions::Route& route)
+asio::awaitable<Result<Outcome>> GroupController::tryRead(const GroupRequest& request, const decisions::Route& route)
 {
     auto index = route.member;
     auto member = m_members[index].record.name;
     auto pool = m_members[index].pool;
     bool isPrimary = m_state.health.primary == index;
-    auto lease = co_await pool->acquire(Lane::Read, order.deadline, false);
+    auto lease = co_await pool->acquire(Lane::Read, request.deadline, false);
     if (!lease)
         co_return tl::make_unexpected(lease.error());
     auto sentAt = Clock::now();
-    links::ExecuteRequest request;
-    request.statement = order.statement;
-    request.parameters = order.parameters;
-    request.atLeast = order.mark;
-    request.waitLimit = route.waitForPosition;
-    auto answer = co_await links::execute(lease->getLink(), m_node.settings.name, request, order.deadline);
+    links::ExecuteRequest message;
+    message.statement = request.statement;
+    message.parameters = request.parameters;
+    message.atLeast = request.mark;
+    message.waitLimit = route.waitForPosition;
+    auto answer = co_await links::execute(lease->getLink(), m_node.settings.name, message, request.deadline);
     auto latency = Clock::now() - sentAt;
     if (!answer) {
-        putAway(*lease, answer.error());
-        co_return takeTargetFailure(answer.error(), index);
+        releaseAfterFailure(*lease, answer.error());
+        co_return handleTargetFailure(answer.error(), index);
     }
     lease->release();
-    pool->noteLatency(latency);
+    pool->recordLatency(latency);
     base::record(base::Latency::Read, latency);
     if (index >= m_members.size() || m_members[index].record.name != member)
         co_return fail(ErrorKind::OutcomeUnknown, "the record changed during the read");
-    notePosition(index, answer->mark);
-    noteAnswer(index, answer->glimpse, sentAt);
-    base::checkInvariant(answer->mark.term >= order.mark.term, "a read was answered from before what its session saw", m_name);
+    updateKnownPosition(index, answer->mark);
+    handlePiggybackedStatus(index, answer->glimpse, sentAt);
+    base::checkInvariant(answer->mark.term >= request.mark.term, "a read was answered from an older term than its session has seen", m_name);
     Outcome outcome;
     outcome.result = std::move(answer->result);
-    outcome.mark = std::max(order.mark, answer->mark);
+    outcome.mark = std::max(request.mark, answer->mark);
     outcome.member = member;
     outcome.role = isPrimary ? decisions::Role::Primary : decisions::Role::Replica;
     outcome.age = decisions::getStalenessBound(m_state.health, answer->mark.term, answer->mark.position, Clock::now());
     base::count(isPrimary ? Counter::ReadsByPrimary : Counter::ReadsByReplica);
-    co_return co_await checkAge(order, std::move(outcome), index, sentAt);
+    co_return co_await checkStaleness(request, std::move(outcome), index, sentAt);
 }
 
-// A read with a stated age is answered only if the bound holds at the end. The primary of a term that a majority still
-// confirms, asked after the read was sent, was up to date when it read.
-asio::awaitable<Result<Outcome>> GroupController::checkAge(const Order& order, Outcome outcome, size_t member, TimePoint sentAt)
+// Answers a read with a maximum age only if the bound holds at its end. A primary whose term a majority confirms after the
+// read was sent was up to date when it ran the read.
+asio::awaitable<Result<Outcome>> GroupController::checkStaleness(const GroupRequest& request, Outcome outcome, size_t member, TimePoint sentAt)
 {
-    if (!order.maximumAge || (outcome.age && *outcome.age <= *order.maximumAge))
+    if (!request.maximumAge || (outcome.age && *outcome.age <= *request.maximumAge))
         co_return outcome;
     if (outcome.role != decisions::Role::Primary)
-        co_return fail(ErrorKind::NotCaughtUp, "the member fell behind during the read", kComeBack);
+        co_return fail(ErrorKind::NotCaughtUp, "the member fell behind during the read", kRetryAfter);
     decisions::PendingWrite question { { m_state.health.members[member].status.term, 0 }, sentAt, false };
-    auto answer = co_await confirm(question, outcome.member, order.deadline);
+    auto answer = co_await confirm(question, outcome.member, request.deadline);
     if (answer != Confirmation::Confirmed)
-        co_return fail(ErrorKind::TooStale, "the primary could not be confirmed in time", kComeBack);
+        co_return fail(ErrorKind::TooStale, "the primary could not be confirmed in time", kRetryAfter);
     outcome.age = milliseconds(0);
     co_return outcome;
 }
 
 // ---- writes ----
 
-// A write may be held while a promotion can still come; otherwise the caller gets its final answer now.
-bool GroupController::mayHold() const
+// Whether a write may wait for a primary. If not, it fails immediately.
+bool GroupController::canHoldWrites() const
 {
-    decisions::WriteHoldConditions view { m_state.health };
-    view.majority = m_role.record->getMajority();
-    view.isPromotionHeldBack = !m_state.failover.holdBackReason.empty();
-    view.isPathFault = isPathFault();
-    view.held = m_held;
-    view.maxHeld = static_cast<size_t>(m_node.settings.maxHeldWrites);
-    view.primaryLostAt = m_state.health.withoutPrimarySince;
+    decisions::WriteHoldConditions conditions { m_state.health };
+    conditions.majority = m_configuration.record->getMajority();
+    conditions.isPromotionHeldBack = !m_state.failover.holdBackReason.empty();
+    conditions.isPathFault = isPathFault();
+    conditions.held = m_heldWrites;
+    conditions.maxHeld = static_cast<size_t>(m_node.settings.maxHeldWrites);
+    conditions.primaryLostAt = m_state.health.withoutPrimarySince;
     if (m_state.health.primary)
-        view.primaryLostAt = m_role.isLeaving[*m_state.health.primary] ? m_members[*m_state.health.primary].leavingSince : m_state.health.members[*m_state.health.primary].failingSince;
-    return decisions::canHoldWrite(view, Clock::now());
+        conditions.primaryLostAt = m_configuration.isLeaving[*m_state.health.primary] ? m_members[*m_state.health.primary].leavingSince : m_state.health.members[*m_state.health.primary].failingSince;
+    return decisions::canHoldWrite(conditions, Clock::now());
 }
 
-// Waits for a primary. An error ends the order, nothing having been sent.
-asio::awaitable<std::optional<decisions::Error>> GroupController::holdWrite(const Order& order, const decisions::Route& route)
+// Waits for a change that may bring a primary. An error ends the request; nothing was sent.
+asio::awaitable<std::optional<decisions::Error>> GroupController::holdWrite(const GroupRequest& request, const decisions::Route& route)
 {
     if (route.kind == RouteKind::Refuse)
         co_return decisions::Error { route.reason, describeWait(route.reason) };
-    if (isDue(order.deadline))
-        co_return decisions::Error { route.reason, describeWait(route.reason), kComeBack };
-    if (!mayHold()) {
-        auto why = m_state.failover.holdBackReason.empty() ? std::string(describeWait(route.reason)) : "no promotion: " + m_state.failover.holdBackReason;
-        co_return decisions::Error { route.reason, why, kComeBack * 4 };
+    if (isDue(request.deadline))
+        co_return decisions::Error { route.reason, describeWait(route.reason), kRetryAfter };
+    if (!canHoldWrites()) {
+        auto reason = m_state.failover.holdBackReason.empty() ? std::string(describeWait(route.reason)) : "no promotion: " + m_state.failover.holdBackReason;
+        co_return decisions::Error { route.reason, reason, kRetryAfter * 4 };
     }
-    ++m_held;
-    co_await waitForChange(std::min(order.deadline, Clock::now() + kChangePause));
-    --m_held;
+    ++m_heldWrites;
+    co_await waitForHealthChange(std::min(request.deadline, Clock::now() + kMaxReroutePause));
+    --m_heldWrites;
     co_return std::nullopt;
 }
 
-// The primary as it is known now, waited for as long as one can come.
-asio::awaitable<Result<size_t>> GroupController::findPrimary(const Order& order)
+// Returns the known primary, or waits for one while a promotion is possible.
+asio::awaitable<Result<size_t>> GroupController::findPrimary(const GroupRequest& request)
 {
     for (;;) {
-        auto route = decisions::routeWrite(m_state.health, getLoads(), order.mark);
+        auto route = decisions::routeWrite(m_state.health, getLoads(), request.mark);
         if (route.kind == RouteKind::Member)
             co_return route.member;
-        if (auto error = co_await holdWrite(order, route))
+        if (auto error = co_await holdWrite(request, route))
             co_return tl::make_unexpected(*error);
     }
 }
 
-asio::awaitable<Result<Outcome>> GroupController::runWrite(Order order)
+asio::awaitable<Result<Outcome>> GroupController::runWrite(GroupRequest request)
 {
     for (;;) {
-        auto primary = co_await findPrimary(order);
+        auto primary = co_await findPrimary(request);
         if (!primary)
             co_return tl::make_unexpected(primary.error());
-        auto outcome = co_await tryWrite(order, *primary, m_state.health.term);
+        auto outcome = co_await tryWrite(request, *primary, m_state.health.term);
         if (outcome) {
             m_retryBudget = decisions::depositRetry(m_retryBudget);
             co_return outcome;
         }
         auto kind = outcome.error().kind;
-        bool didNotRun = kind == ErrorKind::NoPrimary; // the member is not the primary any more, or is gone
-        bool mayRepeat = kind == ErrorKind::OutcomeUnknown && order.isRepeatable;
-        if ((!didNotRun && !mayRepeat) || isDue(order.deadline))
+        bool didNotRun = kind == ErrorKind::NoPrimary; // the member was unreachable or is not the primary
+        bool canRepeat = kind == ErrorKind::OutcomeUnknown && request.isRepeatable;
+        if ((!didNotRun && !canRepeat) || isDue(request.deadline))
             co_return outcome;
-        if (mayRepeat && !decisions::tryTakeRetry(m_retryBudget))
+        if (canRepeat && !decisions::tryTakeRetry(m_retryBudget))
             co_return outcome;
         base::count(Counter::Retries);
         probeNow();
-        co_await waitForChange(std::min(order.deadline, Clock::now() + milliseconds(10)));
+        co_await waitForHealthChange(std::min(request.deadline, Clock::now() + milliseconds(10)));
     }
 }
 
-asio::awaitable<Result<Outcome>> GroupController::tryWrite(const Order& order, size_t index, uint64_t term)
+asio::awaitable<Result<Outcome>> GroupController::tryWrite(const GroupRequest& request, size_t index, uint64_t term)
 {
     auto member = m_members[index].record.name;
     auto pool = m_members[index].pool;
-    auto lease = co_await pool->acquire(Lane::Write, order.deadline, false);
+    auto lease = co_await pool->acquire(Lane::Write, request.deadline, false);
     if (!lease)
         co_return tl::make_unexpected(lease.error());
     auto sentAt = Clock::now();
-    if (sentAt >= order.deadline)
+    if (sentAt >= request.deadline)
         co_return fail(ErrorKind::DeadlineExceeded, "the deadline passed before the statement was sent");
     auto& link = lease->getLink();
     auto answer = links::TargetResult<links::ExecuteResult>();
-    links::ExecuteRequest request { term, true, order.statement, order.parameters, order.requestKey, {}, {} };
-    if (order.operation == Operation::Settle)
-        answer = co_await links::settleKey(link, m_node.settings.name, term, order.requestKey, order.deadline);
+    links::ExecuteRequest message { term, true, request.statement, request.parameters, request.requestKey, {}, {} };
+    if (request.operation == Operation::Settle)
+        answer = co_await links::settleKey(link, m_node.settings.name, term, request.requestKey, request.deadline);
     else
-        answer = co_await links::execute(link, m_node.settings.name, request, order.deadline);
+        answer = co_await links::execute(link, m_node.settings.name, message, request.deadline);
     auto ranAt = Clock::now();
     if (!answer) {
-        putAway(*lease, answer.error());
-        co_return takeTargetFailure(answer.error(), index);
+        releaseAfterFailure(*lease, answer.error());
+        co_return handleTargetFailure(answer.error(), index);
     }
     lease->release();
-    pool->noteLatency(ranAt - sentAt);
+    pool->recordLatency(ranAt - sentAt);
     if (index < m_members.size() && m_members[index].record.name == member)
-        noteAnswer(index, answer->glimpse, sentAt);
+        handlePiggybackedStatus(index, answer->glimpse, sentAt);
     Outcome outcome;
     outcome.result = std::move(answer->result);
     outcome.mark = answer->mark;
     outcome.member = member;
     outcome.wasReplayed = answer->wasReplayed;
     outcome.didRun = answer->didRun;
-    co_return co_await acknowledge(order, std::move(outcome), ranAt);
+    co_return co_await acknowledge(request, std::move(outcome), ranAt);
 }
 
 // ---- acknowledgement ----
 
-asio::awaitable<Result<Outcome>> GroupController::acknowledge(const Order& order, Outcome outcome, TimePoint ranAt)
+asio::awaitable<Result<Outcome>> GroupController::acknowledge(const GroupRequest& request, Outcome outcome, TimePoint ranAt)
 {
-    // A settlement must survive a promotion in any mode, or "not run" would not be final.
-    bool mustReplicate = m_role.record->acknowledge == decisions::Acknowledge::Replicated || order.operation == Operation::Settle;
+    // A settlement must survive a promotion in any mode. Otherwise "not run" would not be final.
+    bool mustReplicate = m_configuration.record->acknowledge == decisions::Acknowledge::Replicated || request.operation == Operation::Settle;
     decisions::PendingWrite write { outcome.mark, ranAt, mustReplicate };
-    auto answer = co_await confirm(write, outcome.member, order.deadline);
+    auto answer = co_await confirm(write, outcome.member, request.deadline);
     if (answer == Confirmation::Confirmed) {
         base::checkInvariant(outcome.mark.term >= m_acknowledgedTerm, "a write was acknowledged in a superseded term", m_name);
         m_acknowledgedTerm = std::max(m_acknowledgedTerm, outcome.mark.term);
-        outcome.mark = std::max(outcome.mark, order.mark);
+        outcome.mark = std::max(outcome.mark, request.mark);
         base::count(outcome.wasReplayed ? Counter::WritesReplayed : Counter::Writes);
         base::record(base::Latency::Write, Clock::now() - ranAt);
         co_return outcome;
     }
     if (answer == Confirmation::Superseded)
-        co_return fail(ErrorKind::OutcomeUnknown, "the primary that ran it was superseded", kComeBack);
-    co_return fail(ErrorKind::OutcomeUnknown, "it ran, but a majority did not confirm it in time", kComeBack);
+        co_return fail(ErrorKind::OutcomeUnknown, "the primary that ran the write was superseded", kRetryAfter);
+    co_return fail(ErrorKind::OutcomeUnknown, "the write ran, but a majority did not confirm it in time", kRetryAfter);
 }
 
-// Turns a failure at a member into an answer, and into knowledge about the member.
-Result<Outcome> GroupController::takeTargetFailure(const links::TargetFailure& failure, size_t member)
+// Converts a member's failure into an error, and probes members whose state may have changed.
+Result<Outcome> GroupController::handleTargetFailure(const links::TargetFailure& failure, size_t member)
 {
     if (!failure.refusal) {
         if (member < m_members.size())
             m_members[member].probeTimer->cancel();
         if (!failure.link.mayHaveArrived)
-            return fail(ErrorKind::NoPrimary, failure.link.reason, kComeBack);
-        return fail(ErrorKind::OutcomeUnknown, "sent, but no answer came: " + failure.link.reason, kComeBack);
+            return fail(ErrorKind::NoPrimary, failure.link.reason, kRetryAfter);
+        return fail(ErrorKind::OutcomeUnknown, "the request was sent but not answered: " + failure.link.reason, kRetryAfter);
     }
     auto& refusal = *failure.refusal;
     switch (refusal.kind) {
     case links::RefusalKind::Term:
     case links::RefusalKind::Role:
         probeNow();
-        return fail(ErrorKind::NoPrimary, "the member is not the primary of that term: " + refusal.message, kComeBack);
+        return fail(ErrorKind::NoPrimary, "the member is not the primary of that term: " + refusal.message, kRetryAfter);
     case links::RefusalKind::Behind:
-        return fail(ErrorKind::NotCaughtUp, "the member has not caught up: " + refusal.message, kComeBack);
+        return fail(ErrorKind::NotCaughtUp, "the member has not caught up: " + refusal.message, kRetryAfter);
     case links::RefusalKind::KeyClosed:
         return fail(ErrorKind::KeyClosed, "the request key was settled as not run");
     case links::RefusalKind::Connections:
-        return fail(ErrorKind::Overloaded, "the member takes no more connections", decisions::jitterRetryAfter(kComeBack, base::getRandom()));
+        return fail(ErrorKind::Overloaded, "the member accepts no more connections", decisions::jitterRetryAfter(kRetryAfter, base::getRandom()));
     case links::RefusalKind::Transaction:
         return fail(ErrorKind::TransactionUnknown, refusal.message);
     default:
--- a/src/controllers/group_transactions.cpp
+++ b/src/controllers/group_transactions.cpp
@@ -1,4 +1,4 @@
-// Transactions of callers: each keeps a connection until it ends, on the group's strand.
+// Transactions of callers, on the group's strand. Each holds a connection until it ends.
 #include "base/metrics.h"
 #include "controllers/group.h"
 #include <boost/asio/use_awaitable.hpp>
@@ -21,105 +21,105 @@
     return fmt::format("{}.{:016x}{:08x}", host, engine(), static_cast<uint32_t>(engine()));
 }
 
-asio::awaitable<Result<Outcome>> GroupController::runBegin(Order order)
+asio::awaitable<Result<Outcome>> GroupController::runBegin(GroupRequest request)
 {
     for (;;) {
-        auto primary = co_await findPrimary(order);
+        auto primary = co_await findPrimary(request);
         if (!primary)
             co_return tl::make_unexpected(primary.error());
         auto term = m_state.health.term;
-        auto lease = co_await m_members[*primary].pool->acquire(Lane::Write, order.deadline, true);
+        auto lease = co_await m_members[*primary].pool->acquire(Lane::Write, request.deadline, true);
         if (!lease)
             co_return tl::make_unexpected(lease.error());
-        auto answer = co_await links::beginTransaction(lease->getLink(), m_node.settings.name, term, order.deadline);
+        auto answer = co_await links::beginTransaction(lease->getLink(), m_node.settings.name, term, request.deadline);
         if (!answer) {
             lease->discard();
-            auto failure = takeTargetFailure(answer.error(), *primary);
-            // A begin without an answer has changed nothing that lasts: its connection is closed, which rolls it back.
-            if (isDue(order.deadline))
-                co_return fail(ErrorKind::NoPrimary, failure.error().message, kComeBack);
-            co_await waitForChange(std::min(order.deadline, Clock::now() + milliseconds(10)));
+            auto failure = handleTargetFailure(answer.error(), *primary);
+            // Closing the connection rolls back a transaction whose begin was not answered, so begin can be repeated.
+            if (isDue(request.deadline))
+                co_return fail(ErrorKind::NoPrimary, failure.error().message, kRetryAfter);
+            co_await waitForHealthChange(std::min(request.deadline, Clock::now() + milliseconds(10)));
             continue;
         }
-        lease->beginPause();
+        lease->releaseSlot();
         auto name = makeTransactionName(m_node.settings.name);
         auto transaction = std::make_shared<Transaction>();
         transaction->lease = std::move(*lease);
         transaction->term = term;
         transaction->member = *primary;
-        transaction->usedAt = Clock::now();
+        transaction->lastUsedAt = Clock::now();
         m_transactions[name] = std::move(transaction);
         ++m_openTransactions;
         base::count(Counter::Transactions);
         Outcome outcome;
         outcome.transaction = name;
         outcome.member = m_members[*primary].record.name;
-        outcome.mark = order.mark;
+        outcome.mark = request.mark;
         co_return outcome;
     }
 }
 
-asio::awaitable<links::TargetResult<links::ExecuteResult>> GroupController::sendInTransaction(const Order& order, Transaction& transaction)
+asio::awaitable<links::TargetResult<links::ExecuteResult>> GroupController::sendInTransaction(const GroupRequest& request, Transaction& transaction)
 {
     auto& link = transaction.lease.getLink();
     auto& from = m_node.settings.name;
-    if (order.operation == Operation::Commit)
-        co_return co_await links::commitTransaction(link, from, order.requestKey, order.deadline);
-    if (order.operation == Operation::Rollback) {
-        auto answer = co_await links::rollbackTransaction(link, from, order.deadline);
+    if (request.operation == Operation::Commit)
+        co_return co_await links::commitTransaction(link, from, request.requestKey, request.deadline);
+    if (request.operation == Operation::Rollback) {
+        auto answer = co_await links::rollbackTransaction(link, from, request.deadline);
         if (!answer)
             co_return tl::make_unexpected(answer.error());
         co_return links::ExecuteResult {};
     }
-    links::ExecuteRequest request { transaction.term, order.isWrite, order.statement, order.parameters, {}, {}, {} };
-    co_return co_await links::execute(link, from, request, order.deadline);
+    links::ExecuteRequest message { transaction.term, request.isWrite, request.statement, request.parameters, {}, {}, {} };
+    co_return co_await links::execute(link, from, message, request.deadline);
 }
 
-asio::awaitable<Result<Outcome>> GroupController::runInTransaction(Order order)
+asio::awaitable<Result<Outcome>> GroupController::runInTransaction(GroupRequest request)
 {
-    auto it = m_transactions.find(order.transaction);
+    auto it = m_transactions.find(request.transaction);
     if (it == m_transactions.end())
-        co_return fail(ErrorKind::TransactionUnknown, "the transaction ended, or the host that held it is gone: it was rolled back");
+        co_return fail(ErrorKind::TransactionUnknown, "the transaction has ended, or it was rolled back because its host stopped");
     auto transaction = it->second;
     if (transaction->isBusy)
         co_return fail(ErrorKind::TransactionUnknown, "another statement of this transaction is running");
     transaction->isBusy = true;
-    transaction->lease.endPause();
-    auto answer = co_await sendInTransaction(order, *transaction);
+    transaction->lease.acquireSlot();
+    auto answer = co_await sendInTransaction(request, *transaction);
     auto ranAt = Clock::now();
     transaction->isBusy = false;
-    transaction->usedAt = ranAt;
-    transaction->lease.beginPause();
-    bool isLast = order.operation == Operation::Commit || order.operation == Operation::Rollback;
+    transaction->lastUsedAt = ranAt;
+    transaction->lease.releaseSlot();
+    bool isLast = request.operation == Operation::Commit || request.operation == Operation::Rollback;
     bool isLost = !answer && !answer.error().refusal;
     if (isLast || isLost)
-        endTransaction(order.transaction, !isLost);
+        endTransaction(request.transaction, !isLost);
     if (!answer) {
-        auto failure = takeTargetFailure(answer.error(), transaction->member);
-        // Before its commit a transaction has changed nothing; a lost connection rolls it back.
-        if (order.operation != Operation::Commit && isLost)
-            co_return fail(ErrorKind::TransactionUnknown, "the connection was lost: the transaction is rolled back");
+        auto failure = handleTargetFailure(answer.error(), transaction->member);
+        // A lost connection rolls back a transaction that has not been committed.
+        if (request.operation != Operation::Commit && isLost)
+            co_return fail(ErrorKind::TransactionUnknown, "the transaction was rolled back because its connection was lost");
         if (failure.error().kind == ErrorKind::NoPrimary)
-            co_return fail(ErrorKind::TransactionUnknown, "the primary was superseded: the transaction is rolled back");
+            co_return fail(ErrorKind::TransactionUnknown, "the transaction was rolled back because its primary was superseded");
         co_return failure;
     }
     Outcome outcome;
     outcome.result = std::move(answer->result);
     outcome.member = m_members.size() > transaction->member ? m_members[transaction->member].record.name : std::string();
-    outcome.mark = order.mark;
+    outcome.mark = request.mark;
     outcome.wasReplayed = answer->wasReplayed;
-    if (order.operation != Operation::Commit)
+    if (request.operation != Operation::Commit)
         co_return outcome;
     outcome.mark = answer->mark;
-    co_return co_await acknowledge(order, std::move(outcome), ranAt);
+    co_return co_await acknowledge(request, std::move(outcome), ranAt);
 }
 
-void GroupController::endTransaction(const std::string& name, bool isLeaseGood)
+void GroupController::endTransaction(const std::string& name, bool canReuseConnection)
 {
     auto it = m_transactions.find(name);
     if (it == m_transactions.end())
         return;
-    if (isLeaseGood)
+    if (canReuseConnection)
         it->second->lease.release();
     else
         it->second->lease.discard();
@@ -127,13 +127,13 @@
     --m_openTransactions;
 }
 
-// An idle transaction holds a scarce connection: closing it rolls it back at the member.
+// Closes the connections of idle transactions, which rolls them back at the member.
 void GroupController::expireTransactions()
 {
     auto limit = milliseconds(m_node.settings.transactionIdleMs);
     std::vector<std::string> expired;
     for (auto& [name, transaction] : m_transactions) {
-        if (!transaction->isBusy && Clock::now() - transaction->usedAt > limit)
+        if (!transaction->isBusy && Clock::now() - transaction->lastUsedAt > limit)
             expired.push_back(name);
     }
     for (auto& it : expired)
