--- a/src/daemon/drain.cpp
+++ b/src/daemon/drain.cpp
@@ -8,34 +8,34 @@
 using base::Clock;
 using base::milliseconds;
 
-static constexpr milliseconds kPoll { 10 };
-static constexpr milliseconds kQuietFor { 500 }; // idle connections are closed only after this long without a request
+static constexpr milliseconds kPollInterval { 10 };
+static constexpr milliseconds kIdleThreshold { 500 }; // idle connections are closed only after this long without a request
 
-static bool isQuiet(const DrainState& state)
+static bool areCallersIdle(const DrainState& state)
 {
     auto now = std::chrono::duration_cast<milliseconds>(Clock::now().time_since_epoch()).count();
-    return now - state.lastRequestMs.load() >= kQuietFor.count();
+    return now - state.lastRequestMs.load() >= kIdleThreshold.count();
 }
 
 asio::awaitable<void> drain(controllers::Node& node, DrainState& state, controllers::HostsController& hosts, controllers::GroupsController& groups, links::HttpServer& callers)
 {
-    auto began = Clock::now();
+    auto startedAt = Clock::now();
     auto limit = milliseconds(node.settings.drainLimitMs);
-    auto isOver = [&] { return state.mustHurry || Clock::now() - began >= limit; };
+    auto isOver = [&] { return state.mustStopNow || Clock::now() - startedAt >= limit; };
     state.isDraining = true;
     base::getTimeline().add("drain-began", "", "planned stop");
     co_await hosts.announceLeaving();
     // The balancer needs a moment to see the check turn; until then new connections are still welcome.
-    while (!state.mustHurry && Clock::now() - began < milliseconds(node.settings.drainNoticeMs))
-        co_await base::sleepFor(kPoll);
+    while (!state.mustStopNow && Clock::now() - startedAt < milliseconds(node.settings.drainNoticeMs))
+        co_await base::sleepFor(kPollInterval);
     callers.stopAccepting();
-    while (!isOver() && (state.inFlight > 0 || groups.getOpenTransactions() > 0 || (callers.getConnectionCount() > 0 && !isQuiet(state))))
-        co_await base::sleepFor(kPoll);
+    while (!isOver() && (state.inFlight > 0 || groups.getOpenTransactions() > 0 || (callers.getConnectionCount() > 0 && !areCallersIdle(state))))
+        co_await base::sleepFor(kPollInterval);
     callers.closeIdle();
     while (!isOver() && callers.getConnectionCount() > 0)
-        co_await base::sleepFor(kPoll);
-    auto cut = fmt::format("{} requests and {} transactions cut off", state.inFlight.load(), groups.getOpenTransactions());
-    base::getTimeline().add("drain-ended", "", cut);
+        co_await base::sleepFor(kPollInterval);
+    auto summary = fmt::format("{} requests and {} transactions cut off", state.inFlight.load(), groups.getOpenTransactions());
+    base::getTimeline().add("drain-ended", "", summary);
 }
 
 }
--- a/src/daemon/drain.h
+++ b/src/daemon/drain.h
@@ -10,7 +10,7 @@
 
 struct DrainState {
     std::atomic<bool> isDraining { false }; // /healthz says so
-    std::atomic<bool> mustHurry { false }; // a second signal: stop waiting
+    std::atomic<bool> mustStopNow { false }; // a second signal: stop waiting
     std::atomic<size_t> inFlight { 0 }; // callers' and peers' requests being served
     std::atomic<int64_t> lastRequestMs { 0 }; // monotonic time of the last request's arrival
 };
--- a/src/daemon/gateway.cpp
+++ b/src/daemon/gateway.cpp
@@ -15,21 +15,21 @@
 namespace {
 
 // Reads the settings file again on a signal or when it has changed.
-class SettingsWatch {
+class SettingsReloader {
 public:
-    SettingsWatch(std::string path, gateway::Gateway& gateway)
+    SettingsReloader(std::string path, gateway::Gateway& gateway)
         : m_path(std::move(path))
         , m_gateway(gateway)
-        , m_changedAt(getTime())
+        , m_modifiedAt(getModificationTime())
     {
     }
 
-    void check()
+    void reloadIfChanged()
     {
-        auto changedAt = getTime();
-        if (changedAt != m_changedAt)
+        auto modifiedAt = getModificationTime();
+        if (modifiedAt != m_modifiedAt)
             reload("the file changed");
-        m_changedAt = changedAt;
+        m_modifiedAt = modifiedAt;
     }
 
     void reload(std::string_view cause)
@@ -42,7 +42,7 @@
     }
 
 private:
-    std::filesystem::file_time_type getTime() const
+    std::filesystem::file_time_type getModificationTime() const
     {
         std::error_code ec;
         return std::filesystem::last_write_time(m_path, ec);
@@ -50,19 +50,19 @@
 
     std::string m_path;
     gateway::Gateway& m_gateway;
-    std::filesystem::file_time_type m_changedAt;
+    std::filesystem::file_time_type m_modifiedAt;
 };
 
-void waitForSignal(asio::signal_set& signals, gateway::Gateway& gateway, SettingsWatch& watch)
+void waitForSignal(asio::signal_set& signals, gateway::Gateway& gateway, SettingsReloader& reloader)
 {
     signals.async_wait([&](boost::system::error_code ec, int signal) {
         if (ec)
             return;
         if (signal == SIGHUP)
-            watch.reload("signal");
+            reloader.reload("signal");
         else
             gateway.beginStop();
-        waitForSignal(signals, gateway, watch);
+        waitForSignal(signals, gateway, reloader);
     });
 }
 
@@ -86,12 +86,12 @@
     auto adapter = platform::makeAdapter(context.get_executor(), { settings->storeAddress, settings->ordersAddress });
     auto* gateway = new gateway::Gateway(context, *timers, *settings, std::move(adapter));
     asio::signal_set signals(context, SIGTERM, SIGINT, SIGHUP);
-    SettingsWatch watch(path, *gateway);
-    waitForSignal(signals, *gateway, watch);
-    auto checks = timers->subscribe(context.get_executor(), kFileCheckInterval, [&] { watch.check(); });
-    auto begun = gateway->begin();
-    if (!begun) {
-        fmt::print(stderr, "{}\n", begun.error());
+    SettingsReloader reloader(path, *gateway);
+    waitForSignal(signals, *gateway, reloader);
+    auto checks = timers->subscribe(context.get_executor(), kFileCheckInterval, [&] { reloader.reloadIfChanged(); });
+    auto started = gateway->begin();
+    if (!started) {
+        fmt::print(stderr, "{}\n", started.error());
         return 1;
     }
     context.run();
--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -36,16 +36,16 @@
 }
 
 // Counts a request as in flight while it is served.
-class InFlight {
+class InFlightGuard {
 public:
-    explicit InFlight(daemon::DrainState& state)
+    explicit InFlightGuard(daemon::DrainState& state)
         : m_state(state)
     {
         ++m_state.inFlight;
         m_state.lastRequestMs = std::chrono::duration_cast<milliseconds>(Clock::now().time_since_epoch()).count();
     }
-    InFlight(const InFlight&) = delete;
-    ~InFlight() { --m_state.inFlight; }
+    InFlightGuard(const InFlightGuard&) = delete;
+    ~InFlightGuard() { --m_state.inFlight; }
 
 private:
     daemon::DrainState& m_state;
@@ -53,7 +53,7 @@
 
 asio::awaitable<links::HttpResponse> serveCaller(const filters::Services& services, daemon::DrainState& state, links::HttpRequest request)
 {
-    InFlight guard(state);
+    InFlightGuard guard(state);
     filters::RequestContext context;
     context.path = std::move(request.path);
     context.body = std::move(request.body);
@@ -66,7 +66,7 @@
 
 asio::awaitable<peer::RelayReply> serveRelay(const filters::Services& services, daemon::DrainState& state, peer::RelayRequest request)
 {
-    InFlight guard(state);
+    InFlightGuard guard(state);
     filters::RequestContext context;
     context.path = request.operation();
     context.body = request.body();
@@ -148,7 +148,7 @@
             if (ec)
                 return;
             if (m_drainState.isDraining.exchange(true)) {
-                m_drainState.mustHurry = true;
+                m_drainState.mustStopNow = true;
                 return;
             }
             asio::co_spawn(m_contexts.getNext(), stop(), asio::detached);
@@ -199,12 +199,12 @@
         return 0;
     }
     // Destruction order at exit is of no use to anybody: what must be finished was finished by the drain.
-    auto* process = new Daemon(std::move(*settings));
-    auto begun = process->begin();
-    if (!begun) {
-        fmt::print(stderr, "{}\n", begun.error());
+    auto* server = new Daemon(std::move(*settings));
+    auto started = server->begin();
+    if (!started) {
+        fmt::print(stderr, "{}\n", started.error());
         return 1;
     }
-    process->run();
+    server->run();
     std::_Exit(0);
 }
--- a/src/daemon/operators.cpp
+++ b/src/daemon/operators.cpp
@@ -119,7 +119,7 @@
     return answerJson(json::object { { "events", std::move(events) } });
 }
 
-static HttpResponse setCuts(const OperatorServices& services, const std::string& body)
+static HttpResponse setBlockedPeers(const OperatorServices& services, const std::string& body)
 {
     auto object = links::parseObject(body);
     if (!services.node.settings.allowFaults || !object)
@@ -157,7 +157,7 @@
     if (request.path.starts_with(kTracePath))
         return answerTrace(services, request.path);
     if (request.path == "/debug/cut")
-        return setCuts(services, request.body);
+        return setBlockedPeers(services, request.body);
     return answerJson(json::object { { "error", "paths are /healthz, /status, /timeline and /metrics" } }, 404);
 }
 
