--- a/src/ctl/commands.h
+++ b/src/ctl/commands.h
@@ -7,22 +7,22 @@
 
 namespace alderward::ctl {
 
-inline constexpr int kExitDone = 0;
+inline constexpr int kExitSuccess = 0;
 inline constexpr int kExitFailed = 1; // could not be done, or could not be found out
 inline constexpr int kExitUsage = 2;
-inline constexpr int kExitLost = 3; // another operator changed the record first: nothing was written
-inline constexpr int kExitBad = 4; // the record fails its checks: nothing was written
+inline constexpr int kExitConflict = 3; // another operator changed the record first: nothing was written
+inline constexpr int kExitInvalid = 4; // the record fails its checks: nothing was written
 inline constexpr int kExitNotInForce = 5; // written, but not in force everywhere within the time limit
 
 struct Options {
     links::PlatformClient platform {};
     std::string hostAddress {}; // operators' address of any host; empty: taken from the platform's host list
-    std::string by { "operator" }; // kept with each change
+    std::string changedBy { "operator" }; // kept with each change
     std::string onlyGroup {};
     std::string onlyHost {};
     base::milliseconds timeout { 10000 };
     bool mustWait { false };
-    std::vector<std::string> words {};
+    std::vector<std::string> arguments {};
 };
 
 boost::asio::awaitable<int> runCommand(Options options);
--- a/src/ctl/config.cpp
+++ b/src/ctl/config.cpp
@@ -18,7 +18,7 @@
 using base::milliseconds;
 
 static constexpr milliseconds kCallTimeout { 2000 };
-static constexpr milliseconds kPoll { 50 };
+static constexpr milliseconds kPollInterval { 50 };
 
 static std::optional<std::string> readFile(const std::string& path)
 {
@@ -101,13 +101,13 @@
 // ---- apply ----
 
 enum class ApplyResult { Written,
-    Lost,
+    Conflict,
     Unknown };
 
-struct Applied {
+struct ApplyOutcome {
     ApplyResult result { ApplyResult::Unknown };
     uint64_t version { 0 };
-    std::string other {}; // for Lost: what stands there
+    std::string storedValue {}; // for Lost: what stands there
 };
 
 static bool hasChange(const decisions::Envelope& envelope, const std::string& id)
@@ -116,22 +116,22 @@
 }
 
 // Without an answer the swap may have happened: the change id in the stored envelope tells, also under later changes.
-static asio::awaitable<Applied> findOut(const Options& options, const std::string& key, uint64_t expected, const std::string& id, base::TimePoint deadline)
+static asio::awaitable<ApplyOutcome> resolveSwapOutcome(const Options& options, const std::string& key, uint64_t expected, const std::string& id, base::TimePoint deadline)
 {
     while (Clock::now() < deadline) {
         auto stored = co_await links::getValue(options.platform, key, std::min(deadline, Clock::now() + kCallTimeout));
         if (stored && hasChange(parseStored(stored->value), id))
-            co_return Applied { ApplyResult::Written, stored->revision, {} };
+            co_return ApplyOutcome { ApplyResult::Written, stored->revision, {} };
         if (stored && stored->revision != expected)
-            co_return Applied { ApplyResult::Lost, stored->revision, stored->value };
+            co_return ApplyOutcome { ApplyResult::Conflict, stored->revision, stored->value };
         if (stored) // not there and nothing else either: it may still arrive late, and then it is ours
-            co_return Applied { ApplyResult::Unknown, stored->revision, {} };
-        co_await base::sleepFor(kPoll * 4);
+            co_return ApplyOutcome { ApplyResult::Unknown, stored->revision, {} };
+        co_await base::sleepFor(kPollInterval * 4);
     }
-    co_return Applied {};
+    co_return ApplyOutcome {};
 }
 
-static asio::awaitable<Applied> swapRecord(const Options& options, const std::string& key, const links::StoredValue& stored, const std::string& text, const decisions::Change& change, base::TimePoint deadline)
+static asio::awaitable<ApplyOutcome> swapRecord(const Options& options, const std::string& key, const links::StoredValue& stored, const std::string& text, const decisions::Change& change, base::TimePoint deadline)
 {
     auto envelope = parseStored(stored.value);
     envelope.record = text;
@@ -142,12 +142,12 @@
     for (;;) {
         auto swap = co_await links::compareAndSwap(options.platform, key, stored.revision, value, std::min(deadline, Clock::now() + kCallTimeout));
         if (swap && swap->wasSwapped)
-            co_return Applied { ApplyResult::Written, swap->current.revision, {} };
+            co_return ApplyOutcome { ApplyResult::Written, swap->current.revision, {} };
         if (swap && hasChange(parseStored(swap->current.value), change.id)) // our own earlier try
-            co_return Applied { ApplyResult::Written, swap->current.revision, {} };
+            co_return ApplyOutcome { ApplyResult::Written, swap->current.revision, {} };
         if (swap)
-            co_return Applied { ApplyResult::Lost, swap->current.revision, swap->current.value };
-        auto found = co_await findOut(options, key, stored.revision, change.id, deadline);
+            co_return ApplyOutcome { ApplyResult::Conflict, swap->current.revision, swap->current.value };
+        auto found = co_await resolveSwapOutcome(options, key, stored.revision, change.id, deadline);
         if (found.result != ApplyResult::Unknown || Clock::now() >= deadline)
             co_return found;
         // The same swap again is safe: it expects the same revision, so it can take effect only once.
@@ -166,27 +166,27 @@
     co_return entry && entry->is_object() && links::getNumber(entry->get_object(), "version") >= version;
 }
 
-static asio::awaitable<int> waitInForce(const Options& options, const std::string& group, uint64_t version, base::TimePoint deadline)
+static asio::awaitable<int> waitUntilInForce(const Options& options, const std::string& group, uint64_t version, base::TimePoint deadline)
 {
-    auto began = Clock::now();
-    std::vector<std::string> missing = co_await findHosts(options);
-    auto count = missing.size();
-    while (!missing.empty() && Clock::now() < deadline) {
-        std::vector<std::string> still;
-        for (auto& it : missing) {
+    auto startedAt = Clock::now();
+    std::vector<std::string> pendingHosts = co_await findHosts(options);
+    auto count = pendingHosts.size();
+    while (!pendingHosts.empty() && Clock::now() < deadline) {
+        std::vector<std::string> stillPending;
+        for (auto& it : pendingHosts) {
             if (!co_await isInForceAt(it, group, version))
-                still.push_back(it);
+                stillPending.push_back(it);
         }
-        missing = std::move(still);
-        if (!missing.empty())
-            co_await base::sleepFor(kPoll);
+        pendingHosts = std::move(stillPending);
+        if (!pendingHosts.empty())
+            co_await base::sleepFor(kPollInterval);
     }
-    auto elapsed = std::chrono::duration_cast<milliseconds>(Clock::now() - began).count();
-    if (missing.empty()) {
+    auto elapsed = std::chrono::duration_cast<milliseconds>(Clock::now() - startedAt).count();
+    if (pendingHosts.empty()) {
         fmt::print("in force on {} hosts after {} ms\n", count, elapsed);
-        co_return kExitDone;
+        co_return kExitSuccess;
     }
-    for (auto& it : missing)
+    for (auto& it : pendingHosts)
         fmt::print(stderr, "not in force at {}\n", it);
     co_return kExitNotInForce;
 }
@@ -196,7 +196,7 @@
     auto deadline = Clock::now() + options.timeout;
     auto text = readFile(path);
     if (!text || !checkRecord(path, *text))
-        co_return kExitBad;
+        co_return kExitInvalid;
     auto group = getGroupName(path);
     auto stored = co_await links::getValue(options.platform, getKey(group), std::min(deadline, Clock::now() + kCallTimeout));
     if (!stored) {
@@ -204,15 +204,15 @@
         co_return kExitFailed;
     }
     auto atMs = static_cast<uint64_t>(std::chrono::duration_cast<milliseconds>(std::chrono::system_clock::now().time_since_epoch()).count());
-    decisions::Change change { makeChangeId(), options.by, atMs, stored->revision ? "changed" : "created" };
+    decisions::Change change { makeChangeId(), options.changedBy, atMs, stored->revision ? "changed" : "created" };
     auto applied = co_await swapRecord(options, getKey(group), *stored, *text, change, deadline);
-    if (applied.result == ApplyResult::Lost) {
+    if (applied.result == ApplyResult::Conflict) {
         fmt::print(stderr, "another change came first; nothing was written. It differs from yours by:\n");
-        auto other = parseStored(applied.other);
-        if (!other.changes.empty())
-            printChange(other.changes.front());
-        printDiff(other.record, *text);
-        co_return kExitLost;
+        auto winner = parseStored(applied.storedValue);
+        if (!winner.changes.empty())
+            printChange(winner.changes.front());
+        printDiff(winner.record, *text);
+        co_return kExitConflict;
     }
     if (applied.result == ApplyResult::Unknown) {
         fmt::print(stderr, "no answer from the platform: look for change {} with history-of {}\n", change.id, group);
@@ -220,8 +220,8 @@
     }
     fmt::print("{} version {} change {}\n", group, applied.version, change.id);
     if (!options.mustWait)
-        co_return kExitDone;
-    co_return co_await waitInForce(options, group, applied.version, deadline);
+        co_return kExitSuccess;
+    co_return co_await waitUntilInForce(options, group, applied.version, deadline);
 }
 
 // ---- the other verbs ----
@@ -248,7 +248,7 @@
         auto envelope = parseStored(it.value);
         fmt::print("{} version {} changes {}\n", it.key.substr(decisions::kGroupPrefix.size()), it.revision, envelope.changes.size());
     }
-    co_return kExitDone;
+    co_return kExitSuccess;
 }
 
 static asio::awaitable<int> diff(const Options& options, const std::string& group, const std::string& path)
@@ -258,36 +258,36 @@
     if (!text || !stored)
         co_return kExitFailed;
     printDiff(parseStored(stored->value).record, *text);
-    co_return kExitDone;
+    co_return kExitSuccess;
 }
 
 asio::awaitable<int> runConfig(Options options)
 {
-    auto& words = options.words;
-    auto verb = words.size() > 1 ? words[1] : std::string();
-    if (verb == "list" && words.size() == 2)
+    auto& arguments = options.arguments;
+    auto subcommand = arguments.size() > 1 ? arguments[1] : std::string();
+    if (subcommand == "list" && arguments.size() == 2)
         co_return co_await list(options);
-    if (verb == "diff" && words.size() == 4)
-        co_return co_await diff(options, words[2], words[3]);
-    if (words.size() != 3)
+    if (subcommand == "diff" && arguments.size() == 4)
+        co_return co_await diff(options, arguments[2], arguments[3]);
+    if (arguments.size() != 3)
         co_return kExitUsage;
-    if (verb == "apply")
-        co_return co_await applyRecord(options, words[2]);
-    if (verb == "check") {
-        auto text = readFile(words[2]);
-        co_return text&& checkRecord(words[2], *text) ? kExitDone : kExitBad;
+    if (subcommand == "apply")
+        co_return co_await applyRecord(options, arguments[2]);
+    if (subcommand == "check") {
+        auto text = readFile(arguments[2]);
+        co_return text&& checkRecord(arguments[2], *text) ? kExitSuccess : kExitInvalid;
     }
-    if (verb != "get" && verb != "history-of")
+    if (subcommand != "get" && subcommand != "history-of")
         co_return kExitUsage;
-    auto stored = co_await fetchRecord(options, words[2]);
+    auto stored = co_await fetchRecord(options, arguments[2]);
     if (!stored)
         co_return kExitFailed;
     auto envelope = parseStored(stored->value);
-    if (verb == "get")
+    if (subcommand == "get")
         fmt::print("{}\n", envelope.record);
     else
         std::ranges::for_each(envelope.changes, printChange);
-    co_return kExitDone;
+    co_return kExitSuccess;
 }
 
 }
--- a/src/ctl/explain.cpp
+++ b/src/ctl/explain.cpp
@@ -14,11 +14,11 @@
 namespace json = boost::json;
 
 // Beliefs of a host that bear on its requests; the newest of each kind, and of each subject, was in force.
-static const std::set<std::string> kBeliefs { "configuration", "lead", "readiness", "store-lost", "store-regained", "succession", "stop-begins", "start" };
+static const std::set<std::string> kStateEvents { "configuration", "lead", "readiness", "store-lost", "store-regained", "succession", "stop-begins", "start" };
 // What happened to a request's group around it, on any host.
 static const std::set<std::string> kGroupEvents { "target-trouble", "promotion-considered", "primary-examined", "promotion-ordered", "promotion-held-back", "promotion-ended", "member", "member-unlisted" };
-static constexpr double kAroundMs = 5000; // before the request's last line
-static constexpr double kAfterMs = 500; // behind it: hosts' clocks differ
+static constexpr double kWindowBeforeMs = 5000; // before the request's last line
+static constexpr double kWindowAfterMs = 500; // behind it: hosts' clocks differ
 
 struct Line {
     std::string wall; // sorts as text
@@ -79,9 +79,9 @@
     }
     if (paths.empty())
         readAll(std::cin);
-    std::map<std::string, Line> firsts; // by host: the first line of the process that runs now
+    std::map<std::string, Line> firstLines; // by host: the first line of the process that runs now
     for (auto& it : lines) {
-        auto& first = firsts[it.host];
+        auto& first = firstLines[it.host];
         if (first.host.empty() || it.event == "start" || it.steadyMs < first.steadyMs)
             first = it;
         it.wallMs = first.wallMs + it.steadyMs - first.steadyMs;
@@ -92,47 +92,47 @@
 
 static void print(const Line& line)
 {
-    std::string rest;
+    std::string fieldsText;
     for (auto& it : line.fields) {
-        auto isHead = it.key() == "t" || it.key() == "wall" || it.key() == "host" || it.key() == "event";
-        if (!isHead)
-            rest += fmt::format(" {}={}", std::string(it.key()), getText(line.fields, it.key()));
+        auto isColumn = it.key() == "t" || it.key() == "wall" || it.key() == "host" || it.key() == "event";
+        if (!isColumn)
+            fieldsText += fmt::format(" {}={}", std::string(it.key()), getText(line.fields, it.key()));
     }
-    fmt::print("{} {:<22} {}{}\n", line.wall, line.host, line.event, rest);
+    fmt::print("{} {:<22} {}{}\n", line.wall, line.host, line.event, fieldsText);
 }
 
 int explainRequest(const std::string& id, const std::vector<std::string>& paths)
 {
     auto lines = readLines(paths);
-    auto isOf = [&](const Line& it) { return getText(it.fields, "request") == id; };
-    auto found = std::ranges::find_if(lines, isOf);
+    auto isRequestLine = [&](const Line& it) { return getText(it.fields, "request") == id; };
+    auto found = std::ranges::find_if(lines, isRequestLine);
     if (found == lines.end()) {
         fmt::print("no line about {}; served requests are left out first when lines are over budget (lines-left-out says how many)\n", id);
         return kExitFailed;
     }
     auto group = getText(found->fields, "group");
-    std::map<std::string, Line> beliefs; // by event and subject
+    std::map<std::string, Line> stateEvents; // by event and subject
     for (auto it = lines.begin(); it != found; ++it) {
-        bool isGroups = !it->fields.contains("group") || getText(it->fields, "group") == group;
-        if (it->host == found->host && kBeliefs.contains(it->event) && isGroups)
-            beliefs[it->event.starts_with("store-") ? "store" : it->event] = *it;
+        bool concernsGroup = !it->fields.contains("group") || getText(it->fields, "group") == group;
+        if (it->host == found->host && kStateEvents.contains(it->event) && concernsGroup)
+            stateEvents[it->event.starts_with("store-") ? "store" : it->event] = *it;
     }
     fmt::print("what {} believed when it was decided:\n", found->host);
-    for (auto& [kind, line] : beliefs)
+    for (auto& [kind, line] : stateEvents)
         print(line);
     fmt::print("\nwhat happened to group {} around it, on all hosts:\n", group);
     for (auto& it : lines) {
-        bool isNear = it.wallMs >= found->wallMs - kAroundMs && it.wallMs <= found->wallMs + kAfterMs;
-        bool isGroups = getText(it.fields, "group") == group || it.event == "member-unlisted";
-        if (isNear && isGroups && (kGroupEvents.contains(it.event) || it.event == "lead"))
+        bool isInWindow = it.wallMs >= found->wallMs - kWindowBeforeMs && it.wallMs <= found->wallMs + kWindowAfterMs;
+        bool concernsGroup = getText(it.fields, "group") == group || it.event == "member-unlisted";
+        if (isInWindow && concernsGroup && (kGroupEvents.contains(it.event) || it.event == "lead"))
             print(it);
     }
     fmt::print("\nthe request:\n");
     for (auto& it : lines) {
-        if (isOf(it))
+        if (isRequestLine(it))
             print(it);
     }
-    return kExitDone;
+    return kExitSuccess;
 }
 
 int showLogTimeline(const std::vector<std::string>& paths, const std::string& onlyGroup, const std::string& onlyHost)
@@ -142,7 +142,7 @@
         if (isWanted && it.event != "request")
             print(it);
     }
-    return kExitDone;
+    return kExitSuccess;
 }
 
 }
--- a/src/ctl/main.cpp
+++ b/src/ctl/main.cpp
@@ -36,12 +36,12 @@
     ctl::Options options;
     options.platform = { platform.getValue(), "alderctl" };
     options.hostAddress = host.getValue();
-    options.by = by.getValue();
+    options.changedBy = by.getValue();
     options.onlyGroup = onlyGroup.getValue();
     options.onlyHost = onlyHost.getValue();
     options.timeout = base::milliseconds(timeout.getValue());
     options.mustWait = wait.getValue();
-    options.words = words.getValue();
+    options.arguments = words.getValue();
     return options;
 }
 
--- a/src/ctl/show.cpp
+++ b/src/ctl/show.cpp
@@ -22,14 +22,14 @@
 
 asio::awaitable<std::optional<json::object>> fetchJson(std::string address, std::string path, base::TimePoint deadline)
 {
-    auto link = links::makeHttpConnection(co_await asio::this_coro::executor, address);
-    if (!co_await link->open(deadline))
+    auto connection = links::makeHttpConnection(co_await asio::this_coro::executor, address);
+    if (!co_await connection->open(deadline))
         co_return std::nullopt;
     links::HttpRequest request;
     request.method = "GET";
     request.path = std::move(path);
     request.from = "alderctl";
-    auto answer = co_await link->exchange(std::move(request), deadline);
+    auto answer = co_await connection->exchange(std::move(request), deadline);
     if (!answer)
         co_return std::nullopt;
     co_return links::parseObject(answer->body);
@@ -89,7 +89,7 @@
 asio::awaitable<int> showStatus(Options options)
 {
     auto hosts = co_await findHosts(options);
-    int code = hosts.empty() ? kExitFailed : kExitDone;
+    int code = hosts.empty() ? kExitFailed : kExitSuccess;
     for (auto& address : hosts) {
         auto status = co_await fetchJson(address, "/status", Clock::now() + kCallTimeout);
         if (!status) {
@@ -110,9 +110,9 @@
 
 static bool isWanted(const Options& options, const base::Event& event)
 {
-    bool groupFits = options.onlyGroup.empty() || event.group == options.onlyGroup;
-    bool hostFits = options.onlyHost.empty() || event.host == options.onlyHost;
-    return groupFits && hostFits;
+    bool matchesGroup = options.onlyGroup.empty() || event.group == options.onlyGroup;
+    bool matchesHost = options.onlyHost.empty() || event.host == options.onlyHost;
+    return matchesGroup && matchesHost;
 }
 
 asio::awaitable<int> showTimeline(Options options)
@@ -136,7 +136,7 @@
         auto wall = static_cast<time_t>(base::getWallMs(it.stamp) / 1000);
         fmt::print("{:%H:%M:%S}.{:03}+{} {:<6} {:<10} {:<20} {}\n", fmt::gmtime(wall), base::getWallMs(it.stamp) % 1000, it.stamp & 0xffff, it.host, it.group.empty() ? "-" : it.group, it.kind, it.cause);
     }
-    co_return hosts.empty() ? kExitFailed : kExitDone;
+    co_return hosts.empty() ? kExitFailed : kExitSuccess;
 }
 
 int replayFile(const std::string& path)
@@ -150,32 +150,32 @@
     auto trace = decisions::parseTrace(text);
     if (!trace) {
         fmt::print(stderr, "{}: {}\n", path, trace.error());
-        return kExitBad;
+        return kExitInvalid;
     }
     auto replay = decisions::replayTrace(*trace);
     for (auto& it : replay.actions)
         fmt::print("{}\n", it);
     if (replay.firstDifference.empty())
-        return kExitDone;
+        return kExitSuccess;
     fmt::print(stderr, "this version decides otherwise than the one that recorded the trace: {}\n", replay.firstDifference);
     return kExitFailed;
 }
 
 asio::awaitable<int> runCommand(Options options)
 {
-    auto& command = options.words.front();
+    auto& command = options.arguments.front();
     if (command == "config")
         co_return co_await runConfig(std::move(options));
-    if (command == "status" && options.words.size() == 1)
+    if (command == "status" && options.arguments.size() == 1)
         co_return co_await showStatus(std::move(options));
-    if (command == "explain" && options.words.size() >= 2)
-        co_return explainRequest(options.words[1], { options.words.begin() + 2, options.words.end() });
-    if (command == "timeline" && options.words.size() > 1)
-        co_return showLogTimeline({ options.words.begin() + 1, options.words.end() }, options.onlyGroup, options.onlyHost);
-    if (command == "timeline" && options.words.size() == 1)
+    if (command == "explain" && options.arguments.size() >= 2)
+        co_return explainRequest(options.arguments[1], { options.arguments.begin() + 2, options.arguments.end() });
+    if (command == "timeline" && options.arguments.size() > 1)
+        co_return showLogTimeline({ options.arguments.begin() + 1, options.arguments.end() }, options.onlyGroup, options.onlyHost);
+    if (command == "timeline" && options.arguments.size() == 1)
         co_return co_await showTimeline(std::move(options));
-    if (command == "replay" && options.words.size() == 2)
-        co_return replayFile(options.words[1]);
+    if (command == "replay" && options.arguments.size() == 2)
+        co_return replayFile(options.arguments[1]);
     co_return kExitUsage;
 }
 
