--- a/src/daemon/drain.cpp
+++ b/src/daemon/drain.cpp
@@ -9,7 +9,7 @@
 using base::milliseconds;
 
 static constexpr milliseconds kPollInterval { 10 };
-static constexpr milliseconds kIdleThreshold { 500 }; // idle connections are closed only after this long without a request
+static constexpr milliseconds kIdleThreshold { 500 }; // connections are closed only after this time without a request
 
 static bool areCallersIdle(const DrainState& state)
 {
@@ -25,7 +25,7 @@
     state.isDraining = true;
     base::getTimeline().add("drain-began", "", "planned stop");
     co_await hosts.announceLeaving();
-    // The balancer needs a moment to see the check turn; until then new connections are still welcome.
+    // Keeps accepting connections until the load balancer has had time to notice the failing health check.
     while (!state.mustStopNow && Clock::now() - startedAt < milliseconds(node.settings.drainNoticeMs))
         co_await base::sleepFor(kPollInterval);
     callers.stopAccepting();
--- a/src/daemon/drain.h
+++ b/src/daemon/drain.h
@@ -1,5 +1,5 @@
-// Planned stop: the balancer's check turns first, peers are told, new work goes to other hosts, what is in flight is
-// finished, then the process ends. docs/OPERATIONS.md describes it for operators.
+// Planned stop: fails the load balancer's health check, announces the stop to peers, stops accepting connections and finishes
+// work in flight. docs/OPERATIONS.md describes it for operators.
 #pragma once
 #include "controllers/groups.h"
 #include "controllers/hosts.h"
@@ -9,13 +9,13 @@
 namespace alderward::daemon {
 
 struct DrainState {
-    std::atomic<bool> isDraining { false }; // /healthz says so
-    std::atomic<bool> mustStopNow { false }; // a second signal: stop waiting
-    std::atomic<size_t> inFlight { 0 }; // callers' and peers' requests being served
+    std::atomic<bool> isDraining { false }; // /healthz reports not ready
+    std::atomic<bool> mustStopNow { false }; // set by a second signal: ends the drain without waiting
+    std::atomic<size_t> inFlight { 0 }; // requests of callers and peers being served
     std::atomic<int64_t> lastRequestMs { 0 }; // monotonic time of the last request's arrival
 };
 
-// Runs the stop to its end; the caller ends the process afterwards.
+// Completes when the drain has ended; the process must then exit.
 boost::asio::awaitable<void> drain(controllers::Node& node, DrainState& state, controllers::HostsController& hosts, controllers::GroupsController& groups, links::HttpServer& callers);
 
 }
--- a/src/daemon/gateway.cpp
+++ b/src/daemon/gateway.cpp
@@ -10,11 +10,11 @@
 
 namespace asio = boost::asio;
 
-static constexpr base::milliseconds kFileCheckInterval { 2000 }; // the file may change without a signal
+static constexpr base::milliseconds kFileCheckInterval { 2000 }; // the file may be changed without a SIGHUP
 
 namespace {
 
-// Reads the settings file again on a signal or when it has changed.
+// Reloads the settings file on SIGHUP or when its modification time changes.
 class SettingsReloader {
 public:
     SettingsReloader(std::string path, gateway::Gateway& gateway)
@@ -76,7 +76,7 @@
         return 2;
     }
     if (mustOnlyCheck) {
-        fmt::print("{}: settings are good\n", path);
+        fmt::print("{}: settings are valid\n", path);
         return 0;
     }
     ::signal(SIGPIPE, SIG_IGN);
@@ -96,7 +96,7 @@
     }
     context.run();
     base::flushEventLog();
-    std::_Exit(0); // what must be finished was finished by the planned stop
+    std::_Exit(0); // skips destructors: the planned stop has completed all work
 }
 
 }
--- a/src/daemon/gateway.h
+++ b/src/daemon/gateway.h
@@ -1,10 +1,10 @@
-// Runs this process as a gateway on the users' platform.
+// Runs this process as a gateway of the users' platform until it is stopped.
 #pragma once
 #include <string>
 
 namespace alderward::daemon {
 
-// `text` is the settings file's content, read from `path`. Returns the exit status.
+// `text` is the content of the settings file at `path`. Returns the process's exit status.
 int runGateway(const std::string& path, const std::string& text, bool mustOnlyCheck);
 
 }
--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -1,4 +1,4 @@
-// The daemon: one process per entry host, all alike. Wires controllers, links and filters together; decides nothing.
+// The daemon: one process per host, without special roles. Connects controllers, links and filters.
 #include "base/metrics.h"
 #include "base/settings.h"
 #include "base/timeline.h"
@@ -30,12 +30,12 @@
 {
     TCLAP::CmdLine command("alderward: database proxy with session consistency. See docs/OPERATIONS.md.", ' ', ALDERWARD_VERSION);
     TCLAP::ValueArg<std::string> settings("s", "settings", "INI file with this host's settings", true, "", "file", command);
-    TCLAP::SwitchArg check("c", "check-settings", "Check the settings and stop", command);
+    TCLAP::SwitchArg check("c", "check-settings", "Check the settings and exit", command);
     command.parse(argc, argv);
     return { settings.getValue(), check.getValue() };
 }
 
-// Counts a request as in flight while it is served.
+// Counts a request as in flight during its lifetime.
 class InFlightGuard {
 public:
     explicit InFlightGuard(daemon::DrainState& state)
@@ -60,7 +60,7 @@
     auto reply = co_await filters::runChain(services, std::move(context));
     links::HttpResponse answer { reply.status, std::move(reply.body) };
     answer.retryAfter = reply.retryAfter;
-    answer.mustClose = state.isDraining; // the caller's next request goes to another host
+    answer.mustClose = state.isDraining; // makes the caller reconnect, to another host
     co_return answer;
 }
 
@@ -89,7 +89,7 @@
     return { reply.status, reply.body };
 }
 
-// Everything that one process owns, in the order in which it is made.
+// Owns all objects of the process; members are declared in order of construction.
 class Daemon {
 public:
     explicit Daemon(base::Settings settings)
@@ -195,10 +195,10 @@
         return 2;
     }
     if (commandLine.mustOnlyCheck) {
-        fmt::print("{}: settings are good\n", commandLine.settingsPath);
+        fmt::print("{}: settings are valid\n", commandLine.settingsPath);
         return 0;
     }
-    // Destruction order at exit is of no use to anybody: what must be finished was finished by the drain.
+    // Never destroyed: the drain has completed all work, so destructors are skipped at exit.
     auto* server = new Daemon(std::move(*settings));
     auto started = server->begin();
     if (!started) {
--- a/src/daemon/operators.h
+++ b/src/daemon/operators.h
@@ -1,4 +1,5 @@
-// The operators' address: /healthz for the balancer, /status, /metrics, /timeline, and in test set-ups /debug/cut.
+// HTTP interface for operators: /healthz for the load balancer, /status, /metrics, /timeline, /debug/trace and, if faults are
+// allowed by the settings, /debug/cut.
 #pragma once
 #include "controllers/groups.h"
 #include "daemon/drain.h"
