--- a/src/ctl/commands.h
+++ b/src/ctl/commands.h
@@ -8,16 +8,16 @@
 namespace alderward::ctl {
 
 inline constexpr int kExitSuccess = 0;
-inline constexpr int kExitFailed = 1; // could not be done, or could not be found out
+inline constexpr int kExitFailed = 1; // the command failed, or its outcome is unknown
 inline constexpr int kExitUsage = 2;
-inline constexpr int kExitConflict = 3; // another operator changed the record first: nothing was written
-inline constexpr int kExitInvalid = 4; // the record fails its checks: nothing was written
+inline constexpr int kExitConflict = 3; // the record was changed concurrently; nothing was written
+inline constexpr int kExitInvalid = 4; // the record or trace is invalid; nothing was written
 inline constexpr int kExitNotInForce = 5; // written, but not in force everywhere within the time limit
 
 struct Options {
     links::PlatformClient platform {};
-    std::string hostAddress {}; // operators' address of any host; empty: taken from the platform's host list
-    std::string changedBy { "operator" }; // kept with each change
+    std::string hostAddress {}; // operators' address of any host; empty: use the platform's host list
+    std::string changedBy { "operator" }; // stored with each change
     std::string onlyGroup {};
     std::string onlyHost {};
     base::milliseconds timeout { 10000 };
@@ -27,17 +27,19 @@
 
 boost::asio::awaitable<int> runCommand(Options options);
 
-// Operators' addresses of all hosts that are not leaving, by the platform's list or the membership of `hostAddress`.
+// Returns the operators' addresses of all hosts that are not leaving, from the membership of `hostAddress` if set, else from the
+// platform's list. Empty if the source does not answer.
 boost::asio::awaitable<std::vector<std::string>> findHosts(const Options& options);
 
 boost::asio::awaitable<int> runConfig(Options options);
 boost::asio::awaitable<int> showStatus(Options options);
 boost::asio::awaitable<int> showTimeline(Options options);
-// The story of one request from hosts' log files (standard input if none): beliefs, events of its group, its own lines.
+// Prints, from hosts' log files (standard input if none), the state of the host at a request, events of its group, and the
+// request's own lines.
 int explainRequest(const std::string& id, const std::vector<std::string>& paths);
-// Changes of state from hosts' log files, in one order.
+// Prints the state changes in hosts' log files, merged in order of time.
 int showLogTimeline(const std::vector<std::string>& paths, const std::string& onlyGroup, const std::string& onlyHost);
-// Replays a trace; kExitFailed if this version decides otherwise than the one that recorded it.
+// Replays a trace. Returns kExitFailed if this version's decisions differ from the recorded ones.
 int replayFile(const std::string& path);
 
 }
--- a/src/ctl/config.cpp
+++ b/src/ctl/config.cpp
@@ -1,5 +1,5 @@
-// alderctl config: every change is a compare-and-swap that carries a change id. A lost race shows the other's change; a
-// lost answer is found out by reading, never by writing again.
+// alderctl config: every change is a compare-and-swap with a unique change id. A conflict shows the concurrent change. After a
+// lost response, the record is read to find out whether the swap took effect.
 #include "ctl/commands.h"
 #include "ctl/fetch.h"
 #include "decisions/records.h"
@@ -24,7 +24,7 @@
 {
     std::ifstream file(path);
     if (!file) {
-        fmt::print(stderr, "{}: cannot be opened\n", path);
+        fmt::print(stderr, "{}: cannot open file\n", path);
         return std::nullopt;
     }
     std::ostringstream text;
@@ -65,7 +65,7 @@
     return lines;
 }
 
-// A plain line diff: what only one side has, in order of the longest common subsequence.
+// Prints a line diff based on the longest common subsequence.
 static void printDiff(const std::string& before, const std::string& after)
 {
     auto a = splitLines(before);
@@ -107,7 +107,7 @@
 struct ApplyOutcome {
     ApplyResult result { ApplyResult::Unknown };
     uint64_t version { 0 };
-    std::string storedValue {}; // for Lost: what stands there
+    std::string storedValue {}; // for Conflict: the value in the store
 };
 
 static bool hasChange(const decisions::Envelope& envelope, const std::string& id)
@@ -115,7 +115,7 @@
     return std::ranges::find(envelope.changes, id, &decisions::Change::id) != envelope.changes.end();
 }
 
-// Without an answer the swap may have happened: the change id in the stored envelope tells, also under later changes.
+// Determines whether a swap without a response took effect: its change id is then in the stored history, even after later changes.
 static asio::awaitable<ApplyOutcome> resolveSwapOutcome(const Options& options, const std::string& key, uint64_t expected, const std::string& id, base::TimePoint deadline)
 {
     while (Clock::now() < deadline) {
@@ -124,7 +124,7 @@
             co_return ApplyOutcome { ApplyResult::Written, stored->revision, {} };
         if (stored && stored->revision != expected)
             co_return ApplyOutcome { ApplyResult::Conflict, stored->revision, stored->value };
-        if (stored) // not there and nothing else either: it may still arrive late, and then it is ours
+        if (stored) // unchanged so far; the swap may still arrive late
             co_return ApplyOutcome { ApplyResult::Unknown, stored->revision, {} };
         co_await base::sleepFor(kPollInterval * 4);
     }
@@ -143,14 +143,14 @@
         auto swap = co_await links::compareAndSwap(options.platform, key, stored.revision, value, std::min(deadline, Clock::now() + kCallTimeout));
         if (swap && swap->wasSwapped)
             co_return ApplyOutcome { ApplyResult::Written, swap->current.revision, {} };
-        if (swap && hasChange(parseStored(swap->current.value), change.id)) // our own earlier try
+        if (swap && hasChange(parseStored(swap->current.value), change.id)) // an earlier attempt of this command
             co_return ApplyOutcome { ApplyResult::Written, swap->current.revision, {} };
         if (swap)
             co_return ApplyOutcome { ApplyResult::Conflict, swap->current.revision, swap->current.value };
         auto found = co_await resolveSwapOutcome(options, key, stored.revision, change.id, deadline);
         if (found.result != ApplyResult::Unknown || Clock::now() >= deadline)
             co_return found;
-        // The same swap again is safe: it expects the same revision, so it can take effect only once.
+        // Retrying is safe: the swap expects the same revision, so it takes effect at most once.
     }
 }
 
@@ -187,7 +187,7 @@
         co_return kExitSuccess;
     }
     for (auto& it : pendingHosts)
-        fmt::print(stderr, "not in force at {}\n", it);
+        fmt::print(stderr, "record not in force at host {}\n", it);
     co_return kExitNotInForce;
 }
 
@@ -200,14 +200,14 @@
     auto group = getGroupName(path);
     auto stored = co_await links::getValue(options.platform, getKey(group), std::min(deadline, Clock::now() + kCallTimeout));
     if (!stored) {
-        fmt::print(stderr, "the platform does not answer: nothing was written\n");
+        fmt::print(stderr, "the platform does not answer; nothing was written\n");
         co_return kExitFailed;
     }
     auto atMs = static_cast<uint64_t>(std::chrono::duration_cast<milliseconds>(std::chrono::system_clock::now().time_since_epoch()).count());
     decisions::Change change { makeChangeId(), options.changedBy, atMs, stored->revision ? "changed" : "created" };
     auto applied = co_await swapRecord(options, getKey(group), *stored, *text, change, deadline);
     if (applied.result == ApplyResult::Conflict) {
-        fmt::print(stderr, "another change came first; nothing was written. It differs from yours by:\n");
+        fmt::print(stderr, "the record was changed concurrently; nothing was written. The other change, and the difference to your file:\n");
         auto winner = parseStored(applied.storedValue);
         if (!winner.changes.empty())
             printChange(winner.changes.front());
@@ -215,7 +215,7 @@
         co_return kExitConflict;
     }
     if (applied.result == ApplyResult::Unknown) {
-        fmt::print(stderr, "no answer from the platform: look for change {} with history-of {}\n", change.id, group);
+        fmt::print(stderr, "the platform did not answer; the change may have been written. Look for change {} with history-of {}\n", change.id, group);
         co_return kExitFailed;
     }
     fmt::print("{} version {} change {}\n", group, applied.version, change.id);
@@ -224,7 +224,7 @@
     co_return co_await waitUntilInForce(options, group, applied.version, deadline);
 }
 
-// ---- the other verbs ----
+// ---- other subcommands ----
 
 static asio::awaitable<std::optional<links::StoredValue>> fetchRecord(const Options& options, const std::string& group)
 {
--- a/src/ctl/explain.cpp
+++ b/src/ctl/explain.cpp
@@ -1,4 +1,4 @@
-// alderctl explain and timeline over log files: the hosts' lines in one order, and the story of one request.
+// alderctl explain and timeline over log files: merges the log lines of several hosts and explains one request.
 #include "ctl/commands.h"
 #include <algorithm>
 #include <boost/json.hpp>
@@ -13,15 +13,15 @@
 
 namespace json = boost::json;
 
-// Beliefs of a host that bear on its requests; the newest of each kind, and of each subject, was in force.
+// Events that change the state by which a host serves requests. The last one of each kind before a request applied to it.
 static const std::set<std::string> kStateEvents { "configuration", "lead", "readiness", "store-lost", "store-regained", "succession", "stop-begins", "start" };
-// What happened to a request's group around it, on any host.
+// Events of a group, on any host, that may explain the outcome of a request.
 static const std::set<std::string> kGroupEvents { "target-trouble", "promotion-considered", "primary-examined", "promotion-ordered", "promotion-held-back", "promotion-ended", "member", "member-unlisted" };
-static constexpr double kWindowBeforeMs = 5000; // before the request's last line
-static constexpr double kWindowAfterMs = 500; // behind it: hosts' clocks differ
+static constexpr double kWindowBeforeMs = 5000; // before the request's first line
+static constexpr double kWindowAfterMs = 500; // after it: hosts' clocks differ
 
 struct Line {
-    std::string wall; // sorts as text
+    std::string wall; // as logged
     double wallMs { 0 };
     double steadyMs { 0 };
     std::string host;
@@ -40,7 +40,7 @@
 static std::optional<Line> readLine(const std::string& text)
 {
     boost::system::error_code ec;
-    auto begin = text.find('{'); // a collector may have put its own words before
+    auto begin = text.find('{'); // a log collector may have added a prefix
     if (begin == std::string::npos)
         return std::nullopt;
     auto value = json::parse(text.substr(begin), ec);
@@ -60,8 +60,8 @@
     return line;
 }
 
-// A process's lines are placed by its monotonic clock, counted from the wall time of its first line: wall clocks jump, and a monotonic
-// clock starts anew with its machine.
+// Orders lines by the wall time of their process's first line plus the monotonic time since: wall clocks jump, and monotonic clocks
+// of different machines are not comparable.
 static std::vector<Line> readLines(const std::vector<std::string>& paths)
 {
     std::vector<Line> lines;
@@ -74,12 +74,12 @@
     for (auto& path : paths) {
         std::ifstream file(path);
         if (!file)
-            fmt::print(stderr, "{}: cannot be opened\n", path);
+            fmt::print(stderr, "{}: cannot open file\n", path);
         readAll(file);
     }
     if (paths.empty())
         readAll(std::cin);
-    std::map<std::string, Line> firstLines; // by host: the first line of the process that runs now
+    std::map<std::string, Line> firstLines; // by host: the first line of its current process
     for (auto& it : lines) {
         auto& first = firstLines[it.host];
         if (first.host.empty() || it.event == "start" || it.steadyMs < first.steadyMs)
@@ -107,20 +107,20 @@
     auto isRequestLine = [&](const Line& it) { return getText(it.fields, "request") == id; };
     auto found = std::ranges::find_if(lines, isRequestLine);
     if (found == lines.end()) {
-        fmt::print("no line about {}; served requests are left out first when lines are over budget (lines-left-out says how many)\n", id);
+        fmt::print("no log line about {}; lines of served requests are dropped first when the log exceeds its rate limit (see events lines-left-out)\n", id);
         return kExitFailed;
     }
     auto group = getText(found->fields, "group");
-    std::map<std::string, Line> stateEvents; // by event and subject
+    std::map<std::string, Line> stateEvents; // by event
     for (auto it = lines.begin(); it != found; ++it) {
         bool concernsGroup = !it->fields.contains("group") || getText(it->fields, "group") == group;
         if (it->host == found->host && kStateEvents.contains(it->event) && concernsGroup)
             stateEvents[it->event.starts_with("store-") ? "store" : it->event] = *it;
     }
-    fmt::print("what {} believed when it was decided:\n", found->host);
+    fmt::print("state of {} at the request:\n", found->host);
     for (auto& [kind, line] : stateEvents)
         print(line);
-    fmt::print("\nwhat happened to group {} around it, on all hosts:\n", group);
+    fmt::print("\nevents of group {} near the request, on all hosts:\n", group);
     for (auto& it : lines) {
         bool isInWindow = it.wallMs >= found->wallMs - kWindowBeforeMs && it.wallMs <= found->wallMs + kWindowAfterMs;
         bool concernsGroup = getText(it.fields, "group") == group || it.event == "member-unlisted";
--- a/src/ctl/fetch.h
+++ b/src/ctl/fetch.h
@@ -1,4 +1,4 @@
-// One JSON document from an operators' address.
+// Fetches JSON documents from a host's operators' address.
 #pragma once
 #include "base/clock.h"
 #include <boost/asio/awaitable.hpp>
@@ -8,6 +8,7 @@
 
 namespace alderward::ctl {
 
+// Returns nullopt if the host does not answer by the deadline or the body is not a JSON object.
 boost::asio::awaitable<std::optional<boost::json::object>> fetchJson(std::string address, std::string path, base::TimePoint deadline);
 
 }
--- a/src/ctl/main.cpp
+++ b/src/ctl/main.cpp
@@ -1,4 +1,4 @@
-// alderctl: the operators' tool. Reads and changes the records in the platform's store; shows hosts, groups and time line.
+// alderctl: the operators' tool. Reads and changes the records in the platform's store; shows hosts, groups and the timeline.
 #include "ctl/commands.h"
 #include <boost/asio/co_spawn.hpp>
 #include <fmt/format.h>
@@ -10,15 +10,15 @@
 using namespace alderward;
 
 constexpr const char* kCommands = R"(commands:
-  config check FILE            check a record without a platform
-  config apply FILE            write the record (key from the file's name: orders.json is group orders)
+  config check FILE            check a record without contacting the platform
+  config apply FILE            write the record (the file's name gives the group: orders.json is group orders)
   config get GROUP             show the record as stored
   config list                  list all records with versions
-  config diff GROUP FILE       show what an apply would change
+  config diff GROUP FILE       show what apply would change
   config history-of GROUP      show the last changes of a record
   status                       show hosts, groups, primaries, terms, ages, homes, records in force
-  timeline [FILE...]           merge the time lines of all hosts; with files: the changes of state in hosts' logs
-  explain ID [FILE...]         the story of one request from hosts' logs (standard input without files)
+  timeline [FILE...]           merge the timelines of all hosts; with files: the state changes in hosts' logs
+  explain ID [FILE...]         explain one request from hosts' logs (standard input without files)
   replay FILE                  replay a recorded trace (GET /debug/trace?group=NAME) through this version's decisions)";
 
 ctl::Options readOptions(int argc, char** argv)
@@ -26,12 +26,12 @@
     TCLAP::CmdLine command(std::string("alderctl: operators' tool of alderward.\n") + kCommands, ' ', ALDERWARD_VERSION);
     TCLAP::ValueArg<std::string> platform("p", "platform", "Address of the platform's key-value service", false, "127.0.0.1:7400", "ip:port", command);
     TCLAP::ValueArg<std::string> host("", "host", "Operators' address of any host, for status and timeline", false, "", "ip:port", command);
-    TCLAP::ValueArg<std::string> by("", "by", "Your name, kept with each change", false, "operator", "name", command);
-    TCLAP::ValueArg<std::string> onlyGroup("g", "group", "Time line and status of this group only", false, "", "group", command);
-    TCLAP::ValueArg<std::string> onlyHost("", "only-host", "Time line of this host only", false, "", "host", command);
-    TCLAP::ValueArg<int> timeout("t", "timeout-ms", "Limit of one command", false, 10000, "ms", command);
+    TCLAP::ValueArg<std::string> by("", "by", "Your name, stored with each change", false, "operator", "name", command);
+    TCLAP::ValueArg<std::string> onlyGroup("g", "group", "Timeline and status of this group only", false, "", "group", command);
+    TCLAP::ValueArg<std::string> onlyHost("", "only-host", "Timeline of this host only", false, "", "host", command);
+    TCLAP::ValueArg<int> timeout("t", "timeout-ms", "Time limit of the command", false, 10000, "ms", command);
     TCLAP::SwitchArg wait("w", "wait", "After apply: wait until every live host has the record in force", command);
-    TCLAP::UnlabeledMultiArg<std::string> words("command", "What to do", true, "command", command);
+    TCLAP::UnlabeledMultiArg<std::string> words("command", "Command and its arguments", true, "command", command);
     command.parse(argc, argv);
     ctl::Options options;
     options.platform = { platform.getValue(), "alderctl" };
--- a/src/ctl/show.cpp
+++ b/src/ctl/show.cpp
@@ -35,7 +35,7 @@
     co_return links::parseObject(answer->body);
 }
 
-// The platform's list is late and can be out of reach: any host's own view of the others serves as well.
+// The platform's list can be outdated or unreachable; a named host's membership is used instead.
 asio::awaitable<std::vector<std::string>> findHosts(const Options& options)
 {
     std::vector<std::string> addresses;
@@ -143,7 +143,7 @@
 {
     std::ifstream file(path);
     if (!file) {
-        fmt::print(stderr, "cannot read {}\n", path);
+        fmt::print(stderr, "{}: cannot open file\n", path);
         return kExitFailed;
     }
     std::string text(std::istreambuf_iterator<char>(file), {});
@@ -157,7 +157,7 @@
         fmt::print("{}\n", it);
     if (replay.firstDifference.empty())
         return kExitSuccess;
-    fmt::print(stderr, "this version decides otherwise than the one that recorded the trace: {}\n", replay.firstDifference);
+    fmt::print(stderr, "decisions of this version differ from the recorded trace: {}\n", replay.firstDifference);
     return kExitFailed;
 }
 
