--- a/examples/decide.cpp
+++ b/examples/decide.cpp
@@ -1,5 +1,5 @@
-// Drives the failover decision by hand: a primary refuses connections, its replicas do not hear it, this host acts.
-// Runs as it stands and prints what a program would have to do; see src/alderward.h.
+// Runs the failover decision step by step: a primary refuses connections, its replicas lose contact with it, and a replica is
+// promoted. Prints the actions that a program would have to perform; see src/alderward.h.
 #include "alderward.h"
 #include <fmt/format.h>
 
@@ -31,7 +31,7 @@
         else if (std::holds_alternative<WriteClaim>(it))
             fmt::print("  write the claim\n");
         else
-            fmt::print("  tell the other homes\n");
+            fmt::print("  announce the new primary to the other homes\n");
     }
 }
 
@@ -53,7 +53,7 @@
     fmt::print("the timer ticks\n");
     auto step = stepFailover(context, {}, Tick {}, now);
     print(step);
-    fmt::print("the store holds the claim\n");
+    fmt::print("the store accepts the claim\n");
     step = stepFailover(context, step.state, ClaimAnswered { 2, ClaimOutcome::Taken, 2 }, now);
     print(step);
     fmt::print("b and c grant the term, a does not answer\n");
--- a/examples/demo.cpp
+++ b/examples/demo.cpp
@@ -1,6 +1,5 @@
-// The main job on local stand-ins: Sahyog's ledger (3 groups of 3 members, 2 slots, 16 connections, 10 ms for a new
-// connection), the platform, and 3 hosts. Runs a session that roams, kills a primary, prints the time line, and ends all
-// that it started. With --stay it keeps running until Enter is pressed, for the curl lines of docs/CALLERS.md.
+// Starts 3 hosts with local stand-ins for the platform and 3 groups of 3 members, moves a session between hosts, kills a primary and
+// prints the timeline. With --stay it runs until Enter is pressed, for the curl examples of docs/CALLERS.md.
 #include "harness/harness.h"
 #include <fmt/format.h>
 #include <iostream>
--- a/examples/gateway_demo.cpp
+++ b/examples/gateway_demo.cpp
@@ -1,5 +1,5 @@
-// The gateway's main job on local stand-ins of the users' platform: three hosts before one group of three members. A session
-// writes and reads, the primary dies, another takes over, and a planned stop cuts nothing. Ends all that it started.
+// Starts three gateway hosts with local stand-ins for the users' platform and one group of three members. A session writes and
+// reads, the primary is killed and replaced, and a host stops as planned.
 #include "harness/gateway_rig.h"
 #include <csignal>
 #include <fmt/format.h>
