--- a/tests/process/configuration_test.cpp
+++ b/tests/process/configuration_test.cpp
@@ -1,4 +1,4 @@
-// Records: lost answers, races of operators, late and compacted watches, refused records; in force everywhere, never older.
+// Records: lost responses, concurrent changes, interrupted and compacted watches, rejected records.
 #include "harness/harness.h"
 #include "links/json_fields.h"
 #include <boost/test/unit_test.hpp>
@@ -18,7 +18,7 @@
     return group ? getNumber(group->get_object(), "version") : 0;
 }
 
-bool isEverywhere(Cluster& cluster, uint64_t version)
+bool isInForceEverywhere(Cluster& cluster, uint64_t version)
 {
     for (size_t i = 0; i < cluster.getShape().hosts; ++i) {
         if (getVersion(cluster, i) < version)
@@ -51,10 +51,10 @@
     auto run = cluster.runTool({ "--wait", "config", "apply", writeSlots(cluster, 3) });
     BOOST_TEST(run.code == 0, run.output);
     BOOST_TEST(run.output.find("in force on 7 hosts") != std::string::npos, run.output);
-    BOOST_TEST(isEverywhere(cluster, getStoredVersion(cluster)));
+    BOOST_TEST(isInForceEverywhere(cluster, getStoredVersion(cluster)));
 }
 
-BOOST_AUTO_TEST_CASE(lost_answer_is_found_out_and_not_repeated)
+BOOST_AUTO_TEST_CASE(change_with_lost_response_takes_effect_once)
 {
     Cluster cluster(getSmallShape());
     cluster.beginAll();
@@ -62,17 +62,17 @@
     cluster.setPlatform({ { "loseAnswers", 1 } });
     auto run = cluster.runTool({ "config", "apply", writeSlots(cluster, 3) });
     BOOST_TEST(run.code == 0, run.output);
-    // One revision more: the change took effect once.
+    // One more revision: the change took effect once.
     BOOST_TEST(getStoredVersion(cluster) == before + 1);
     auto history = cluster.runTool({ "config", "history-of", "orders" });
     BOOST_TEST(std::count(history.output.begin(), history.output.end(), '\n') == 2, history.output);
 }
 
-BOOST_AUTO_TEST_CASE(of_two_operators_at_once_one_loses_and_sees_the_others_change)
+BOOST_AUTO_TEST_CASE(one_of_two_concurrent_changes_is_refused_and_shown_the_other)
 {
     Cluster cluster(getSmallShape());
     cluster.beginAll();
-    // Each reads before it writes, and no write is let through before both have come.
+    // The platform stand-in holds the first swap until the second one arrives, so both expect the same revision.
     cluster.setPlatform({ { "gatherSwaps", 2 } });
     auto first = writeSlots(cluster, 3);
     auto copy = cluster.getFolder() + "/other/orders.json";
@@ -95,7 +95,7 @@
     BOOST_TEST(lost.output.find("slots") != std::string::npos, lost.output);
 }
 
-BOOST_AUTO_TEST_CASE(bad_record_is_refused_by_the_tool_and_by_every_host)
+BOOST_AUTO_TEST_CASE(invalid_record_is_refused_by_the_tool_and_by_every_host)
 {
     Cluster cluster(getSmallShape());
     cluster.beginAll();
@@ -104,7 +104,7 @@
     BOOST_TEST(run.code == 4);
     BOOST_TEST(run.output.find("field slots") != std::string::npos, run.output);
     BOOST_TEST(cluster.runTool({ "config", "apply", path }).code == 4);
-    // Another program writes a schema of the future past the tool: the last good version stays in force.
+    // Another program writes a record with an unsupported schema: the last valid version stays in force.
     auto version = getVersion(cluster, 0);
     Client platform(cluster.getPlatformAddress());
     json::object change { { "id", "x" }, { "by", "x" }, { "atMs", 1 }, { "summary", "" } };
@@ -118,7 +118,7 @@
     BOOST_TEST(Caller(cluster.getCallerAddress(0)).write("orders", "SET a 1", "k").status == 200u);
 }
 
-BOOST_AUTO_TEST_CASE(old_and_new_schema_live_side_by_side)
+BOOST_AUTO_TEST_CASE(records_of_schema_1_and_2_are_served_side_by_side)
 {
     auto shape = getSmallShape();
     shape.groups.push_back({ "old", { "old-a", "old-b", "old-c" } });
@@ -151,7 +151,7 @@
     BOOST_TEST(waitUntil(milliseconds(5000), [&] { return Caller(cluster.getCallerAddress(2)).write("orders", "SET a 1", "k").status == 200; }));
 }
 
-BOOST_AUTO_TEST_CASE(compacted_or_interrupted_watch_misses_nothing)
+BOOST_AUTO_TEST_CASE(compacted_or_interrupted_watch_misses_no_change)
 {
     Cluster cluster(getSmallShape());
     cluster.beginAll();
@@ -159,9 +159,9 @@
     cluster.runTool({ "config", "apply", writeSlots(cluster, 3) });
     Client(cluster.getPlatformAddress()).post("/admin/compact", {});
     auto version = getStoredVersion(cluster);
-    BOOST_TEST(!isEverywhere(cluster, version));
+    BOOST_TEST(!isInForceEverywhere(cluster, version));
     cluster.setPlatform({ { "cut", json::array() } });
-    BOOST_TEST(waitUntil(milliseconds(20000), [&] { return isEverywhere(cluster, version); }));
+    BOOST_TEST(waitUntil(milliseconds(20000), [&] { return isInForceEverywhere(cluster, version); }));
 }
 
 BOOST_AUTO_TEST_CASE(change_reaches_a_data_centre_that_is_cut_off_from_the_platform)
@@ -174,7 +174,7 @@
     BOOST_TEST(cluster.sumMetric("invariant_violations") == 0u);
 }
 
-BOOST_AUTO_TEST_CASE(tool_shows_status_and_one_time_line)
+BOOST_AUTO_TEST_CASE(tool_shows_status_and_merged_timeline)
 {
     Cluster cluster(getSmallShape());
     cluster.beginAll();
@@ -190,7 +190,7 @@
     auto status = cluster.runTool({ "status" });
     BOOST_TEST(status.code == 0, status.output);
     BOOST_TEST(status.output.find("term 2 primary orders-") != std::string::npos, status.output);
-    // The platform's list is not needed when a host is named.
+    // With --host the tool does not need the platform's list.
     cluster.setPlatform({ { "down", true } });
     BOOST_TEST(cluster.runTool({ "--host", cluster.getOperatorAddress(1), "status" }).code == 0);
 }
--- a/tests/process/drain_test.cpp
+++ b/tests/process/drain_test.cpp
@@ -1,4 +1,4 @@
-// Planned stops: no request in flight is cut off.
+// Planned stops: no request in flight is aborted.
 #include "harness/harness.h"
 #include <atomic>
 #include <boost/test/unit_test.hpp>
@@ -10,8 +10,8 @@
 
 BOOST_AUTO_TEST_SUITE(drain)
 
-// The balancer of this test: callers ask /healthz now and then and go to hosts that are ready.
-BOOST_AUTO_TEST_CASE(each_host_stopped_in_turn_under_load_fails_no_request)
+// The test plays the load balancer: it polls /healthz, and callers move to hosts that are ready.
+BOOST_AUTO_TEST_CASE(rolling_restart_under_load_fails_no_request)
 {
     auto shape = getSmallShape();
     shape.hosts = 4;
@@ -68,7 +68,7 @@
     BOOST_TEST(served > 200);
 }
 
-BOOST_AUTO_TEST_CASE(transaction_in_flight_is_finished_before_the_stop)
+BOOST_AUTO_TEST_CASE(stop_waits_for_open_transactions)
 {
     Cluster cluster(getSmallShape());
     cluster.beginAll();
@@ -87,7 +87,7 @@
     BOOST_TEST(getResult(caller.read("orders", "GET a")) == "1");
 }
 
-BOOST_AUTO_TEST_CASE(second_signal_ends_the_stop_and_reports_what_it_cuts)
+BOOST_AUTO_TEST_CASE(second_signal_ends_the_drain_immediately)
 {
     Cluster cluster(getSmallShape());
     cluster.beginAll();
