--- a/src/daemon/drain.cpp
+++ b/src/daemon/drain.cpp
@@ -17,7 +17,7 @@
     return now - state.lastRequestMs.load() >= kIdleThreshold.count();
 }
 
-asio::awaitable<void> drain(controllers::Node& node, DrainState& state, controllers::HostsController& hosts, controllers::GroupsController& groups, links::HttpServer& callers)
+asio::awaitable<void> drain(controllers::Node& node, DrainState& state, controllers::HostsController& hosts, controllers::GroupsController& groups, links::HttpServer& callerServer)
 {
     auto startedAt = Clock::now();
     auto limit = milliseconds(node.settings.drainLimitMs);
@@ -28,13 +28,13 @@
     // Keeps accepting connections until the load balancer has had time to notice the failing health check.
     while (!state.mustStopNow && Clock::now() - startedAt < milliseconds(node.settings.drainNoticeMs))
         co_await base::sleepFor(kPollInterval);
-    callers.stopAccepting();
-    while (!isOver() && (state.inFlight > 0 || groups.getOpenTransactions() > 0 || (callers.getConnectionCount() > 0 && !areCallersIdle(state))))
+    callerServer.stopAccepting();
+    while (!isOver() && (state.requestsInFlight > 0 || groups.getOpenTransactions() > 0 || (callerServer.getConnectionCount() > 0 && !areCallersIdle(state))))
         co_await base::sleepFor(kPollInterval);
-    callers.closeIdle();
-    while (!isOver() && callers.getConnectionCount() > 0)
+    callerServer.closeIdle();
+    while (!isOver() && callerServer.getConnectionCount() > 0)
         co_await base::sleepFor(kPollInterval);
-    auto summary = fmt::format("{} requests and {} transactions cut off", state.inFlight.load(), groups.getOpenTransactions());
+    auto summary = fmt::format("{} requests and {} transactions cut off", state.requestsInFlight.load(), groups.getOpenTransactions());
     base::getTimeline().add("drain-ended", "", summary);
 }
 
--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -41,11 +41,11 @@
     explicit InFlightGuard(daemon::DrainState& state)
         : m_state(state)
     {
-        ++m_state.inFlight;
+        ++m_state.requestsInFlight;
         m_state.lastRequestMs = std::chrono::duration_cast<milliseconds>(Clock::now().time_since_epoch()).count();
     }
     InFlightGuard(const InFlightGuard&) = delete;
-    ~InFlightGuard() { --m_state.inFlight; }
+    ~InFlightGuard() { --m_state.requestsInFlight; }
 
 private:
     daemon::DrainState& m_state;
@@ -96,8 +96,8 @@
         : m_settings(std::move(settings))
         , m_contexts(m_settings.threads)
         , m_timers(base::makeTimerService())
-        , m_peers(links::makePeerClient(m_blockedPeers))
-        , m_node { m_settings, m_contexts, *m_timers, *m_peers, { m_settings.platformAddress, m_settings.name } }
+        , m_peerClient(links::makePeerClient(m_blockedPeers))
+        , m_node { m_settings, m_contexts, *m_timers, *m_peerClient, { m_settings.platformAddress, m_settings.name } }
         , m_configuration(m_node)
         , m_hosts(m_node, m_configuration, base::getWallMs(base::getHybridClock().tick()))
         , m_groups(m_node, m_configuration, m_hosts)
@@ -122,15 +122,15 @@
         options.requestTimeout = milliseconds(m_settings.requestTimeoutMs);
         options.makeErrorResponse = makeErrorResponse;
         options.nextContext = [this]() -> asio::io_context& { return m_contexts.getNext(); };
-        auto callers = links::startHttpServer(
+        auto callerServer = links::startHttpServer(
             m_contexts.getNext(), m_settings.callerAddress, [this](links::HttpRequest request) { return serveCaller(m_services, m_drainState, std::move(request)); }, options);
-        if (!callers)
-            return tl::make_unexpected(callers.error());
-        m_callers = std::move(*callers);
-        auto operators = links::startHttpServer(m_contexts.getNext(), m_settings.operatorAddress, [this](links::HttpRequest request) -> asio::awaitable<links::HttpResponse> { co_return daemon::answerOperator(m_operatorServices, request); });
-        if (!operators)
-            return tl::make_unexpected(operators.error());
-        m_operators = std::move(*operators);
+        if (!callerServer)
+            return tl::make_unexpected(callerServer.error());
+        m_callerServer = std::move(*callerServer);
+        auto operatorServer = links::startHttpServer(m_contexts.getNext(), m_settings.operatorAddress, [this](links::HttpRequest request) -> asio::awaitable<links::HttpResponse> { co_return daemon::answerOperator(m_operatorServices, request); });
+        if (!operatorServer)
+            return tl::make_unexpected(operatorServer.error());
+        m_operatorServer = std::move(*operatorServer);
         m_groups.begin();
         m_hosts.begin();
         m_configuration.begin([this] { return m_hosts.isWatcher(); });
@@ -158,7 +158,7 @@
 
     asio::awaitable<void> stop()
     {
-        co_await daemon::drain(m_node, m_drainState, m_hosts, m_groups, *m_callers);
+        co_await daemon::drain(m_node, m_drainState, m_hosts, m_groups, *m_callerServer);
         m_peerServer->stop();
         m_contexts.stop();
     }
@@ -168,7 +168,7 @@
     links::BlockedPeers m_blockedPeers;
     daemon::DrainState m_drainState;
     std::unique_ptr<base::TimerService> m_timers;
-    std::unique_ptr<links::PeerClient> m_peers;
+    std::unique_ptr<links::PeerClient> m_peerClient;
     controllers::Node m_node;
     controllers::ConfigurationController m_configuration;
     controllers::HostsController m_hosts;
@@ -177,8 +177,8 @@
     daemon::OperatorServices m_operatorServices;
     asio::signal_set m_signals;
     std::unique_ptr<links::PeerServer> m_peerServer;
-    std::unique_ptr<links::HttpServer> m_callers;
-    std::unique_ptr<links::HttpServer> m_operators;
+    std::unique_ptr<links::HttpServer> m_callerServer;
+    std::unique_ptr<links::HttpServer> m_operatorServer;
 };
 
 }
