--- a/src/ctl/config.cpp
+++ b/src/ctl/config.cpp
@@ -70,10 +70,10 @@
 {
     auto a = splitLines(before);
     auto b = splitLines(after);
-    std::vector<std::vector<size_t>> common(a.size() + 1, std::vector<size_t>(b.size() + 1, 0));
+    std::vector<std::vector<size_t>> lcsLengths(a.size() + 1, std::vector<size_t>(b.size() + 1, 0));
     for (size_t i = a.size(); i-- > 0;) {
         for (size_t j = b.size(); j-- > 0;)
-            common[i][j] = a[i] == b[j] ? common[i + 1][j + 1] + 1 : std::max(common[i + 1][j], common[i][j + 1]);
+            lcsLengths[i][j] = a[i] == b[j] ? lcsLengths[i + 1][j + 1] + 1 : std::max(lcsLengths[i + 1][j], lcsLengths[i][j + 1]);
     }
     size_t i = 0;
     size_t j = 0;
@@ -81,7 +81,7 @@
         if (i < a.size() && j < b.size() && a[i] == b[j]) {
             ++i;
             ++j;
-        } else if (j == b.size() || (i < a.size() && common[i + 1][j] >= common[i][j + 1]))
+        } else if (j == b.size() || (i < a.size() && lcsLengths[i + 1][j] >= lcsLengths[i][j + 1]))
             fmt::print("-{}\n", a[i++]);
         else
             fmt::print("+{}\n", b[j++]);
--- a/src/ctl/main.cpp
+++ b/src/ctl/main.cpp
@@ -31,7 +31,7 @@
     TCLAP::ValueArg<std::string> onlyHost("", "only-host", "Timeline of this host only", false, "", "host", command);
     TCLAP::ValueArg<int> timeout("t", "timeout-ms", "Time limit of the command", false, 10000, "ms", command);
     TCLAP::SwitchArg wait("w", "wait", "After apply: wait until every live host has the record in force", command);
-    TCLAP::UnlabeledMultiArg<std::string> words("command", "Command and its arguments", true, "command", command);
+    TCLAP::UnlabeledMultiArg<std::string> arguments("command", "Command and its arguments", true, "command", command);
     command.parse(argc, argv);
     ctl::Options options;
     options.platform = { platform.getValue(), "alderctl" };
@@ -41,7 +41,7 @@
     options.onlyHost = onlyHost.getValue();
     options.timeout = base::milliseconds(timeout.getValue());
     options.mustWait = wait.getValue();
-    options.arguments = words.getValue();
+    options.arguments = arguments.getValue();
     return options;
 }
 
