--- a/examples/demo.cpp
+++ b/examples/demo.cpp
@@ -18,15 +18,15 @@
     fmt::print("3 hosts serve ledger1, ledger2 and ledger3; callers' address of h1: {}\n\n", cluster.getCallerAddress(0));
     for (auto& it : cluster.getShape().groups.front().members)
         cluster.setMember(it, { { "lagMs", 200 } });
-    Caller officer(cluster.getCallerAddress(0));
-    show("write through h1, replicas lag by 200 ms", officer.write("ledger1", "SET loan-17 sanctioned", "sanction-17"));
-    officer.roam(cluster.getCallerAddress(1));
-    show("read through h2 with h1's token", officer.read("ledger1", "GET loan-17"));
-    show("the same sanction again through h2", officer.write("ledger1", "SET loan-17 sanctioned", "sanction-17"));
+    Caller caller(cluster.getCallerAddress(0));
+    show("write through h1, replicas lag by 200 ms", caller.write("ledger1", "SET loan-17 sanctioned", "sanction-17"));
+    caller.roam(cluster.getCallerAddress(1));
+    show("read through h2 with h1's token", caller.read("ledger1", "GET loan-17"));
+    show("the same sanction again through h2", caller.write("ledger1", "SET loan-17 sanctioned", "sanction-17"));
     cluster.getMember("ledger1-a").kill();
-    officer.roam(cluster.getCallerAddress(2));
-    show("primary killed; write through h3", officer.write("ledger1", "SET loan-18 sanctioned", "sanction-18"));
-    show("read of the first sanction", officer.read("ledger1", "GET loan-17"));
+    caller.roam(cluster.getCallerAddress(2));
+    show("primary killed; write through h3", caller.write("ledger1", "SET loan-18 sanctioned", "sanction-18"));
+    show("read of the first sanction", caller.read("ledger1", "GET loan-17"));
     fmt::print("\nalderctl timeline --group ledger1\n{}", cluster.runTool({ "timeline", "--group", "ledger1" }).output);
     fmt::print("\nalderctl status --group ledger1\n{}", cluster.runTool({ "status", "--group", "ledger1" }).output);
     if (argc > 1 && std::string(argv[1]) == "--stay") {
@@ -34,7 +34,7 @@
         std::fflush(stdout);
         std::cin.get();
     }
-    auto ok = getResult(officer.read("ledger1", "GET loan-17")) == "sanctioned";
+    auto ok = getResult(caller.read("ledger1", "GET loan-17")) == "sanctioned";
     fmt::print("\n{}\n", ok ? "demo done" : "demo FAILED: the first sanction is gone");
     return ok ? 0 : 1;
 }
--- a/examples/gateway_demo.cpp
+++ b/examples/gateway_demo.cpp
@@ -15,12 +15,12 @@
 {
     GatewayRig rig;
     rig.beginHosts();
-    LineCaller officer(rig.getCallerAddress(0), "db0-own");
-    show("write through h0", officer.ask("WRITE loan-17 sanctioned"));
-    show("read through h0, by a replica if it has it", officer.ask("READ loan-17"));
-    officer.ask("BEGIN");
-    officer.ask("WRITE loan-18 sanctioned");
-    show("commit of a transaction", officer.ask("COMMIT"));
+    LineCaller caller(rig.getCallerAddress(0), "db0-own");
+    show("write through h0", caller.ask("WRITE loan-17 sanctioned"));
+    show("read through h0, by a replica if it has it", caller.ask("READ loan-17"));
+    caller.ask("BEGIN");
+    caller.ask("WRITE loan-18 sanctioned");
+    show("commit of a transaction", caller.ask("COMMIT"));
     rig.call([&] { rig.getGroup().kill("g0-a"); });
     bool isServed = waitUntil(milliseconds(5000), [&] { return LineCaller(rig.getCallerAddress(1), "db0-primary").ask("WRITE loan-19 sanctioned").isOk(); });
     fmt::print("primary killed; new primary: {}\n", rig.call([&] { return rig.getGroup().getPrimary(); }));
@@ -29,7 +29,7 @@
     rig.getHost(2).signal(SIGTERM);
     auto code = rig.getHost(2).wait(milliseconds(6000));
     fmt::print("h2 stopped as planned, exit status {}\n", code.value_or(-1));
-    bool isGood = isServed && read.isOk() && !read.rows.empty() && read.rows.front() == "sanctioned" && code == 0;
-    fmt::print("{}\n", isGood ? "gateway demo done" : "gateway demo FAILED");
-    return isGood ? 0 : 1;
+    bool isSuccessful = isServed && read.isOk() && !read.rows.empty() && read.rows.front() == "sanctioned" && code == 0;
+    fmt::print("{}\n", isSuccessful ? "gateway demo done" : "gateway demo FAILED");
+    return isSuccessful ? 0 : 1;
 }
--- a/tests/process/configuration_test.cpp
+++ b/tests/process/configuration_test.cpp
@@ -27,7 +27,7 @@
     return true;
 }
 
-std::string writeSlots(Cluster& cluster, int slots)
+std::string writeRecordWithSlots(Cluster& cluster, int slots)
 {
     return cluster.writeRecord(cluster.getShape().groups.front(), [&](json::object& record) { record["slots"] = slots; });
 }
@@ -48,7 +48,7 @@
     shape.hosts = 7;
     Cluster cluster(shape);
     cluster.beginAll();
-    auto run = cluster.runTool({ "--wait", "config", "apply", writeSlots(cluster, 3) });
+    auto run = cluster.runTool({ "--wait", "config", "apply", writeRecordWithSlots(cluster, 3) });
     BOOST_TEST(run.code == 0, run.output);
     BOOST_TEST(run.output.find("in force on 7 hosts") != std::string::npos, run.output);
     BOOST_TEST(isInForceEverywhere(cluster, getStoredVersion(cluster)));
@@ -60,7 +60,7 @@
     cluster.beginAll();
     auto before = getStoredVersion(cluster);
     cluster.setPlatform({ { "loseAnswers", 1 } });
-    auto run = cluster.runTool({ "config", "apply", writeSlots(cluster, 3) });
+    auto run = cluster.runTool({ "config", "apply", writeRecordWithSlots(cluster, 3) });
     BOOST_TEST(run.code == 0, run.output);
     // One more revision: the change took effect once.
     BOOST_TEST(getStoredVersion(cluster) == before + 1);
@@ -74,7 +74,7 @@
     cluster.beginAll();
     // The platform stand-in holds the first swap until the second one arrives, so both expect the same revision.
     cluster.setPlatform({ { "gatherSwaps", 2 } });
-    auto first = writeSlots(cluster, 3);
+    auto first = writeRecordWithSlots(cluster, 3);
     auto copy = cluster.getFolder() + "/other/orders.json";
     std::system(("mkdir -p " + cluster.getFolder() + "/other").c_str());
     {
@@ -83,15 +83,15 @@
         auto at = text.find("\"slots\":3");
         std::ofstream(copy) << text.replace(at, 9, "\"slots\":4");
     }
-    Cluster::ToolRun one;
-    std::thread other([&] { one = cluster.runTool({ "--by", "asha", "config", "apply", first }); });
-    auto two = cluster.runTool({ "--by", "bat", "config", "apply", copy });
+    Cluster::ToolRun firstRun;
+    std::thread other([&] { firstRun = cluster.runTool({ "--by", "asha", "config", "apply", first }); });
+    auto secondRun = cluster.runTool({ "--by", "bat", "config", "apply", copy });
     other.join();
-    auto& lost = one.code == 3 ? one : two;
-    auto& won = one.code == 3 ? two : one;
+    auto& lost = firstRun.code == 3 ? firstRun : secondRun;
+    auto& won = firstRun.code == 3 ? secondRun : firstRun;
     BOOST_TEST(won.code == 0, won.output);
     BOOST_TEST(lost.code == 3, lost.output);
-    BOOST_TEST(lost.output.find(&won == &one ? "by asha" : "by bat") != std::string::npos, lost.output);
+    BOOST_TEST(lost.output.find(&won == &firstRun ? "by asha" : "by bat") != std::string::npos, lost.output);
     BOOST_TEST(lost.output.find("slots") != std::string::npos, lost.output);
 }
 
@@ -141,7 +141,7 @@
 {
     Cluster cluster(getSmallShape());
     cluster.beginAll();
-    auto run = cluster.runTool({ "--wait", "config", "apply", writeSlots(cluster, 3) });
+    auto run = cluster.runTool({ "--wait", "config", "apply", writeRecordWithSlots(cluster, 3) });
     BOOST_REQUIRE_EQUAL(run.code, 0);
     auto version = getStoredVersion(cluster);
     cluster.setPlatform({ { "down", true } });
@@ -156,7 +156,7 @@
     Cluster cluster(getSmallShape());
     cluster.beginAll();
     cluster.setPlatform({ { "cut", json::array { "h1", "h2", "h3" } } });
-    cluster.runTool({ "config", "apply", writeSlots(cluster, 3) });
+    cluster.runTool({ "config", "apply", writeRecordWithSlots(cluster, 3) });
     Client(cluster.getPlatformAddress()).post("/admin/compact", {});
     auto version = getStoredVersion(cluster);
     BOOST_TEST(!isInForceEverywhere(cluster, version));
@@ -169,7 +169,7 @@
     Cluster cluster(getSmallShape());
     cluster.beginAll();
     cluster.setPlatform({ { "cut", json::array { "h3" } } });
-    auto run = cluster.runTool({ "--wait", "config", "apply", writeSlots(cluster, 3) });
+    auto run = cluster.runTool({ "--wait", "config", "apply", writeRecordWithSlots(cluster, 3) });
     BOOST_TEST(run.code == 0, run.output);
     BOOST_TEST(cluster.sumMetric("invariant_violations") == 0u);
 }
@@ -180,13 +180,13 @@
     cluster.beginAll();
     cluster.getMember("orders-a").kill();
     BOOST_TEST(Caller(cluster.getCallerAddress(0)).write("orders", "SET a 1", "k").status == 200u);
-    auto line = cluster.runTool({ "timeline", "--group", "orders" });
-    BOOST_TEST(line.code == 0, line.output);
-    auto began = line.output.find("promotion-began");
-    auto promoted = line.output.find("promoted");
-    BOOST_TEST(began != std::string::npos, line.output);
+    auto timeline = cluster.runTool({ "timeline", "--group", "orders" });
+    BOOST_TEST(timeline.code == 0, timeline.output);
+    auto began = timeline.output.find("promotion-began");
+    auto promoted = timeline.output.find("promoted");
+    BOOST_TEST(began != std::string::npos, timeline.output);
     BOOST_TEST(began < promoted);
-    BOOST_TEST(line.output.find("refuses connections") != std::string::npos, line.output);
+    BOOST_TEST(timeline.output.find("refuses connections") != std::string::npos, timeline.output);
     auto status = cluster.runTool({ "status" });
     BOOST_TEST(status.code == 0, status.output);
     BOOST_TEST(status.output.find("term 2 primary orders-") != std::string::npos, status.output);
--- a/tests/process/drain_test.cpp
+++ b/tests/process/drain_test.cpp
@@ -28,13 +28,13 @@
     std::vector<std::thread> callers;
     for (int n = 0; n < 8; ++n) {
         callers.emplace_back([&, n] {
-            size_t at = static_cast<size_t>(n) % 4;
-            Caller caller(cluster.getCallerAddress(at));
+            size_t hostIndex = static_cast<size_t>(n) % 4;
+            Caller caller(cluster.getCallerAddress(hostIndex));
             for (int i = 0; !mustStop; ++i) {
-                if (!isReady[at]) {
-                    while (!isReady[at])
-                        at = (at + 1) % 4;
-                    caller.roam(cluster.getCallerAddress(at));
+                if (!isReady[hostIndex]) {
+                    while (!isReady[hostIndex])
+                        hostIndex = (hostIndex + 1) % 4;
+                    caller.roam(cluster.getCallerAddress(hostIndex));
                 }
                 auto key = "c" + std::to_string(n) + "-" + std::to_string(i);
                 auto answer = i % 2 ? caller.read("orders", "GET x") : caller.write("orders", "SET x " + key, key);
@@ -43,7 +43,7 @@
                     continue;
                 }
                 std::lock_guard lock(mutex);
-                failures.push_back(key + " at h" + std::to_string(at + 1) + ": " + std::to_string(answer.status) + " " + json::serialize(answer.body));
+                failures.push_back(key + " at h" + std::to_string(hostIndex + 1) + ": " + std::to_string(answer.status) + " " + json::serialize(answer.body));
             }
         });
     }
