--- a/src/ctl/config.cpp
+++ b/src/ctl/config.cpp
@@ -1,5 +1,5 @@
-// alderctl config: every change is a compare-and-swap that carries a change id. A lost race shows the other's change; a
-// lost answer is found out by reading, never by writing again.
+// alderctl config: every change is a compare-and-swap with a unique change id. A conflict shows the concurrent change. After a
+// lost response, the record is read to find out whether the swap took effect.
 #include "ctl/commands.h"
 #include "ctl/fetch.h"
 #include "decisions/records.h"
@@ -18,13 +18,13 @@
 using base::milliseconds;
 
 static constexpr milliseconds kCallTimeout { 2000 };
-static constexpr milliseconds kPoll { 50 };
+static constexpr milliseconds kPollInterval { 50 };
 
 static std::optional<std::string> readFile(const std::string& path)
 {
     std::ifstream file(path);
     if (!file) {
-        fmt::print(stderr, "{}: cannot be opened\n", path);
+        fmt::print(stderr, "{}: cannot open file\n", path);
         return std::nullopt;
     }
     std::ostringstream text;
@@ -65,15 +65,15 @@
     return lines;
 }
 
-// A plain line diff: what only one side has, in order of the longest common subsequence.
+// Prints a line diff based on the longest common subsequence.
 static void printDiff(const std::string& before, const std::string& after)
 {
     auto a = splitLines(before);
     auto b = splitLines(after);
-    std::vector<std::vector<size_t>> common(a.size() + 1, std::vector<size_t>(b.size() + 1, 0));
+    std::vector<std::vector<size_t>> lcsLengths(a.size() + 1, std::vector<size_t>(b.size() + 1, 0));
     for (size_t i = a.size(); i-- > 0;) {
         for (size_t j = b.size(); j-- > 0;)
-            common[i][j] = a[i] == b[j] ? common[i + 1][j + 1] + 1 : std::max(common[i + 1][j], common[i][j + 1]);
+            lcsLengths[i][j] = a[i] == b[j] ? lcsLengths[i + 1][j + 1] + 1 : std::max(lcsLengths[i + 1][j], lcsLengths[i][j + 1]);
     }
     size_t i = 0;
     size_t j = 0;
@@ -81,7 +81,7 @@
         if (i < a.size() && j < b.size() && a[i] == b[j]) {
             ++i;
             ++j;
-        } else if (j == b.size() || (i < a.size() && common[i + 1][j] >= common[i][j + 1]))
+        } else if (j == b.size() || (i < a.size() && lcsLengths[i + 1][j] >= lcsLengths[i][j + 1]))
             fmt::print("-{}\n", a[i++]);
         else
             fmt::print("+{}\n", b[j++]);
@@ -101,13 +101,13 @@
 // ---- apply ----
 
 enum class ApplyResult { Written,
-    Lost,
+    Conflict,
     Unknown };
 
-struct Applied {
+struct ApplyOutcome {
     ApplyResult result { ApplyResult::Unknown };
     uint64_t version { 0 };
-    std::string other {}; // for Lost: what stands there
+    std::string storedValue {}; // for Conflict: the value in the store
 };
 
 static bool hasChange(const decisions::Envelope& envelope, const std::string& id)
@@ -115,23 +115,23 @@
     return std::ranges::find(envelope.changes, id, &decisions::Change::id) != envelope.changes.end();
 }
 
-// Without an answer the swap may have happened: the change id in the stored envelope tells, also under later changes.
-static asio::awaitable<Applied> findOut(const Options& options, const std::string& key, uint64_t expected, const std::string& id, base::TimePoint deadline)
+// Determines whether a swap without a response took effect: its change id is then in the stored history, even after later changes.
+static asio::awaitable<ApplyOutcome> resolveSwapOutcome(const Options& options, const std::string& key, uint64_t expected, const std::string& id, base::TimePoint deadline)
 {
     while (Clock::now() < deadline) {
         auto stored = co_await links::getValue(options.platform, key, std::min(deadline, Clock::now() + kCallTimeout));
         if (stored && hasChange(parseStored(stored->value), id))
-            co_return Applied { ApplyResult::Written, stored->revision, {} };
+            co_return ApplyOutcome { ApplyResult::Written, stored->revision, {} };
         if (stored && stored->revision != expected)
-            co_return Applied { ApplyResult::Lost, stored->revision, stored->value };
-        if (stored) // not there and nothing else either: it may still arrive late, and then it is ours
-            co_return Applied { ApplyResult::Unknown, stored->revision, {} };
-        co_await base::sleepFor(kPoll * 4);
+            co_return ApplyOutcome { ApplyResult::Conflict, stored->revision, stored->value };
+        if (stored) // unchanged so far; the swap may still arrive late
+            co_return ApplyOutcome { ApplyResult::Unknown, stored->revision, {} };
+        co_await base::sleepFor(kPollInterval * 4);
     }
-    co_return Applied {};
+    co_return ApplyOutcome {};
 }
 
-static asio::awaitable<Applied> swapRecord(const Options& options, const std::string& key, const links::StoredValue& stored, const std::string& text, const decisions::Change& change, base::TimePoint deadline)
+static asio::awaitable<ApplyOutcome> swapRecord(const Options& options, const std::string& key, const links::StoredValue& stored, const std::string& text, const decisions::Change& change, base::TimePoint deadline)
 {
     auto envelope = parseStored(stored.value);
     envelope.record = text;
@@ -142,15 +142,15 @@
     for (;;) {
         auto swap = co_await links::compareAndSwap(options.platform, key, stored.revision, value, std::min(deadline, Clock::now() + kCallTimeout));
         if (swap && swap->wasSwapped)
-            co_return Applied { ApplyResult::Written, swap->current.revision, {} };
-        if (swap && hasChange(parseStored(swap->current.value), change.id)) // our own earlier try
-            co_return Applied { ApplyResult::Written, swap->current.revision, {} };
+            co_return ApplyOutcome { ApplyResult::Written, swap->current.revision, {} };
+        if (swap && hasChange(parseStored(swap->current.value), change.id)) // an earlier attempt of this command
+            co_return ApplyOutcome { ApplyResult::Written, swap->current.revision, {} };
         if (swap)
-            co_return Applied { ApplyResult::Lost, swap->current.revision, swap->current.value };
-        auto found = co_await findOut(options, key, stored.revision, change.id, deadline);
+            co_return ApplyOutcome { ApplyResult::Conflict, swap->current.revision, swap->current.value };
+        auto found = co_await resolveSwapOutcome(options, key, stored.revision, change.id, deadline);
         if (found.result != ApplyResult::Unknown || Clock::now() >= deadline)
             co_return found;
-        // The same swap again is safe: it expects the same revision, so it can take effect only once.
+        // Retrying is safe: the swap expects the same revision, so it takes effect at most once.
     }
 }
 
@@ -166,28 +166,28 @@
     co_return entry && entry->is_object() && links::getNumber(entry->get_object(), "version") >= version;
 }
 
-static asio::awaitable<int> waitInForce(const Options& options, const std::string& group, uint64_t version, base::TimePoint deadline)
+static asio::awaitable<int> waitUntilInForce(const Options& options, const std::string& group, uint64_t version, base::TimePoint deadline)
 {
-    auto began = Clock::now();
-    std::vector<std::string> missing = co_await findHosts(options);
-    auto count = missing.size();
-    while (!missing.empty() && Clock::now() < deadline) {
-        std::vector<std::string> still;
-        for (auto& it : missing) {
+    auto startedAt = Clock::now();
+    std::vector<std::string> pendingHosts = co_await findHosts(options);
+    auto count = pendingHosts.size();
+    while (!pendingHosts.empty() && Clock::now() < deadline) {
+        std::vector<std::string> stillPending;
+        for (auto& it : pendingHosts) {
             if (!co_await isInForceAt(it, group, version))
-                still.push_back(it);
+                stillPending.push_back(it);
         }
-        missing = std::move(still);
-        if (!missing.empty())
-            co_await base::sleepFor(kPoll);
+        pendingHosts = std::move(stillPending);
+        if (!pendingHosts.empty())
+            co_await base::sleepFor(kPollInterval);
     }
-    auto elapsed = std::chrono::duration_cast<milliseconds>(Clock::now() - began).count();
-    if (missing.empty()) {
+    auto elapsed = std::chrono::duration_cast<milliseconds>(Clock::now() - startedAt).count();
+    if (pendingHosts.empty()) {
         fmt::print("in force on {} hosts after {} ms\n", count, elapsed);
-        co_return kExitDone;
+        co_return kExitSuccess;
     }
-    for (auto& it : missing)
-        fmt::print(stderr, "not in force at {}\n", it);
+    for (auto& it : pendingHosts)
+        fmt::print(stderr, "record not in force at host {}\n", it);
     co_return kExitNotInForce;
 }
 
@@ -196,35 +196,35 @@
     auto deadline = Clock::now() + options.timeout;
     auto text = readFile(path);
     if (!text || !checkRecord(path, *text))
-        co_return kExitBad;
+        co_return kExitInvalid;
     auto group = getGroupName(path);
     auto stored = co_await links::getValue(options.platform, getKey(group), std::min(deadline, Clock::now() + kCallTimeout));
     if (!stored) {
-        fmt::print(stderr, "the platform does not answer: nothing was written\n");
+        fmt::print(stderr, "the platform does not answer; nothing was written\n");
         co_return kExitFailed;
     }
     auto atMs = static_cast<uint64_t>(std::chrono::duration_cast<milliseconds>(std::chrono::system_clock::now().time_since_epoch()).count());
-    decisions::Change change { makeChangeId(), options.by, atMs, stored->revision ? "changed" : "created" };
+    decisions::Change change { makeChangeId(), options.changedBy, atMs, stored->revision ? "changed" : "created" };
     auto applied = co_await swapRecord(options, getKey(group), *stored, *text, change, deadline);
-    if (applied.result == ApplyResult::Lost) {
-        fmt::print(stderr, "another change came first; nothing was written. It differs from yours by:\n");
-        auto other = parseStored(applied.other);
-        if (!other.changes.empty())
-            printChange(other.changes.front());
-        printDiff(other.record, *text);
-        co_return kExitLost;
+    if (applied.result == ApplyResult::Conflict) {
+        fmt::print(stderr, "the record was changed concurrently; nothing was written. The other change, and the difference to your file:\n");
+        auto winner = parseStored(applied.storedValue);
+        if (!winner.changes.empty())
+            printChange(winner.changes.front());
+        printDiff(winner.record, *text);
+        co_return kExitConflict;
     }
     if (applied.result == ApplyResult::Unknown) {
-        fmt::print(stderr, "no answer from the platform: look for change {} with history-of {}\n", change.id, group);
+        fmt::print(stderr, "the platform did not answer; the change may have been written. Look for change {} with history-of {}\n", change.id, group);
         co_return kExitFailed;
     }
     fmt::print("{} version {} change {}\n", group, applied.version, change.id);
     if (!options.mustWait)
-        co_return kExitDone;
-    co_return co_await waitInForce(options, group, applied.version, deadline);
+        co_return kExitSuccess;
+    co_return co_await waitUntilInForce(options, group, applied.version, deadline);
 }
 
-// ---- the other verbs ----
+// ---- other subcommands ----
 
 static asio::awaitable<std::optional<links::StoredValue>> fetchRecord(const Options& options, const std::string& group)
 {
@@ -248,7 +248,7 @@
         auto envelope = parseStored(it.value);
         fmt::print("{} version {} changes {}\n", it.key.substr(decisions::kGroupPrefix.size()), it.revision, envelope.changes.size());
     }
-    co_return kExitDone;
+    co_return kExitSuccess;
 }
 
 static asio::awaitable<int> diff(const Options& options, const std::string& group, const std::string& path)
@@ -258,36 +258,36 @@
     if (!text || !stored)
         co_return kExitFailed;
     printDiff(parseStored(stored->value).record, *text);
-    co_return kExitDone;
+    co_return kExitSuccess;
 }
 
 asio::awaitable<int> runConfig(Options options)
 {
-    auto& words = options.words;
-    auto verb = words.size() > 1 ? words[1] : std::string();
-    if (verb == "list" && words.size() == 2)
+    auto& arguments = options.arguments;
+    auto subcommand = arguments.size() > 1 ? arguments[1] : std::string();
+    if (subcommand == "list" && arguments.size() == 2)
         co_return co_await list(options);
-    if (verb == "diff" && words.size() == 4)
-        co_return co_await diff(options, words[2], words[3]);
-    if (words.size() != 3)
+    if (subcommand == "diff" && arguments.size() == 4)
+        co_return co_await diff(options, arguments[2], arguments[3]);
+    if (arguments.size() != 3)
         co_return kExitUsage;
-    if (verb == "apply")
-        co_return co_await applyRecord(options, words[2]);
-    if (verb == "check") {
-        auto text = readFile(words[2]);
-        co_return text&& checkRecord(words[2], *text) ? kExitDone : kExitBad;
+    if (subcommand == "apply")
+        co_return co_await applyRecord(options, arguments[2]);
+    if (subcommand == "check") {
+        auto text = readFile(arguments[2]);
+        co_return text&& checkRecord(arguments[2], *text) ? kExitSuccess : kExitInvalid;
     }
-    if (verb != "get" && verb != "history-of")
+    if (subcommand != "get" && subcommand != "history-of")
         co_return kExitUsage;
-    auto stored = co_await fetchRecord(options, words[2]);
+    auto stored = co_await fetchRecord(options, arguments[2]);
     if (!stored)
         co_return kExitFailed;
     auto envelope = parseStored(stored->value);
-    if (verb == "get")
+    if (subcommand == "get")
         fmt::print("{}\n", envelope.record);
     else
         std::ranges::for_each(envelope.changes, printChange);
-    co_return kExitDone;
+    co_return kExitSuccess;
 }
 
 }
