--- a/examples/demo.cpp
+++ b/examples/demo.cpp
@@ -14,10 +14,10 @@
 
 int main(int argc, char** argv)
 {
-    Cluster cluster(getSahyogShape(3));
+    Cluster cluster(makeSahyogOptions(3));
     cluster.beginAll();
     fmt::print("3 hosts serve ledger1, ledger2 and ledger3; callers' address of h1: {}\n\n", cluster.getCallerAddress(0));
-    for (auto& it : cluster.getShape().groups.front().members)
+    for (auto& it : cluster.getOptions().groups.front().members)
         cluster.setMember(it, { { "lagMs", 200 } });
     Caller officer(cluster.getCallerAddress(0));
     show("write through h1, replicas lag by 200 ms", officer.write("ledger1", "SET loan-17 sanctioned", "sanction-17"));
--- a/tests/bench/control.cpp
+++ b/tests/bench/control.cpp
@@ -23,20 +23,20 @@
 
 void measureRecords(int changes, int delayMs)
 {
-    auto shape = getBatbayarShape(9);
-    Cluster cluster(shape);
+    auto options = makeBatbayarOptions(9);
+    Cluster cluster(options);
     cluster.beginAll();
     cluster.setPlatform({ { "delayMs", delayMs } });
     std::vector<double> times;
     for (int i = 0; i < changes; ++i) {
-        auto path = cluster.writeRecord(shape.groups.front(), [i](json::object& record) { record["slots"] = 5 + i % 2; });
+        auto path = cluster.writeRecord(options.groups.front(), [i](json::object& record) { record["slots"] = 5 + i % 2; });
         auto run = cluster.runTool({ "config", "apply", path });
         auto applied = Clock::now();
         auto version = std::stoull(run.output.substr(run.output.find("version ") + 8));
         bool isEverywhere = waitUntil(milliseconds(8000), [&] {
-            for (unsigned h = 0; h < shape.hosts; ++h) {
+            for (unsigned h = 0; h < options.hosts; ++h) {
                 auto status = cluster.getStatus(h);
-                if (status["groups"].at(shape.groups.front().name).at("version").to_number<uint64_t>() < version)
+                if (status["groups"].at(options.groups.front().name).at("version").to_number<uint64_t>() < version)
                     return false;
             }
             return true;
@@ -66,7 +66,7 @@
 {
     ControlCounts it;
     it.at = Clock::now();
-    for (unsigned i = 0; i < cluster.getShape().hosts; ++i) {
+    for (unsigned i = 0; i < cluster.getOptions().hosts; ++i) {
         it.cpuSeconds += getUsage(cluster.getHost(i).getId()).cpuSeconds;
         for (auto* name : ControlCounts::kNames)
             it.counts[name] += cluster.getMetric(i, name);
@@ -80,9 +80,9 @@
 {
     auto began = Clock::now();
     std::vector<unsigned> missing;
-    for (unsigned i = 0; i < cluster.getShape().hosts; ++i)
+    for (unsigned i = 0; i < cluster.getOptions().hosts; ++i)
         missing.push_back(i);
-    auto& group = cluster.getShape().groups.front().name;
+    auto& group = cluster.getOptions().groups.front().name;
     waitUntil(milliseconds(20000), [&] {
         std::erase_if(missing, [&](unsigned i) { return cluster.getStatus(i)["groups"].at(group).at("version").to_number<uint64_t>() >= version; });
         return missing.empty();
@@ -93,7 +93,7 @@
 // Changes the first group's record with the operators' tool; returns the new version.
 uint64_t applyChange(Cluster& cluster, int slots)
 {
-    auto path = cluster.writeRecord(cluster.getShape().groups.front(), [slots](json::object& record) { record["slots"] = slots; });
+    auto path = cluster.writeRecord(cluster.getOptions().groups.front(), [slots](json::object& record) { record["slots"] = slots; });
     auto run = cluster.runTool({ "config", "apply", path });
     return std::stoull(run.output.substr(run.output.find("version ") + 8));
 }
@@ -102,9 +102,9 @@
 {
     fmt::print("{:>6} {:>7} {:>12} {:>12} {:>8} {:>10} {:>9} {:>10} {:>9} {:>13} {:>15} {:>11} {:>10}\n", "hosts", "cpu %", "resident MB", "exchange B/s", "of hosts", "of records", "of groups", "probe B/s", "confirm", "platform B/s", "platform calls/s", "spread ms", "agree ms");
     for (unsigned hosts : sizes) {
-        auto shape = getSahyogShape(hosts);
+        auto options = makeSahyogOptions(hosts);
         auto began = Clock::now();
-        Cluster cluster(shape);
+        Cluster cluster(options);
         cluster.beginAll();
         auto agree = getMs(Clock::now() - began);
         // All hosts joined at once: wait until that news has been told.
@@ -128,7 +128,7 @@
 // Busy: each group gets about 240 statements a second, a third of them writes, over all hosts.
 static LoadResult loadGroups(Cluster& cluster, unsigned groups, milliseconds time)
 {
-    LoadShape load;
+    LoadOptions load;
     for (unsigned i = 0; i < 3; ++i)
         load.addresses.push_back(cluster.getCallerAddress(i));
     load.callers = 12 * groups;
@@ -150,12 +150,12 @@
 {
     fmt::print("3 hosts, each a home of all groups; figures of the mean host\n{:>7} {:>8} {:>8} {:>12} {:>10} {:>10} {:>12} {:>9}\n", "groups", "callers", "cpu %", "resident MB", "probes/s", "probe B/s", "confirm B/s", "served/s");
     for (unsigned count : { 1U, 4U, 8U, 16U }) {
-        Shape shape;
+        ClusterOptions options;
         for (unsigned i = 0; i < count; ++i) {
             auto name = fmt::format("g{}", i);
-            shape.groups.push_back({ name, { name + "-a", name + "-b", name + "-c" } });
+            options.groups.push_back({ name, { name + "-a", name + "-b", name + "-c" } });
         }
-        Cluster cluster(shape);
+        Cluster cluster(options);
         cluster.beginAll();
         std::this_thread::sleep_for(milliseconds(12000));
         for (bool isBusy : { false, true }) {
@@ -274,7 +274,7 @@
     fmt::print("9 hosts; one is cut off for 1.5 s while one record of many changes; all bytes of exchanges in the 6 s after that\n");
     fmt::print("{:>8} {:>12} {:>12} {:>12} {:>10}\n", "records", "of records", "of hosts", "in all", "quiet");
     for (unsigned count : { 100U, 1000U, 3000U }) {
-        Cluster cluster(getSahyogShape(9));
+        Cluster cluster(makeSahyogOptions(9));
         cluster.beginAll();
         putRecords(cluster, count, 1);
         std::this_thread::sleep_for(milliseconds(12000));
--- a/tests/bench/faults.cpp
+++ b/tests/bench/faults.cpp
@@ -33,7 +33,7 @@
 {
     double began = 0;
     double promoted = 0;
-    for (unsigned i = 0; i < cluster.getShape().hosts; ++i) {
+    for (unsigned i = 0; i < cluster.getOptions().hosts; ++i) {
         for (auto& it : cluster.getEvents(i)) {
             auto kind = std::string(it.at("kind").get_string());
             auto ms = static_cast<double>((it.at("stamp").to_number<uint64_t>() >> 16)) - static_cast<double>(hitMs);
@@ -50,11 +50,11 @@
     gap.promotion = gap.total - promoted;
 }
 
-static Gap measureOneGap(Shape shape, const std::string& how, bool isPlatformUp)
+static Gap measureOneGap(ClusterOptions options, const std::string& how, bool isPlatformUp)
 {
-    shape.groups.resize(1);
-    auto group = shape.groups.front();
-    Cluster cluster(shape);
+    options.groups.resize(1);
+    auto group = options.groups.front();
+    Cluster cluster(options);
     cluster.beginAll();
     if (!isPlatformUp)
         cluster.setPlatform({ { "down", true } });
@@ -62,7 +62,7 @@
     std::mutex mutex;
     std::vector<std::pair<Clock::time_point, Clock::time_point>> landed; // sent, answered
     std::vector<std::jthread> writers;
-    for (unsigned n = 0; n < shape.hosts; ++n) {
+    for (unsigned n = 0; n < options.hosts; ++n) {
         writers.emplace_back([&, n] {
             Caller caller(cluster.getCallerAddress(n));
             for (int i = 0; !mustStop; ++i) {
@@ -86,7 +86,7 @@
         cluster.getMember(primary).signal(SIGSTOP);
     else {
         json::array all;
-        for (unsigned i = 0; i < shape.hosts; ++i)
+        for (unsigned i = 0; i < options.hosts; ++i)
             all.emplace_back(cluster.getHostName(i));
         for (auto& it : group.members)
             all.emplace_back(it);
@@ -123,7 +123,7 @@
                     continue;
                 std::vector<double> total, detection, fencing, promotion;
                 for (int i = 0; i < runs; ++i) {
-                    auto gap = measureOneGap(hosts == 7 ? getSahyogShape(7) : getBatbayarShape(9), how, isPlatformUp);
+                    auto gap = measureOneGap(hosts == 7 ? makeSahyogOptions(7) : makeBatbayarOptions(9), how, isPlatformUp);
                     total.push_back(gap.total);
                     detection.push_back(gap.detection);
                     fencing.push_back(gap.fencing);
@@ -141,14 +141,14 @@
 // Counters of all hosts once a second; the primary is frozen for ten seconds with promotions off, then wakes.
 void measureStorm()
 {
-    auto shape = getSmallShape();
-    shape.groups.front().promotion = R"({"mode":"off"})";
-    Cluster cluster(shape);
+    auto options = makeSmallOptions();
+    options.groups.front().promotion = R"({"mode":"off"})";
+    Cluster cluster(options);
     cluster.beginAll();
-    for (auto& it : shape.groups.front().members)
+    for (auto& it : options.groups.front().members)
         cluster.setMember(it, { { "serviceMs", 4 } });
-    LoadShape load { {}, 60, milliseconds(30000) };
-    for (unsigned i = 0; i < shape.hosts; ++i)
+    LoadOptions load { {}, 60, milliseconds(30000) };
+    for (unsigned i = 0; i < options.hosts; ++i)
         load.addresses.push_back(cluster.getCallerAddress(i));
     load.obeysRetryAfter = true;
     load.makeBody = [](unsigned caller, uint64_t) {
@@ -185,26 +185,26 @@
 
 void measureQuiet(int seconds)
 {
-    auto shape = getSahyogShape(7);
-    Cluster cluster(shape);
+    auto options = makeSahyogOptions(7);
+    Cluster cluster(options);
     cluster.beginAll();
     std::vector<std::string> addresses;
-    for (unsigned i = 0; i < shape.hosts; ++i)
+    for (unsigned i = 0; i < options.hosts; ++i)
         addresses.push_back(cluster.getCallerAddress(i));
     std::jthread changer([&](std::stop_token token) {
         std::mt19937 random(3);
         while (!token.stop_requested()) {
-            for (auto& group : shape.groups) {
+            for (auto& group : options.groups) {
                 for (auto& it : group.members)
                     cluster.setMember(it, { { "lagMs", random() % 800 }, { "serviceMs", random() % 60 } });
             }
             std::this_thread::sleep_for(milliseconds(700));
         }
     });
-    LoadShape load { addresses, 40, milliseconds(seconds * 1000) };
+    LoadOptions load { addresses, 40, milliseconds(seconds * 1000) };
     load.pause = milliseconds(5);
     load.makeBody = [&](unsigned caller, uint64_t n) {
-        auto group = shape.groups[caller % shape.groups.size()].name;
+        auto group = options.groups[caller % options.groups.size()].name;
         return n % 3 == 0 ? makeWrite(group, "k") : makeRead(group, "k");
     };
     auto result = runLoad(load);
--- a/tests/bench/limits.cpp
+++ b/tests/bench/limits.cpp
@@ -19,19 +19,19 @@
 
 void measureOverload()
 {
-    auto shape = getSmallShape();
-    shape.groups.front().acknowledge = "primary";
-    Cluster cluster(shape);
+    auto options = makeSmallOptions();
+    options.groups.front().acknowledge = "primary";
+    Cluster cluster(options);
     cluster.beginAll();
-    for (auto& it : shape.groups.front().members)
+    for (auto& it : options.groups.front().members)
         cluster.setMember(it, { { "serviceMs", 4 } });
     std::vector<std::string> addresses;
-    for (unsigned i = 0; i < shape.hosts; ++i)
+    for (unsigned i = 0; i < options.hosts; ++i)
         addresses.push_back(cluster.getCallerAddress(i));
     fmt::print("writes of 4 ms on 2 slots: capacity about 500/s less overhead; deadline 500 ms; callers come back when told\n");
     fmt::print("{:>9} {:>10} {:>9} {:>9} {:>11} {:>9}\n", "callers", "served/s", "p50 ms", "p99 ms", "refused/s", "unknown");
     for (unsigned callers : { 2U, 4U, 10U, 20U, 100U, 300U, 600U }) {
-        LoadShape load { addresses, callers, milliseconds(6000) };
+        LoadOptions load { addresses, callers, milliseconds(6000) };
         load.obeysRetryAfter = true;
         load.makeBody = [](unsigned caller, uint64_t) {
             auto body = makeWrite("orders", fmt::format("c{}", caller));
@@ -57,19 +57,19 @@
 // A few callers beside a crowd: in another group, and of the other kind in the same group and at the same member.
 void measureFairness()
 {
-    auto shape = getSmallShape();
-    shape.groups.push_back({ "bills", { "bills-a", "bills-b", "bills-c" } });
-    for (auto& it : shape.groups)
+    auto options = makeSmallOptions();
+    options.groups.push_back({ "bills", { "bills-a", "bills-b", "bills-c" } });
+    for (auto& it : options.groups)
         it.acknowledge = "primary";
-    Cluster cluster(shape);
+    Cluster cluster(options);
     cluster.beginAll();
-    for (auto& group : shape.groups) {
+    for (auto& group : options.groups) {
         for (auto& it : group.members)
             cluster.setMember(it, { { "serviceMs", 4 } });
     }
     auto makeLoad = [&](const char* group, bool isWrite, unsigned callers) {
-        LoadShape load { {}, callers, milliseconds(6000) };
-        for (unsigned i = 0; i < shape.hosts; ++i)
+        LoadOptions load { {}, callers, milliseconds(6000) };
+        for (unsigned i = 0; i < options.hosts; ++i)
             load.addresses.push_back(cluster.getCallerAddress(i));
         load.obeysRetryAfter = true;
         load.makeBody = [group, isWrite](unsigned caller, uint64_t) {
@@ -79,7 +79,7 @@
         };
         return load;
     };
-    auto runTwo = [](const LoadShape& few, const LoadShape& crowd) {
+    auto runTwo = [](const LoadOptions& few, const LoadOptions& crowd) {
         LoadResult results[2];
         std::jthread other([&] { results[1] = runLoad(crowd); });
         results[0] = runLoad(few);
--- a/tests/bench/load.cpp
+++ b/tests/bench/load.cpp
@@ -31,16 +31,16 @@
 
 namespace {
 
-asio::awaitable<std::unique_ptr<links::HttpConnection>> connect(asio::io_context& context, const LoadShape& shape, std::string address)
+asio::awaitable<std::unique_ptr<links::HttpConnection>> connect(asio::io_context& context, const LoadOptions& options, std::string address)
 {
     auto link = links::makeHttpConnection(context.get_executor(), address);
     auto deadline = Clock::now() + milliseconds(5000);
     if (!co_await link->open(deadline))
         co_return nullptr;
-    if (!shape.firstPath.empty()) {
+    if (!options.firstPath.empty()) {
         links::HttpRequest request;
-        request.path = shape.firstPath;
-        request.body = json::serialize(shape.firstBody);
+        request.path = options.firstPath;
+        request.body = json::serialize(options.firstBody);
         co_await link->exchange(std::move(request), deadline);
     }
     co_return link;
@@ -52,26 +52,26 @@
     return milliseconds(error && error->is_object() ? links::getNumber(error->get_object(), "retryAfterMs") : 0);
 }
 
-asio::awaitable<void> runCaller(asio::io_context& context, const LoadShape& shape, unsigned index, Clock::time_point end, LoadResult& result)
+asio::awaitable<void> runCaller(asio::io_context& context, const LoadOptions& options, unsigned index, Clock::time_point end, LoadResult& result)
 {
-    auto address = shape.addresses[index % shape.addresses.size()];
-    auto link = co_await connect(context, shape, address);
+    auto address = options.addresses[index % options.addresses.size()];
+    auto link = co_await connect(context, options, address);
     std::string session;
     for (uint64_t n = 0; Clock::now() < end; ++n) {
         if (!link || !link->isOpen()) {
-            link = co_await connect(context, shape, address);
+            link = co_await connect(context, options, address);
             if (!link) {
                 ++result.kinds["connect"];
                 co_await base::sleepFor(milliseconds(20));
                 continue;
             }
         }
-        auto body = shape.makeBody(index, n);
-        bool isInSession = shape.keepsSession && !body.contains("session");
+        auto body = options.makeBody(index, n);
+        bool isInSession = options.keepsSession && !body.contains("session");
         if (isInSession)
             body["session"] = session;
         links::HttpRequest request;
-        request.path = shape.path;
+        request.path = options.path;
         request.body = json::serialize(body);
         auto began = Clock::now();
         auto answer = co_await link->exchange(std::move(request), began + milliseconds(10000));
@@ -86,8 +86,8 @@
                 session = links::getString(parsed, "session");
         } else
             ++result.kinds[harness::getErrorKind({ answer->status, true, parsed })];
-        auto wait = shape.pause;
-        if (shape.obeysRetryAfter)
+        auto wait = options.pause;
+        if (options.obeysRetryAfter)
             wait = std::max(wait, getRetryAfter(parsed));
         if (wait.count() > 0)
             co_await base::sleepFor(wait);
@@ -96,13 +96,13 @@
 
 }
 
-LoadResult runLoad(const LoadShape& shape)
+LoadResult runLoad(const LoadOptions& options)
 {
     asio::io_context context(1);
     LoadResult result;
     auto began = Clock::now();
-    for (unsigned i = 0; i < shape.callers; ++i)
-        asio::co_spawn(context, runCaller(context, shape, i, began + shape.time, result), asio::detached);
+    for (unsigned i = 0; i < options.callers; ++i)
+        asio::co_spawn(context, runCaller(context, options, i, began + options.time, result), asio::detached);
     context.run();
     result.seconds = std::chrono::duration<double>(Clock::now() - began).count();
     return result;
@@ -115,14 +115,14 @@
         std::vector<std::unique_ptr<links::HttpConnection>> links;
     };
     auto idle = std::make_shared<Idle>();
-    LoadShape shape { { address } };
+    LoadOptions options { { address } };
     auto open = [&]() -> asio::awaitable<void> {
         for (unsigned i = 0; i < count; ++i) {
-            auto link = co_await connect(idle->context, shape, address);
+            auto link = co_await connect(idle->context, options, address);
             if (!link)
                 continue;
             links::HttpRequest request;
-            request.path = shape.path;
+            request.path = options.path;
             request.body = json::serialize(makeBody(i));
             co_await link->exchange(std::move(request), Clock::now() + milliseconds(5000));
             idle->links.push_back(std::move(link));
--- a/tests/bench/load.h
+++ b/tests/bench/load.h
@@ -11,7 +11,7 @@
 namespace json = boost::json;
 using std::chrono::milliseconds;
 
-struct LoadShape {
+struct LoadOptions {
     std::vector<std::string> addresses; // callers take them in turn
     unsigned callers { 1 };
     milliseconds time { 1000 }; // then each caller ends after its request in flight
@@ -34,7 +34,7 @@
     uint64_t getFailures() const;
 };
 
-LoadResult runLoad(const LoadShape& shape);
+LoadResult runLoad(const LoadOptions& options);
 
 // Connections that made one request each and stay open; they close when the handle goes.
 std::shared_ptr<void> openIdle(const std::string& address, unsigned count, const std::function<json::object(unsigned)>& makeBody);
--- a/tests/bench/requests.cpp
+++ b/tests/bench/requests.cpp
@@ -19,24 +19,24 @@
 
 void measureThroughput(unsigned threads)
 {
-    auto shape = getSmallShape();
-    shape.groups.front().connections = 200;
-    shape.groups.front().slots = 200;
-    shape.hosts = 1;
-    shape.threads = threads;
-    Cluster cluster(shape);
+    auto options = makeSmallOptions();
+    options.groups.front().connections = 200;
+    options.groups.front().slots = 200;
+    options.hosts = 1;
+    options.threads = threads;
+    Cluster cluster(options);
     cluster.beginAll();
     fmt::print("host with {} request threads\n", threads);
     fmt::print("{:<8} {:<7} {:>8} {:>12} {:>9} {:>9}\n", "path", "kind", "callers", "statements/s", "p50 ms", "p99 ms");
     for (bool isWrite : { false, true }) {
         for (unsigned callers : { 1U, 8U, 64U }) {
-            LoadShape direct { { cluster.getMemberAddress("orders-a") }, callers, milliseconds(3000) };
+            LoadOptions direct { { cluster.getMemberAddress("orders-a") }, callers, milliseconds(3000) };
             direct.path = "/member/execute";
             direct.firstPath = "/member/hello";
             direct.firstBody = { { "purpose", "work" } };
             direct.makeBody = [isWrite](unsigned, uint64_t) { return json::object { { "term", 1 }, { "kind", isWrite ? "write" : "read" }, { "statement", isWrite ? "SET a v" : "GET a" } }; };
             auto base = runLoad(direct);
-            LoadShape through { { cluster.getCallerAddress(0) }, callers, milliseconds(3000) };
+            LoadOptions through { { cluster.getCallerAddress(0) }, callers, milliseconds(3000) };
             through.makeBody = [isWrite](unsigned, uint64_t) { return isWrite ? makeWrite("orders", "a") : makeRead("orders", "a"); };
             auto proxied = runLoad(through);
             for (auto& [name, result] : { std::pair { "direct", base }, std::pair { "host", proxied } })
@@ -49,9 +49,9 @@
 
 void measureMemory()
 {
-    auto shape = getSmallShape();
-    shape.hosts = 1;
-    Cluster cluster(shape);
+    auto options = makeSmallOptions();
+    options.hosts = 1;
+    Cluster cluster(options);
     cluster.beginAll();
     auto before = getUsage(cluster.getHost(0).getId()).residentMb;
     fmt::print("no callers: {:.1f} MB resident\n", before);
@@ -81,15 +81,15 @@
     fmt::print("{:<10} {:<12} {:>14} {:>9} {:>9} {:>8}\n", "user", "lag ms", "replica reads", "p50 ms", "p99 ms", "refused");
     const Mix mixes[] { { "Sahyog", 0.3, 0.8, 500 }, { "Batbayar", 0.05, 0.1, 2000 } };
     for (auto& mix : mixes) {
-        auto shape = std::strcmp(mix.name, "Sahyog") == 0 ? getSahyogShape(7) : getBatbayarShape(9);
-        Cluster cluster(shape);
+        auto options = std::strcmp(mix.name, "Sahyog") == 0 ? makeSahyogOptions(7) : makeBatbayarOptions(9);
+        Cluster cluster(options);
         cluster.beginAll();
         std::vector<std::string> addresses;
-        for (unsigned i = 0; i < shape.hosts; ++i)
+        for (unsigned i = 0; i < options.hosts; ++i)
             addresses.push_back(cluster.getCallerAddress(i));
         for (int lag : { 0, 50, 500, -1 }) {
             auto setLag = [&](int ms) {
-                for (auto& group : shape.groups) {
+                for (auto& group : options.groups) {
                     for (auto& it : group.members)
                         cluster.setMember(it, { { "lagMs", ms } });
                 }
@@ -104,13 +104,13 @@
             });
             auto replicaBefore = cluster.sumMetric("reads_by_replica");
             auto primaryBefore = cluster.sumMetric("reads_by_primary");
-            LoadShape load { addresses, 24, milliseconds(4000) };
+            LoadOptions load { addresses, 24, milliseconds(4000) };
             load.pause = milliseconds(10);
             load.keepsSession = true;
             load.makeBody = [&](unsigned caller, uint64_t n) {
                 thread_local std::mt19937 random(11);
                 auto draw = [] { return std::uniform_real_distribution<double>(0, 1)(random); };
-                auto group = shape.groups[caller % shape.groups.size()].name;
+                auto group = options.groups[caller % options.groups.size()].name;
                 auto key = fmt::format("c{}", caller);
                 if (draw() < mix.writes) {
                     auto body = makeWrite(group, key);
@@ -140,29 +140,29 @@
     for (bool isSahyog : { true, false }) {
         for (unsigned hosts : { 7U, 9U }) {
             for (bool everyHost : { false, true }) {
-                auto shape = isSahyog ? getSahyogShape(hosts) : getBatbayarShape(hosts);
+                auto options = isSahyog ? makeSahyogOptions(hosts) : makeBatbayarOptions(hosts);
                 if (everyHost)
-                    shape.extraSettings += "\n[peers]\nhomes_most = 1000\n";
-                Cluster cluster(shape);
+                    options.extraSettings += "\n[peers]\nhomes_most = 1000\n";
+                Cluster cluster(options);
                 cluster.beginAll();
                 std::vector<std::string> addresses;
                 for (unsigned i = 0; i < hosts; ++i)
                     addresses.push_back(cluster.getCallerAddress(i));
-                for (auto& group : shape.groups) {
+                for (auto& group : options.groups) {
                     for (auto& it : group.members)
                         cluster.setMember(it, { { "serviceMs", 2 } });
                 }
-                LoadShape load { addresses, isSahyog ? 60U : 120U, milliseconds(5000) };
+                LoadOptions load { addresses, isSahyog ? 60U : 120U, milliseconds(5000) };
                 load.pause = milliseconds(20);
                 load.keepsSession = true;
                 load.makeBody = [&](unsigned caller, uint64_t n) {
-                    auto group = shape.groups[(caller / 3) % shape.groups.size()].name;
+                    auto group = options.groups[(caller / 3) % options.groups.size()].name;
                     return n % 4 == 0 ? makeWrite(group, "k") : makeRead(group, "k");
                 };
                 auto result = runLoad(load);
                 uint64_t opened = 0;
                 uint64_t refused = 0;
-                for (auto& group : shape.groups) {
+                for (auto& group : options.groups) {
                     for (auto& it : group.members) {
                         auto stats = cluster.getMemberStats(it);
                         opened += stats["openedConnections"].to_number<uint64_t>();
--- a/tests/harness/harness.cpp
+++ b/tests/harness/harness.cpp
@@ -171,9 +171,9 @@
 
 // ---- shapes ----
 
-static std::vector<GroupShape> makeGroups(const std::string& prefix, unsigned connections, unsigned slots, unsigned connectMs)
+static std::vector<GroupOptions> makeGroups(const std::string& prefix, unsigned connections, unsigned slots, unsigned connectMs)
 {
-    std::vector<GroupShape> groups;
+    std::vector<GroupOptions> groups;
     for (int i = 1; i <= 3; ++i) {
         auto name = fmt::format("{}{}", prefix, i);
         groups.push_back({ name, { name + "-a", name + "-b", name + "-c" }, connections, slots, connectMs });
@@ -181,28 +181,28 @@
     return groups;
 }
 
-Shape getSahyogShape(unsigned hosts)
+ClusterOptions makeSahyogOptions(unsigned hosts)
 {
-    Shape shape;
-    shape.groups = makeGroups("ledger", 16, 2, 10);
-    shape.hosts = hosts;
-    return shape;
+    ClusterOptions options;
+    options.groups = makeGroups("ledger", 16, 2, 10);
+    options.hosts = hosts;
+    return options;
 }
 
-Shape getBatbayarShape(unsigned hosts)
+ClusterOptions makeBatbayarOptions(unsigned hosts)
 {
-    Shape shape;
-    shape.dataCentres = { "ulaanbaatar", "darkhan", "erdenet" };
-    shape.groups = makeGroups("notes", 55, 5, 30);
-    shape.hosts = hosts;
-    return shape;
+    ClusterOptions options;
+    options.dataCentres = { "ulaanbaatar", "darkhan", "erdenet" };
+    options.groups = makeGroups("notes", 55, 5, 30);
+    options.hosts = hosts;
+    return options;
 }
 
-Shape getSmallShape()
+ClusterOptions makeSmallOptions()
 {
-    Shape shape;
-    shape.groups = { { "orders", { "orders-a", "orders-b", "orders-c" } } };
-    return shape;
+    ClusterOptions options;
+    options.groups = { { "orders", { "orders-a", "orders-b", "orders-c" } } };
+    return options;
 }
 
 // ---- cluster ----
@@ -260,29 +260,29 @@
     return std::filesystem::read_symlink("/proc/self/exe").parent_path().parent_path().string();
 }
 
-Cluster::Cluster(Shape shape)
-    : m_shape(std::move(shape))
+Cluster::Cluster(ClusterOptions options)
+    : m_options(std::move(options))
     , m_binaries(findBinaries())
 {
     static int number = 0;
     m_folder = fmt::format("{}/alderward-{}-{}", std::filesystem::temp_directory_path().string(), getpid(), ++number);
     std::filesystem::create_directories(m_folder);
     size_t members = 0;
-    for (auto& it : m_shape.groups)
+    for (auto& it : m_options.groups)
         members += it.members.size();
-    auto ports = findPorts(1 + members + 3 * m_shape.hosts);
+    auto ports = findPorts(1 + members + 3 * m_options.hosts);
     auto next = ports.begin();
     m_platformPort = *next++;
-    for (auto& group : m_shape.groups) {
+    for (auto& group : m_options.groups) {
         for (auto& it : group.members)
             m_memberPorts[it] = *next++;
     }
-    for (unsigned i = 0; i < m_shape.hosts; ++i) {
+    for (unsigned i = 0; i < m_options.hosts; ++i) {
         m_callerPorts.push_back(*next++);
         m_peerPorts.push_back(*next++);
         m_operatorPorts.push_back(*next++);
     }
-    m_hosts.resize(m_shape.hosts);
+    m_hosts.resize(m_options.hosts);
 }
 
 Cluster::~Cluster()
@@ -298,7 +298,7 @@
 void Cluster::beginStandIns()
 {
     m_platform = std::make_unique<Process>(std::vector<std::string> { m_binaries + "/tests/standin-platform", "--address", getPlatformAddress() }, m_folder + "/platform.log");
-    for (auto& group : m_shape.groups) {
+    for (auto& group : m_options.groups) {
         for (auto& it : group.members) {
             auto& primary = group.members.front();
             std::vector<std::string> arguments { m_binaries + "/tests/standin-member", "--name", it, "--address", getMemberAddress(it), "--primary", primary, "--primary-address", getMemberAddress(primary), "--connections", std::to_string(group.connections), "--slots", std::to_string(group.slots), "--connect-ms", std::to_string(group.connectMs) };
@@ -313,9 +313,9 @@
 void Cluster::writeSettings(size_t index)
 {
     std::ofstream file(getSettingsPath(index));
-    file << fmt::format("[host]\nname = {}\ndata_centre = {}\ncaller_address = {}\npeer_address = {}\noperator_address = {}\nthreads = {}\n", getHostName(index), m_shape.dataCentres[index % m_shape.dataCentres.size()], getCallerAddress(index), getAddress(m_peerPorts[index]), getOperatorAddress(index), m_shape.threads);
+    file << fmt::format("[host]\nname = {}\ndata_centre = {}\ncaller_address = {}\npeer_address = {}\noperator_address = {}\nthreads = {}\n", getHostName(index), m_options.dataCentres[index % m_options.dataCentres.size()], getCallerAddress(index), getAddress(m_peerPorts[index]), getOperatorAddress(index), m_options.threads);
     file << fmt::format("[platform]\naddress = {}\n[session]\nkey = a-key-for-local-tests-only\n[debug]\nallow_faults = true\n", getPlatformAddress());
-    file << m_shape.extraSettings;
+    file << m_options.extraSettings;
 }
 
 void Cluster::listHost(const std::string& name, const json::object& value, milliseconds lag)
@@ -337,14 +337,14 @@
 void Cluster::beginAll()
 {
     beginStandIns();
-    for (size_t i = 0; i < m_shape.hosts; ++i)
-        listHost(getHostName(i), { { "dataCentre", m_shape.dataCentres[i % m_shape.dataCentres.size()] }, { "peerAddress", getAddress(m_peerPorts[i]) }, { "callerAddress", getCallerAddress(i) }, { "operatorAddress", getOperatorAddress(i) } });
-    for (auto& it : m_shape.groups)
+    for (size_t i = 0; i < m_options.hosts; ++i)
+        listHost(getHostName(i), { { "dataCentre", m_options.dataCentres[i % m_options.dataCentres.size()] }, { "peerAddress", getAddress(m_peerPorts[i]) }, { "callerAddress", getCallerAddress(i) }, { "operatorAddress", getOperatorAddress(i) } });
+    for (auto& it : m_options.groups)
         applyRecord(it);
-    for (size_t i = 0; i < m_shape.hosts; ++i)
+    for (size_t i = 0; i < m_options.hosts; ++i)
         beginHost(i);
     bool isReady = waitUntil(milliseconds(20000), [&] {
-        for (auto& group : m_shape.groups) {
+        for (auto& group : m_options.groups) {
             auto homes = getHomes(group.name);
             if (homes.empty())
                 return false;
@@ -353,9 +353,9 @@
                     return false;
             }
         }
-        for (size_t i = 0; i < m_shape.hosts; ++i) {
+        for (size_t i = 0; i < m_options.hosts; ++i) {
             auto status = getStatus(i);
-            if (!status.contains("hosts") || status["hosts"].get_object().size() < m_shape.hosts)
+            if (!status.contains("hosts") || status["hosts"].get_object().size() < m_options.hosts)
                 return false;
         }
         return true;
@@ -422,7 +422,7 @@
 std::vector<size_t> Cluster::getHomes(const std::string& group)
 {
     std::vector<size_t> homes;
-    for (size_t i = 0; i < m_shape.hosts; ++i) {
+    for (size_t i = 0; i < m_options.hosts; ++i) {
         auto status = getStatus(i);
         auto* entry = findGroup(status, group);
         if (entry && links::getBool(*entry, "isHome"))
@@ -441,7 +441,7 @@
 uint64_t Cluster::sumMetric(const std::string& name)
 {
     uint64_t n = 0;
-    for (size_t i = 0; i < m_shape.hosts; ++i)
+    for (size_t i = 0; i < m_options.hosts; ++i)
         n += m_hosts[i] && m_hosts[i]->isRunning() ? getMetric(i, name) : 0;
     return n;
 }
@@ -480,11 +480,11 @@
     return run;
 }
 
-std::string Cluster::writeRecord(const GroupShape& group, const std::function<void(json::object&)>& change)
+std::string Cluster::writeRecord(const GroupOptions& group, const std::function<void(json::object&)>& change)
 {
     json::array members;
     for (size_t i = 0; i < group.members.size(); ++i) {
-        json::object member { { "name", group.members[i] }, { "address", getMemberAddress(group.members[i]) }, { "dataCentre", m_shape.dataCentres[i % m_shape.dataCentres.size()] } };
+        json::object member { { "name", group.members[i] }, { "address", getMemberAddress(group.members[i]) }, { "dataCentre", m_options.dataCentres[i % m_options.dataCentres.size()] } };
         if (!group.canFence)
             member["fence"] = false;
         members.push_back(std::move(member));
@@ -499,7 +499,7 @@
     return path;
 }
 
-void Cluster::applyRecord(const GroupShape& group, const std::function<void(json::object&)>& change)
+void Cluster::applyRecord(const GroupOptions& group, const std::function<void(json::object&)>& change)
 {
     auto run = runTool({ "config", "apply", writeRecord(group, change) });
     if (run.code != 0)
--- a/tests/harness/harness.h
+++ b/tests/harness/harness.h
@@ -54,7 +54,7 @@
     std::unique_ptr<Impl> m_impl;
 };
 
-struct GroupShape {
+struct GroupOptions {
     std::string name;
     std::vector<std::string> members; // name; data centre by index
     unsigned connections { 16 };
@@ -65,22 +65,22 @@
     std::string promotion { R"({"mode":"automatic","leastIntervalMs":0,"mostPerHour":1000})" };
 };
 
-struct Shape {
+struct ClusterOptions {
     std::vector<std::string> dataCentres { "ahmedabad", "vadodara", "rajkot" };
-    std::vector<GroupShape> groups;
+    std::vector<GroupOptions> groups;
     unsigned hosts { 3 };
     unsigned threads { 2 }; // request threads of each host
     std::string extraSettings {}; // lines appended to each host's INI, by section
 };
 
-Shape getSahyogShape(unsigned hosts = 7);
-Shape getBatbayarShape(unsigned hosts = 9);
-Shape getSmallShape(); // one group of three members, three hosts
+ClusterOptions makeSahyogOptions(unsigned hosts = 7);
+ClusterOptions makeBatbayarOptions(unsigned hosts = 9);
+ClusterOptions makeSmallOptions(); // one group of three members, three hosts
 
 // A running system.
 class Cluster {
 public:
-    explicit Cluster(Shape shape);
+    explicit Cluster(ClusterOptions options);
     ~Cluster();
 
     void beginAll(); // stand-ins, records, hosts; returns when every host serves every group
@@ -95,7 +95,7 @@
     std::string getPlatformAddress() const { return getAddress(m_platformPort); }
     std::string getMemberAddress(const std::string& name) const { return getAddress(m_memberPorts.at(name)); }
     std::string getSettingsPath(size_t index) const { return m_folder + "/" + getHostName(index) + ".ini"; }
-    const Shape& getShape() const { return m_shape; }
+    const ClusterOptions& getOptions() const { return m_options; }
     const std::string& getFolder() const { return m_folder; }
 
     // ---- commands to stand-ins and hosts ----
@@ -123,8 +123,8 @@
         std::string output {};
     };
     ToolRun runTool(const std::vector<std::string>& arguments);
-    std::string writeRecord(const GroupShape& group, const std::function<void(json::object&)>& change = {}); // returns the path
-    void applyRecord(const GroupShape& group, const std::function<void(json::object&)>& change = {});
+    std::string writeRecord(const GroupOptions& group, const std::function<void(json::object&)>& change = {}); // returns the path
+    void applyRecord(const GroupOptions& group, const std::function<void(json::object&)>& change = {});
 
 private:
     static std::string getAddress(unsigned short port) { return "127.0.0.1:" + std::to_string(port); }
@@ -132,7 +132,7 @@
     void writeSettings(size_t index);
     json::object postAdmin(const std::string& address, const std::string& path, const json::object& body);
 
-    Shape m_shape;
+    ClusterOptions m_options;
     std::string m_folder;
     std::string m_binaries;
     unsigned short m_platformPort { 0 };
--- a/tests/process/at_most_once_test.cpp
+++ b/tests/process/at_most_once_test.cpp
@@ -24,7 +24,7 @@
 
 BOOST_AUTO_TEST_CASE(same_key_through_another_host_runs_once_and_answers_the_same)
 {
-    Cluster cluster(getSmallShape());
+    Cluster cluster(makeSmallOptions());
     cluster.beginAll();
     auto first = Caller(cluster.getCallerAddress(0)).write("orders", "APPEND sanctions x", "sanction-1");
     auto second = Caller(cluster.getCallerAddress(1)).write("orders", "APPEND sanctions x", "sanction-1");
@@ -37,7 +37,7 @@
 
 BOOST_AUTO_TEST_CASE(answer_lost_after_the_write_is_unknown_and_the_key_settles_it)
 {
-    Cluster cluster(getSmallShape());
+    Cluster cluster(makeSmallOptions());
     cluster.beginAll();
     cluster.setMember("orders-a", { { "loseAnswers", 1 } });
     auto lost = Caller(cluster.getCallerAddress(0)).write("orders", "APPEND sanctions x", "s1", 800);
@@ -53,7 +53,7 @@
 
 BOOST_AUTO_TEST_CASE(settling_as_not_run_closes_the_key_against_a_late_arrival)
 {
-    Cluster cluster(getSmallShape());
+    Cluster cluster(makeSmallOptions());
     cluster.beginAll();
     auto settled = settle(cluster, 0, "late");
     BOOST_TEST(settled.status == 200u, json::serialize(settled.body));
@@ -71,9 +71,9 @@
 // The host dies, or freezes, at many points of a write's way; the caller goes to another host with the same key.
 static void killOnTheWay(int signalNumber)
 {
-    auto shape = getSmallShape();
-    shape.hosts = 7;
-    Cluster cluster(shape);
+    auto options = makeSmallOptions();
+    options.hosts = 7;
+    Cluster cluster(options);
     cluster.beginAll();
     cluster.setMember("orders-a", { { "serviceMs", 6 } });
     std::string expected;
--- a/tests/process/callers_test.cpp
+++ b/tests/process/callers_test.cpp
@@ -29,7 +29,7 @@
 
 BOOST_AUTO_TEST_CASE(each_bad_request_has_an_error_of_its_own_and_runs_nothing)
 {
-    auto shape = getSmallShape();
+    auto shape = makeSmallOptions();
     shape.extraSettings = "[limits]\nbody_limit_kb = 4\nrequest_timeout_ms = 300\n";
     Cluster cluster(shape);
     cluster.beginAll();
@@ -72,7 +72,7 @@
 
 BOOST_AUTO_TEST_CASE(a_read_with_a_stated_age_is_answered_only_within_it)
 {
-    Cluster cluster(getSmallShape());
+    Cluster cluster(makeSmallOptions());
     cluster.beginAll();
     Caller caller(cluster.getCallerAddress(0));
     BOOST_REQUIRE_EQUAL(caller.write("orders", "SET a 1", "k1").status, 200);
@@ -86,7 +86,7 @@
 
 BOOST_AUTO_TEST_CASE(with_no_platform_and_no_peer_a_host_says_that_it_has_no_records)
 {
-    auto shape = getSmallShape();
+    auto shape = makeSmallOptions();
     shape.hosts = 1;
     Cluster cluster(shape);
     cluster.beginAll();
--- a/tests/process/configuration_test.cpp
+++ b/tests/process/configuration_test.cpp
@@ -20,7 +20,7 @@
 
 bool isEverywhere(Cluster& cluster, uint64_t version)
 {
-    for (size_t i = 0; i < cluster.getShape().hosts; ++i) {
+    for (size_t i = 0; i < cluster.getOptions().hosts; ++i) {
         if (getVersion(cluster, i) < version)
             return false;
     }
@@ -29,7 +29,7 @@
 
 std::string writeSlots(Cluster& cluster, int slots)
 {
-    return cluster.writeRecord(cluster.getShape().groups.front(), [&](json::object& record) { record["slots"] = slots; });
+    return cluster.writeRecord(cluster.getOptions().groups.front(), [&](json::object& record) { record["slots"] = slots; });
 }
 
 uint64_t getStoredVersion(Cluster& cluster)
@@ -44,7 +44,7 @@
 
 BOOST_AUTO_TEST_CASE(change_is_in_force_on_every_host_and_the_tool_waits_for_it)
 {
-    auto shape = getSmallShape();
+    auto shape = makeSmallOptions();
     shape.hosts = 7;
     Cluster cluster(shape);
     cluster.beginAll();
@@ -56,7 +56,7 @@
 
 BOOST_AUTO_TEST_CASE(lost_answer_is_found_out_and_not_repeated)
 {
-    Cluster cluster(getSmallShape());
+    Cluster cluster(makeSmallOptions());
     cluster.beginAll();
     auto before = getStoredVersion(cluster);
     cluster.setPlatform({ { "loseAnswers", 1 } });
@@ -70,7 +70,7 @@
 
 BOOST_AUTO_TEST_CASE(of_two_operators_at_once_one_loses_and_sees_the_others_change)
 {
-    Cluster cluster(getSmallShape());
+    Cluster cluster(makeSmallOptions());
     cluster.beginAll();
     // Each reads before it writes, and no write is let through before both have come.
     cluster.setPlatform({ { "gatherSwaps", 2 } });
@@ -97,9 +97,9 @@
 
 BOOST_AUTO_TEST_CASE(bad_record_is_refused_by_the_tool_and_by_every_host)
 {
-    Cluster cluster(getSmallShape());
+    Cluster cluster(makeSmallOptions());
     cluster.beginAll();
-    auto path = cluster.writeRecord(cluster.getShape().groups.front(), [](json::object& record) { record["slots"] = 0; });
+    auto path = cluster.writeRecord(cluster.getOptions().groups.front(), [](json::object& record) { record["slots"] = 0; });
     auto run = cluster.runTool({ "config", "check", path });
     BOOST_TEST(run.code == 4);
     BOOST_TEST(run.output.find("field slots") != std::string::npos, run.output);
@@ -120,7 +120,7 @@
 
 BOOST_AUTO_TEST_CASE(old_and_new_schema_live_side_by_side)
 {
-    auto shape = getSmallShape();
+    auto shape = makeSmallOptions();
     shape.groups.push_back({ "old", { "old-a", "old-b", "old-c" } });
     Cluster cluster(shape);
     cluster.beginAll();
@@ -139,7 +139,7 @@
 
 BOOST_AUTO_TEST_CASE(restarted_host_learns_the_records_from_peers_while_the_platform_is_down)
 {
-    Cluster cluster(getSmallShape());
+    Cluster cluster(makeSmallOptions());
     cluster.beginAll();
     auto run = cluster.runTool({ "--wait", "config", "apply", writeSlots(cluster, 3) });
     BOOST_REQUIRE_EQUAL(run.code, 0);
@@ -153,7 +153,7 @@
 
 BOOST_AUTO_TEST_CASE(compacted_or_interrupted_watch_misses_nothing)
 {
-    Cluster cluster(getSmallShape());
+    Cluster cluster(makeSmallOptions());
     cluster.beginAll();
     cluster.setPlatform({ { "cut", json::array { "h1", "h2", "h3" } } });
     cluster.runTool({ "config", "apply", writeSlots(cluster, 3) });
@@ -166,7 +166,7 @@
 
 BOOST_AUTO_TEST_CASE(change_reaches_a_data_centre_that_is_cut_off_from_the_platform)
 {
-    Cluster cluster(getSmallShape());
+    Cluster cluster(makeSmallOptions());
     cluster.beginAll();
     cluster.setPlatform({ { "cut", json::array { "h3" } } });
     auto run = cluster.runTool({ "--wait", "config", "apply", writeSlots(cluster, 3) });
@@ -176,7 +176,7 @@
 
 BOOST_AUTO_TEST_CASE(tool_shows_status_and_one_time_line)
 {
-    Cluster cluster(getSmallShape());
+    Cluster cluster(makeSmallOptions());
     cluster.beginAll();
     cluster.getMember("orders-a").kill();
     BOOST_TEST(Caller(cluster.getCallerAddress(0)).write("orders", "SET a 1", "k").status == 200u);
--- a/tests/process/drain_test.cpp
+++ b/tests/process/drain_test.cpp
@@ -13,7 +13,7 @@
 // The balancer of this test: callers ask /healthz now and then and go to hosts that are ready.
 BOOST_AUTO_TEST_CASE(each_host_stopped_in_turn_under_load_fails_no_request)
 {
-    auto shape = getSmallShape();
+    auto shape = makeSmallOptions();
     shape.hosts = 4;
     Cluster cluster(shape);
     cluster.beginAll();
@@ -70,7 +70,7 @@
 
 BOOST_AUTO_TEST_CASE(transaction_in_flight_is_finished_before_the_stop)
 {
-    Cluster cluster(getSmallShape());
+    Cluster cluster(makeSmallOptions());
     cluster.beginAll();
     Caller caller(cluster.getCallerAddress(0));
     auto begun = caller.send("/v1/transaction/begin", { { "group", "orders" } });
@@ -89,7 +89,7 @@
 
 BOOST_AUTO_TEST_CASE(second_signal_ends_the_stop_and_reports_what_it_cuts)
 {
-    Cluster cluster(getSmallShape());
+    Cluster cluster(makeSmallOptions());
     cluster.beginAll();
     Caller caller(cluster.getCallerAddress(0));
     caller.send("/v1/transaction/begin", { { "group", "orders" } });
--- a/tests/process/failover_test.cpp
+++ b/tests/process/failover_test.cpp
@@ -20,7 +20,7 @@
 void isolateMember(Cluster& cluster, const std::string& name, const std::vector<std::string>& others)
 {
     cluster.setMember(name, { { "cut", toArray(others) } });
-    for (auto& it : cluster.getShape().groups.front().members) {
+    for (auto& it : cluster.getOptions().groups.front().members) {
         if (it != name)
             cluster.setMember(it, { { "cut", toArray({ name }) } });
     }
@@ -33,7 +33,7 @@
 
 bool hasNewPrimary(Cluster& cluster, const std::string& old)
 {
-    for (size_t i = 0; i < cluster.getShape().hosts; ++i) {
+    for (size_t i = 0; i < cluster.getOptions().hosts; ++i) {
         auto primary = cluster.getPrimary("orders", i);
         if (primary.empty() || primary == old)
             return false;
@@ -47,7 +47,7 @@
 
 BOOST_AUTO_TEST_CASE(killed_primary_is_replaced_and_no_acknowledged_write_is_lost)
 {
-    Cluster cluster(getSmallShape());
+    Cluster cluster(makeSmallOptions());
     cluster.beginAll();
     Caller caller(cluster.getCallerAddress(0));
     for (int i = 0; i < 10; ++i)
@@ -63,7 +63,7 @@
 
 BOOST_AUTO_TEST_CASE(frozen_primary_that_wakes_acknowledges_nothing_and_follows)
 {
-    Cluster cluster(getSmallShape());
+    Cluster cluster(makeSmallOptions());
     cluster.beginAll();
     Caller caller(cluster.getCallerAddress(0));
     BOOST_REQUIRE_EQUAL(caller.write("orders", "SET a 1", "k1").status, 200);
@@ -83,7 +83,7 @@
 
 BOOST_AUTO_TEST_CASE(cut_off_primary_with_callers_on_its_side_acknowledges_nothing)
 {
-    auto shape = getSmallShape();
+    auto shape = makeSmallOptions();
     shape.groups.front().acknowledge = "primary";
     Cluster cluster(shape);
     cluster.beginAll();
@@ -121,7 +121,7 @@
 
 BOOST_AUTO_TEST_CASE(failover_works_while_the_platform_is_down_and_the_claim_follows)
 {
-    Cluster cluster(getSmallShape());
+    Cluster cluster(makeSmallOptions());
     cluster.beginAll();
     cluster.setPlatform({ { "down", true } });
     Caller caller(cluster.getCallerAddress(1));
@@ -138,7 +138,7 @@
 
 BOOST_AUTO_TEST_CASE(members_without_fence_are_promoted_only_with_the_claim)
 {
-    auto shape = getSmallShape();
+    auto shape = makeSmallOptions();
     shape.groups.front().canFence = false;
     Cluster cluster(shape);
     cluster.beginAll();
@@ -156,7 +156,7 @@
 
 BOOST_AUTO_TEST_CASE(promotion_off_holds_back_says_so_and_refuses_at_once)
 {
-    auto shape = getSmallShape();
+    auto shape = makeSmallOptions();
     shape.groups.front().promotion = R"({"mode":"off"})";
     Cluster cluster(shape);
     cluster.beginAll();
@@ -176,7 +176,7 @@
 // The home whose turn it is freezes while it replaces the primary, and wakes when another has finished.
 BOOST_AUTO_TEST_CASE(home_that_freezes_in_its_turn_is_passed_over_and_does_no_harm_when_it_wakes)
 {
-    Cluster cluster(getSmallShape());
+    Cluster cluster(makeSmallOptions());
     cluster.beginAll();
     BOOST_TEST(Caller(cluster.getCallerAddress(0)).write("orders", "SET a before", "before").status == 200u);
     auto homes = cluster.getStatus(0)["groups"].at("orders").at("homes").as_array();
@@ -197,7 +197,7 @@
 
 BOOST_AUTO_TEST_CASE(leaving_primary_is_handed_over_without_losing_a_write)
 {
-    auto shape = getSmallShape();
+    auto shape = makeSmallOptions();
     shape.groups.front().acknowledge = "primary";
     Cluster cluster(shape);
     cluster.beginAll();
@@ -223,7 +223,7 @@
 
 BOOST_AUTO_TEST_CASE(lost_tail_is_told_to_its_session)
 {
-    auto shape = getSmallShape();
+    auto shape = makeSmallOptions();
     shape.groups.front().acknowledge = "primary";
     Cluster cluster(shape);
     cluster.beginAll();
--- a/tests/process/hosts_test.cpp
+++ b/tests/process/hosts_test.cpp
@@ -14,9 +14,9 @@
 
 namespace {
 
-Shape makeSeven()
+ClusterOptions makeSeven()
 {
-    auto shape = getSmallShape();
+    auto shape = makeSmallOptions();
     shape.hosts = 7;
     return shape;
 }
@@ -98,13 +98,13 @@
 // Two hosts that each take the other for the home must not send a request to and fro.
 BOOST_AUTO_TEST_CASE(relay_to_a_host_that_is_no_home_goes_back_unrun_and_its_sender_asks_another)
 {
-    Cluster cluster(getSmallShape());
+    Cluster cluster(makeSmallOptions());
     cluster.beginAll();
     // The hosts listen on 127.0.0.1 only, so a port of theirs is free on the next address.
     auto port = cluster.getPeerAddress(0).substr(cluster.getPeerAddress(0).rfind(':'));
     DecliningPeer peer("127.0.0.2" + port);
     cluster.listHost("h9", { { "dataCentre", "vadodara" }, { "peerAddress", "127.0.0.2" + port } });
-    cluster.applyRecord(getSmallShape().groups.front(), [](json::object& record) { record["hosts"] = json::array { "h9", "h1" }; });
+    cluster.applyRecord(makeSmallOptions().groups.front(), [](json::object& record) { record["hosts"] = json::array { "h9", "h1" }; });
     BOOST_TEST(waitUntil(milliseconds(5000), [&] { return cluster.getHomes("orders") == std::vector<size_t> { 0 }; }));
 
     auto body = json::serialize(json::object { { "group", "orders" }, { "kind", "write" }, { "statement", "SET a far" }, { "requestKey", "far" } });
--- a/tests/process/random_run_test.cpp
+++ b/tests/process/random_run_test.cpp
@@ -60,7 +60,7 @@
         : m_cluster(cluster)
         , m_history(history)
         , m_random(seed)
-        , m_caller(cluster.getCallerAddress(m_random() % cluster.getShape().hosts))
+        , m_caller(cluster.getCallerAddress(m_random() % cluster.getOptions().hosts))
     {
     }
 
@@ -75,7 +75,7 @@
     }
 
 private:
-    void roam() { m_caller.roam(m_cluster.getCallerAddress(m_random() % m_cluster.getShape().hosts)); }
+    void roam() { m_caller.roam(m_cluster.getCallerAddress(m_random() % m_cluster.getOptions().hosts)); }
 
     void read()
     {
@@ -142,8 +142,8 @@
 
     void step()
     {
-        auto hosts = m_cluster.getShape().hosts;
-        auto& group = m_cluster.getShape().groups[m_random() % m_cluster.getShape().groups.size()];
+        auto hosts = m_cluster.getOptions().hosts;
+        auto& group = m_cluster.getOptions().groups[m_random() % m_cluster.getOptions().groups.size()];
         auto member = group.members[m_random() % group.members.size()];
         auto host = m_random() % hosts;
         switch (m_random() % 8) {
@@ -193,10 +193,10 @@
 private:
     void pause(int most) { std::this_thread::sleep_for(milliseconds(most / 2 + static_cast<int>(m_random() % static_cast<unsigned>(most)))); }
 
-    void cutMember(const GroupShape& group, const std::string& member)
+    void cutMember(const GroupOptions& group, const std::string& member)
     {
         json::array all;
-        for (unsigned i = 0; i < m_cluster.getShape().hosts; ++i) {
+        for (unsigned i = 0; i < m_cluster.getOptions().hosts; ++i) {
             if (m_random() % 3 != 0) // some hosts stay on its side
                 all.emplace_back(m_cluster.getHostName(i));
         }
@@ -226,7 +226,7 @@
 }
 
 // The primary's log itself: each request key at most once.
-void checkLog(Cluster& cluster, const GroupShape& group)
+void checkLog(Cluster& cluster, const GroupOptions& group)
 {
     std::string primary;
     BOOST_TEST(waitUntil(milliseconds(20000), [&] {
@@ -249,16 +249,16 @@
     }
 }
 
-void runRandomly(Shape shape, unsigned seed, int seconds)
+void runRandomly(ClusterOptions options, unsigned seed, int seconds)
 {
-    shape.extraSettings += "[limits]\ndeadline_default_ms = 1500\n";
-    Cluster cluster(shape);
+    options.extraSettings += "[limits]\ndeadline_default_ms = 1500\n";
+    Cluster cluster(options);
     cluster.beginAll();
     std::atomic<bool> mustStop { false };
     std::vector<History> histories(12);
     std::vector<std::thread> callers;
     for (size_t n = 0; n < histories.size(); ++n) {
-        histories[n].group = shape.groups[n % shape.groups.size()].name;
+        histories[n].group = options.groups[n % options.groups.size()].name;
         histories[n].key = fmt::format("k{}", n);
         callers.emplace_back([&, n] {
             CallerLoop loop(cluster, histories[n], seed * 100 + static_cast<unsigned>(n));
@@ -283,7 +283,7 @@
             acknowledged += attempt.wasAcknowledged ? 1 : 0;
         BOOST_TEST(it.complaints.empty(), (it.complaints.empty() ? "" : it.complaints.front()));
     }
-    for (auto& it : shape.groups)
+    for (auto& it : options.groups)
         checkLog(cluster, it);
     BOOST_TEST(cluster.sumMetric("invariant_violations") == 0u);
     BOOST_TEST(acknowledged > 0u);
@@ -296,12 +296,12 @@
 
 BOOST_AUTO_TEST_CASE(sahyog)
 {
-    runRandomly(getSahyogShape(7), static_cast<unsigned>(getNumberFrom("ALDERWARD_SEED", 1)), getNumberFrom("ALDERWARD_SECONDS", 20));
+    runRandomly(makeSahyogOptions(7), static_cast<unsigned>(getNumberFrom("ALDERWARD_SEED", 1)), getNumberFrom("ALDERWARD_SECONDS", 20));
 }
 
 BOOST_AUTO_TEST_CASE(batbayar)
 {
-    runRandomly(getBatbayarShape(9), static_cast<unsigned>(getNumberFrom("ALDERWARD_SEED", 2)), getNumberFrom("ALDERWARD_SECONDS", 20));
+    runRandomly(makeBatbayarOptions(9), static_cast<unsigned>(getNumberFrom("ALDERWARD_SEED", 2)), getNumberFrom("ALDERWARD_SECONDS", 20));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/process/thin_path_test.cpp
+++ b/tests/process/thin_path_test.cpp
@@ -8,7 +8,7 @@
 
 BOOST_AUTO_TEST_CASE(session_reads_its_write_through_another_host_while_replicas_lag)
 {
-    Cluster cluster(getSmallShape());
+    Cluster cluster(makeSmallOptions());
     cluster.beginAll();
     // One replica is quick, so that writes are acknowledged; the other is far behind.
     cluster.setMember("orders-c", { { "lagMs", 3000 } });
--- a/tests/process/traces_test.cpp
+++ b/tests/process/traces_test.cpp
@@ -14,11 +14,11 @@
 
 namespace {
 
-Shape makeTracedShape()
+ClusterOptions makeTracedOptions()
 {
-    auto shape = getSmallShape();
-    shape.extraSettings = "trace_events = 20000\n"; // goes into [debug]
-    return shape;
+    auto options = makeSmallOptions();
+    options.extraSettings = "trace_events = 20000\n"; // goes into [debug]
+    return options;
 }
 
 void write(Cluster& cluster, const std::string& key)
@@ -59,7 +59,7 @@
 
 BOOST_AUTO_TEST_CASE(killed_primary)
 {
-    Cluster cluster(makeTracedShape());
+    Cluster cluster(makeTracedOptions());
     cluster.beginAll();
     write(cluster, "before");
     cluster.getMember("orders-a").kill();
@@ -69,7 +69,7 @@
 
 BOOST_AUTO_TEST_CASE(frozen_primary_that_wakes)
 {
-    Cluster cluster(makeTracedShape());
+    Cluster cluster(makeTracedOptions());
     cluster.beginAll();
     write(cluster, "before");
     cluster.getMember("orders-a").signal(SIGSTOP);
@@ -85,10 +85,10 @@
 
 BOOST_AUTO_TEST_CASE(leaving_primary)
 {
-    Cluster cluster(makeTracedShape());
+    Cluster cluster(makeTracedOptions());
     cluster.beginAll();
     write(cluster, "before");
-    cluster.applyRecord(cluster.getShape().groups.front(), [](json::object& record) { record["members"].get_array()[0].get_object()["leaving"] = true; });
+    cluster.applyRecord(cluster.getOptions().groups.front(), [](json::object& record) { record["members"].get_array()[0].get_object()["leaving"] = true; });
     auto home = cluster.getHomes("orders").front();
     BOOST_TEST(waitUntil(milliseconds(10000), [&] {
         auto primary = cluster.getPrimary("orders", home);
@@ -100,7 +100,7 @@
 
 BOOST_AUTO_TEST_CASE(slow_and_lagging_members)
 {
-    Cluster cluster(makeTracedShape());
+    Cluster cluster(makeTracedOptions());
     cluster.beginAll();
     cluster.setMember("orders-a", { { "serviceMs", 40 } });
     cluster.setMember("orders-b", { { "lagMs", 300 } });
--- a/tests/process/transactions_test.cpp
+++ b/tests/process/transactions_test.cpp
@@ -31,7 +31,7 @@
 
 BOOST_AUTO_TEST_CASE(roaming_caller_reaches_the_owner_and_commit_is_whole)
 {
-    Cluster cluster(getSmallShape());
+    Cluster cluster(makeSmallOptions());
     cluster.beginAll();
     Caller caller(cluster.getCallerAddress(0));
     auto name = beginTransaction(caller);
@@ -51,7 +51,7 @@
 
 BOOST_AUTO_TEST_CASE(owner_that_has_just_started_is_reached_from_hosts_that_found_it_gone)
 {
-    Cluster cluster(getSmallShape());
+    Cluster cluster(makeSmallOptions());
     cluster.beginAll();
     for (int round = 0; round < 3; ++round) {
         cluster.getHost(0).kill();
@@ -73,7 +73,7 @@
 
 BOOST_AUTO_TEST_CASE(rollback_and_idle_limit_leave_nothing)
 {
-    auto shape = getSmallShape();
+    auto shape = makeSmallOptions();
     shape.extraSettings = "[limits]\ntransaction_idle_ms = 300\n";
     Cluster cluster(shape);
     cluster.beginAll();
@@ -92,7 +92,7 @@
 
 BOOST_AUTO_TEST_CASE(host_that_dies_in_a_transaction_leaves_it_rolled_back)
 {
-    Cluster cluster(getSmallShape());
+    Cluster cluster(makeSmallOptions());
     cluster.beginAll();
     Caller caller(cluster.getCallerAddress(0));
     auto name = beginTransaction(caller);
@@ -113,7 +113,7 @@
 
 BOOST_AUTO_TEST_CASE(transaction_at_a_superseded_primary_does_not_commit)
 {
-    Cluster cluster(getSmallShape());
+    Cluster cluster(makeSmallOptions());
     cluster.beginAll();
     Caller caller(cluster.getCallerAddress(0));
     auto name = beginTransaction(caller);
@@ -128,7 +128,7 @@
 // Many callers at once through few connections, some answers late: each must get its own answer, whole.
 BOOST_AUTO_TEST_CASE(crowded_connections_never_cross_answers_or_transactions)
 {
-    auto shape = getSmallShape();
+    auto shape = makeSmallOptions();
     shape.groups.front().connections = 6;
     Cluster cluster(shape);
     cluster.beginAll();
