--- a/examples/demo.cpp
+++ b/examples/demo.cpp
@@ -15,17 +15,17 @@
 int main(int argc, char** argv)
 {
     Cluster cluster(makeSahyogOptions(3));
-    cluster.beginAll();
+    cluster.startAll();
     fmt::print("3 hosts serve ledger1, ledger2 and ledger3; callers' address of h1: {}\n\n", cluster.getCallerAddress(0));
     for (auto& it : cluster.getOptions().groups.front().members)
         cluster.setMember(it, { { "lagMs", 200 } });
     Caller officer(cluster.getCallerAddress(0));
     show("write through h1, replicas lag by 200 ms", officer.write("ledger1", "SET loan-17 sanctioned", "sanction-17"));
-    officer.roam(cluster.getCallerAddress(1));
+    officer.switchHost(cluster.getCallerAddress(1));
     show("read through h2 with h1's token", officer.read("ledger1", "GET loan-17"));
     show("the same sanction again through h2", officer.write("ledger1", "SET loan-17 sanctioned", "sanction-17"));
     cluster.getMember("ledger1-a").kill();
-    officer.roam(cluster.getCallerAddress(2));
+    officer.switchHost(cluster.getCallerAddress(2));
     show("primary killed; write through h3", officer.write("ledger1", "SET loan-18 sanctioned", "sanction-18"));
     show("read of the first sanction", officer.read("ledger1", "GET loan-17"));
     fmt::print("\nalderctl timeline --group ledger1\n{}", cluster.runTool({ "timeline", "--group", "ledger1" }).output);
--- a/tests/bench/control.cpp
+++ b/tests/bench/control.cpp
@@ -25,7 +25,7 @@
 {
     auto options = makeBatbayarOptions(9);
     Cluster cluster(options);
-    cluster.beginAll();
+    cluster.startAll();
     cluster.setPlatform({ { "delayMs", delayMs } });
     std::vector<double> times;
     for (int i = 0; i < changes; ++i) {
@@ -62,12 +62,12 @@
 
 }
 
-static ControlCounts readControl(Cluster& cluster)
+static ControlCounts readControlCounts(Cluster& cluster)
 {
     ControlCounts it;
     it.at = Clock::now();
     for (unsigned i = 0; i < cluster.getOptions().hosts; ++i) {
-        it.cpuSeconds += getUsage(cluster.getHost(i).getId()).cpuSeconds;
+        it.cpuSeconds += getProcessUsage(cluster.getHost(i).getId()).cpuSeconds;
         for (auto* name : ControlCounts::kNames)
             it.counts[name] += cluster.getMetric(i, name);
     }
@@ -105,18 +105,18 @@
         auto options = makeSahyogOptions(hosts);
         auto began = Clock::now();
         Cluster cluster(options);
-        cluster.beginAll();
+        cluster.startAll();
         auto agree = getMs(Clock::now() - began);
         // All hosts joined at once: wait until that news has been told.
         std::this_thread::sleep_for(milliseconds(4000 + 700 * hosts));
-        auto before = readControl(cluster);
+        auto before = readControlCounts(cluster);
         std::this_thread::sleep_for(milliseconds(10000));
-        auto after = readControl(cluster);
+        auto after = readControlCounts(cluster);
         auto seconds = getMs(after.at - before.at) / 1000;
         auto perHost = [&](const char* name) { return static_cast<double>(after.counts[name] - before.counts[name]) / seconds / hosts; };
         double resident = 0;
         for (unsigned i = 0; i < hosts; ++i)
-            resident = std::max(resident, getUsage(cluster.getHost(i).getId()).residentMb);
+            resident = std::max(resident, getProcessUsage(cluster.getHost(i).getId()).residentMb);
         auto spread = waitForVersion(cluster, applyChange(cluster, 3));
         fmt::print("{:>6} {:>7.2f} {:>12.1f} {:>12.0f} {:>8.0f} {:>10.0f} {:>9.0f} {:>10.0f} {:>9.0f} {:>13.0f} {:>15.2f} {:>11.0f} {:>10.0f}\n", hosts, 100 * (after.cpuSeconds - before.cpuSeconds) / seconds / hosts, resident, perHost("exchange_bytes"), perHost("exchange_host_bytes"), perHost("exchange_record_bytes"), perHost("exchange_group_bytes"), perHost("probe_bytes"), perHost("confirmation_bytes"), perHost("platform_bytes"), static_cast<double>(after.platformCalls - before.platformCalls) / seconds, spread, agree);
         std::fflush(stdout);
@@ -156,19 +156,19 @@
             options.groups.push_back({ name, { name + "-a", name + "-b", name + "-c" } });
         }
         Cluster cluster(options);
-        cluster.beginAll();
+        cluster.startAll();
         std::this_thread::sleep_for(milliseconds(12000));
         for (bool isBusy : { false, true }) {
-            auto before = readControl(cluster);
+            auto before = readControlCounts(cluster);
             double served = 0;
             if (isBusy)
                 served = loadGroups(cluster, count, milliseconds(8000)).getRate();
             else
                 std::this_thread::sleep_for(milliseconds(8000));
-            auto after = readControl(cluster);
+            auto after = readControlCounts(cluster);
             auto seconds = getMs(after.at - before.at) / 1000;
             auto perHost = [&](const char* name) { return static_cast<double>(after.counts[name] - before.counts[name]) / seconds / 3; };
-            fmt::print("{:>7} {:>8} {:>8.2f} {:>12.1f} {:>10.1f} {:>10.0f} {:>12.0f} {:>9.0f}\n", count, isBusy ? "busy" : "none", 100 * (after.cpuSeconds - before.cpuSeconds) / seconds / 3, getUsage(cluster.getHost(0).getId()).residentMb, perHost("probes"), perHost("probe_bytes"), perHost("confirmation_bytes"), served);
+            fmt::print("{:>7} {:>8} {:>8.2f} {:>12.1f} {:>10.1f} {:>10.0f} {:>12.0f} {:>9.0f}\n", count, isBusy ? "busy" : "none", 100 * (after.cpuSeconds - before.cpuSeconds) / seconds / 3, getProcessUsage(cluster.getHost(0).getId()).residentMb, perHost("probes"), perHost("probe_bytes"), perHost("confirmation_bytes"), served);
             std::fflush(stdout);
         }
     }
@@ -209,7 +209,7 @@
 
 // ---- membership at the size of the target ----
 
-static alderward::decisions::Membership makeKnown(unsigned hosts)
+static alderward::decisions::Membership makeMembershipOfHosts(unsigned hosts)
 {
     using namespace alderward::decisions;
     auto now = Clock::now();
@@ -231,7 +231,7 @@
     for (unsigned hosts : { 9U, 100U, 500U, 2000U }) {
         constexpr int kRounds = 500;
         constexpr size_t kCopies = 20;
-        auto membership = makeKnown(hosts);
+        auto membership = makeMembershipOfHosts(hosts);
         auto time = [&](const std::function<void(int)>& step) {
             auto began = Clock::now();
             for (int i = 0; i < kRounds; ++i)
@@ -247,9 +247,9 @@
         });
         uint64_t digest = 0;
         auto parts = time([&](int) { digest ^= getBucketDigests(membership)[0]; });
-        auto before = getUsage(getpid()).residentMb;
+        auto before = getProcessUsage(getpid()).residentMb;
         std::vector<Membership> copies(kCopies, membership);
-        auto kilobytes = (getUsage(getpid()).residentMb - before) * 1000 / static_cast<double>(kCopies * hosts);
+        auto kilobytes = (getProcessUsage(getpid()).residentMb - before) * 1000 / static_cast<double>(kCopies * hosts);
         if (chosen > 0)
             fmt::print("{:>7} {:>14.1f} {:>16.1f} {:>14.1f} {:>14.2f}\n", hosts, partners + rest, partners, parts, kilobytes);
     }
@@ -258,7 +258,7 @@
 // ---- a host that missed one change ----
 
 // Retired records cost nothing but their place in the configuration.
-static void putRecords(Cluster& cluster, unsigned count, unsigned version)
+static void writeRetiredRecords(Cluster& cluster, unsigned count, unsigned version)
 {
     Client platform(cluster.getPlatformAddress());
     for (unsigned i = 0; i < count; ++i) {
@@ -275,25 +275,25 @@
     fmt::print("{:>8} {:>12} {:>12} {:>12} {:>10}\n", "records", "of records", "of hosts", "in all", "quiet");
     for (unsigned count : { 100U, 1000U, 3000U }) {
         Cluster cluster(makeSahyogOptions(9));
-        cluster.beginAll();
-        putRecords(cluster, count, 1);
+        cluster.startAll();
+        writeRetiredRecords(cluster, count, 1);
         std::this_thread::sleep_for(milliseconds(12000));
-        auto quietBefore = readControl(cluster);
+        auto quietBefore = readControlCounts(cluster);
         std::this_thread::sleep_for(milliseconds(6000));
-        auto quietAfter = readControl(cluster);
+        auto quietAfter = readControlCounts(cluster);
         unsigned host = 0;
         while (cluster.getStatus(host)["isWatcher"].as_bool())
             ++host;
         std::vector<std::string> all;
         for (unsigned i = 0; i < 9; ++i)
             all.push_back(cluster.getHostName(i));
-        cluster.cutPeers(host, all);
-        putRecords(cluster, 1, 2);
+        cluster.blockPeers(host, all);
+        writeRetiredRecords(cluster, 1, 2);
         std::this_thread::sleep_for(milliseconds(1500));
-        cluster.cutPeers(host, {});
-        auto before = readControl(cluster);
+        cluster.blockPeers(host, {});
+        auto before = readControlCounts(cluster);
         std::this_thread::sleep_for(milliseconds(6000));
-        auto after = readControl(cluster);
+        auto after = readControlCounts(cluster);
         auto n = [&](const char* name) { return after.counts[name] - before.counts[name]; };
         fmt::print("{:>8} {:>12} {:>12} {:>12} {:>10}\n", count, n("exchange_record_bytes"), n("exchange_host_bytes"), n("exchange_bytes"), quietAfter.counts["exchange_bytes"] - quietBefore.counts["exchange_bytes"]);
         std::fflush(stdout);
--- a/tests/bench/faults.cpp
+++ b/tests/bench/faults.cpp
@@ -29,14 +29,14 @@
 }
 
 // Times of the first events of the newest promotion, from the time line of all hosts, relative to `hitMs`.
-static void readParts(Cluster& cluster, uint64_t hitMs, Gap& gap)
+static void readGapPhases(Cluster& cluster, uint64_t faultAtMs, Gap& gap)
 {
     double began = 0;
     double promoted = 0;
     for (unsigned i = 0; i < cluster.getOptions().hosts; ++i) {
         for (auto& it : cluster.getEvents(i)) {
             auto kind = std::string(it.at("kind").get_string());
-            auto ms = static_cast<double>((it.at("stamp").to_number<uint64_t>() >> 16)) - static_cast<double>(hitMs);
+            auto ms = static_cast<double>((it.at("stamp").to_number<uint64_t>() >> 16)) - static_cast<double>(faultAtMs);
             if (ms < 0)
                 continue;
             if (kind == "promotion-began" && (began == 0 || ms < began))
@@ -50,17 +50,17 @@
     gap.promotion = gap.total - promoted;
 }
 
-static Gap measureOneGap(ClusterOptions options, const std::string& how, bool isPlatformUp)
+static Gap measureSingleGap(ClusterOptions options, const std::string& fault, bool isPlatformUp)
 {
     options.groups.resize(1);
     auto group = options.groups.front();
     Cluster cluster(options);
-    cluster.beginAll();
+    cluster.startAll();
     if (!isPlatformUp)
         cluster.setPlatform({ { "down", true } });
     std::atomic<bool> mustStop { false };
     std::mutex mutex;
-    std::vector<std::pair<Clock::time_point, Clock::time_point>> landed; // sent, answered
+    std::vector<std::pair<Clock::time_point, Clock::time_point>> acknowledgedWrites; // sent, answered
     std::vector<std::jthread> writers;
     for (unsigned n = 0; n < options.hosts; ++n) {
         writers.emplace_back([&, n] {
@@ -70,7 +70,7 @@
                 auto answer = caller.write(group.name, "SET k v", fmt::format("w{}-{}", n, i), 400);
                 std::lock_guard lock(mutex);
                 if (answer.status == 200)
-                    landed.emplace_back(sent, Clock::now());
+                    acknowledgedWrites.emplace_back(sent, Clock::now());
                 else
                     std::this_thread::sleep_for(milliseconds(5));
             }
@@ -78,11 +78,11 @@
     }
     std::this_thread::sleep_for(milliseconds(400));
     auto primary = group.members.front();
-    auto hitMs = static_cast<uint64_t>(std::chrono::duration_cast<milliseconds>(std::chrono::system_clock::now().time_since_epoch()).count());
-    auto hit = Clock::now();
-    if (how == "killed")
+    auto faultAtMs = static_cast<uint64_t>(std::chrono::duration_cast<milliseconds>(std::chrono::system_clock::now().time_since_epoch()).count());
+    auto faultAt = Clock::now();
+    if (fault == "killed")
         cluster.getMember(primary).signal(SIGKILL);
-    else if (how == "frozen")
+    else if (fault == "frozen")
         cluster.getMember(primary).signal(SIGSTOP);
     else {
         json::array all;
@@ -93,23 +93,23 @@
         cluster.setMember(primary, { { "cut", all } });
         for (size_t i = 1; i < group.members.size(); ++i)
             cluster.setMember(group.members[i], { { "cut", json::array { json::string(primary) } } });
-        hit = Clock::now();
+        faultAt = Clock::now();
     }
     waitUntil(milliseconds(12000), [&] {
         std::lock_guard lock(mutex);
-        return !landed.empty() && landed.back().first > hit;
+        return !acknowledgedWrites.empty() && acknowledgedWrites.back().first > faultAt;
     });
     std::this_thread::sleep_for(milliseconds(200));
     mustStop = true;
     writers.clear();
     Gap gap;
     auto first = Clock::time_point::max();
-    for (auto& [sent, answered] : landed) {
-        if (answered > hit + milliseconds(30))
+    for (auto& [sent, answered] : acknowledgedWrites) {
+        if (answered > faultAt + milliseconds(30))
             first = std::min(first, answered);
     }
-    gap.total = first == Clock::time_point::max() ? 99999 : getMs(first - hit);
-    readParts(cluster, hitMs, gap);
+    gap.total = first == Clock::time_point::max() ? 99999 : getMs(first - faultAt);
+    readGapPhases(cluster, faultAtMs, gap);
     return gap;
 }
 
@@ -118,18 +118,18 @@
     fmt::print("{:<8} {:<10} {:>6} {:>5} {:>10} {:>10} {:>11} {:>10} {:>10}\n", "fault", "platform", "hosts", "runs", "median ms", "worst ms", "detection", "fencing", "promotion");
     for (unsigned hosts : { 7U, 9U }) {
         for (bool isPlatformUp : { true, false }) {
-            for (auto* how : { "killed", "frozen", "cut" }) {
-                if (!onlyFault.empty() && onlyFault != how)
+            for (auto* fault : { "killed", "frozen", "cut" }) {
+                if (!onlyFault.empty() && onlyFault != fault)
                     continue;
                 std::vector<double> total, detection, fencing, promotion;
                 for (int i = 0; i < runs; ++i) {
-                    auto gap = measureOneGap(hosts == 7 ? makeSahyogOptions(7) : makeBatbayarOptions(9), how, isPlatformUp);
+                    auto gap = measureSingleGap(hosts == 7 ? makeSahyogOptions(7) : makeBatbayarOptions(9), fault, isPlatformUp);
                     total.push_back(gap.total);
                     detection.push_back(gap.detection);
                     fencing.push_back(gap.fencing);
                     promotion.push_back(gap.promotion);
                 }
-                fmt::print("{:<8} {:<10} {:>6} {:>5} {:>10.0f} {:>10.0f} {:>11.0f} {:>10.0f} {:>10.0f}\n", how, isPlatformUp ? "up" : "down", hosts, runs, getMedian(total), *std::ranges::max_element(total), getMedian(detection), getMedian(fencing), getMedian(promotion));
+                fmt::print("{:<8} {:<10} {:>6} {:>5} {:>10.0f} {:>10.0f} {:>11.0f} {:>10.0f} {:>10.0f}\n", fault, isPlatformUp ? "up" : "down", hosts, runs, getMedian(total), *std::ranges::max_element(total), getMedian(detection), getMedian(fencing), getMedian(promotion));
                 std::fflush(stdout);
             }
         }
@@ -144,7 +144,7 @@
     auto options = makeSmallOptions();
     options.groups.front().promotion = R"({"mode":"off"})";
     Cluster cluster(options);
-    cluster.beginAll();
+    cluster.startAll();
     for (auto& it : options.groups.front().members)
         cluster.setMember(it, { { "serviceMs", 4 } });
     LoadOptions load { {}, 60, milliseconds(30000) };
@@ -187,7 +187,7 @@
 {
     auto options = makeSahyogOptions(7);
     Cluster cluster(options);
-    cluster.beginAll();
+    cluster.startAll();
     std::vector<std::string> addresses;
     for (unsigned i = 0; i < options.hosts; ++i)
         addresses.push_back(cluster.getCallerAddress(i));
--- a/tests/bench/limits.cpp
+++ b/tests/bench/limits.cpp
@@ -22,7 +22,7 @@
     auto options = makeSmallOptions();
     options.groups.front().acknowledge = "primary";
     Cluster cluster(options);
-    cluster.beginAll();
+    cluster.startAll();
     for (auto& it : options.groups.front().members)
         cluster.setMember(it, { { "serviceMs", 4 } });
     std::vector<std::string> addresses;
@@ -62,7 +62,7 @@
     for (auto& it : options.groups)
         it.acknowledge = "primary";
     Cluster cluster(options);
-    cluster.beginAll();
+    cluster.startAll();
     for (auto& group : options.groups) {
         for (auto& it : group.members)
             cluster.setMember(it, { { "serviceMs", 4 } });
--- a/tests/bench/load.cpp
+++ b/tests/bench/load.cpp
@@ -108,13 +108,13 @@
     return result;
 }
 
-std::shared_ptr<void> openIdle(const std::string& address, unsigned count, const std::function<json::object(unsigned)>& makeBody)
+std::shared_ptr<void> openIdleConnections(const std::string& address, unsigned count, const std::function<json::object(unsigned)>& makeBody)
 {
-    struct Idle {
+    struct IdleConnections {
         asio::io_context context { 1 };
         std::vector<std::unique_ptr<links::HttpConnection>> links;
     };
-    auto idle = std::make_shared<Idle>();
+    auto idle = std::make_shared<IdleConnections>();
     LoadOptions options { { address } };
     auto open = [&]() -> asio::awaitable<void> {
         for (unsigned i = 0; i < count; ++i) {
--- a/tests/bench/load.h
+++ b/tests/bench/load.h
@@ -37,6 +37,6 @@
 LoadResult runLoad(const LoadOptions& options);
 
 // Connections that made one request each and stay open; they close when the handle goes.
-std::shared_ptr<void> openIdle(const std::string& address, unsigned count, const std::function<json::object(unsigned)>& makeBody);
+std::shared_ptr<void> openIdleConnections(const std::string& address, unsigned count, const std::function<json::object(unsigned)>& makeBody);
 
 }
--- a/tests/bench/measure.cpp
+++ b/tests/bench/measure.cpp
@@ -18,7 +18,7 @@
     return values.empty() ? 0 : values[values.size() / 2];
 }
 
-Usage getUsage(pid_t id)
+ProcessUsage getProcessUsage(pid_t id)
 {
     std::ifstream stat(fmt::format("/proc/{}/stat", id));
     std::string text((std::istreambuf_iterator<char>(stat)), {});
--- a/tests/bench/measure.h
+++ b/tests/bench/measure.h
@@ -37,12 +37,12 @@
 // ---- shared ----
 
 // What one process has used so far.
-struct Usage {
+struct ProcessUsage {
     double cpuSeconds { 0 }; // s, user and system
     double residentMb { 0 }; // MB, now
 };
 
-Usage getUsage(pid_t id);
+ProcessUsage getProcessUsage(pid_t id);
 double getMs(Clock::duration time);
 double getMedian(std::vector<double> values); // 0 of none
 json::object makeRead(const std::string& group, const std::string& key);
--- a/tests/bench/requests.cpp
+++ b/tests/bench/requests.cpp
@@ -25,7 +25,7 @@
     options.hosts = 1;
     options.threads = threads;
     Cluster cluster(options);
-    cluster.beginAll();
+    cluster.startAll();
     fmt::print("host with {} request threads\n", threads);
     fmt::print("{:<8} {:<7} {:>8} {:>12} {:>9} {:>9}\n", "path", "kind", "callers", "statements/s", "p50 ms", "p99 ms");
     for (bool isWrite : { false, true }) {
@@ -52,12 +52,12 @@
     auto options = makeSmallOptions();
     options.hosts = 1;
     Cluster cluster(options);
-    cluster.beginAll();
-    auto before = getUsage(cluster.getHost(0).getId()).residentMb;
+    cluster.startAll();
+    auto before = getProcessUsage(cluster.getHost(0).getId()).residentMb;
     fmt::print("no callers: {:.1f} MB resident\n", before);
     for (unsigned callers : { 1000U, 4000U }) {
-        auto idle = openIdle(cluster.getCallerAddress(0), callers, [](unsigned) { return makeRead("orders", "a"); });
-        auto after = getUsage(cluster.getHost(0).getId()).residentMb;
+        auto idle = openIdleConnections(cluster.getCallerAddress(0), callers, [](unsigned) { return makeRead("orders", "a"); });
+        auto after = getProcessUsage(cluster.getHost(0).getId()).residentMb;
         fmt::print("{} idle connections: {:.1f} MB resident, {:.2f} KB each\n", callers, after, (after - before) * 1000 / callers);
     }
 }
@@ -83,7 +83,7 @@
     for (auto& mix : mixes) {
         auto options = std::strcmp(mix.name, "Sahyog") == 0 ? makeSahyogOptions(7) : makeBatbayarOptions(9);
         Cluster cluster(options);
-        cluster.beginAll();
+        cluster.startAll();
         std::vector<std::string> addresses;
         for (unsigned i = 0; i < options.hosts; ++i)
             addresses.push_back(cluster.getCallerAddress(i));
@@ -144,7 +144,7 @@
                 if (everyHost)
                     options.extraSettings += "\n[peers]\nhomes_most = 1000\n";
                 Cluster cluster(options);
-                cluster.beginAll();
+                cluster.startAll();
                 std::vector<std::string> addresses;
                 for (unsigned i = 0; i < hosts; ++i)
                     addresses.push_back(cluster.getCallerAddress(i));
--- a/tests/gateway/soak_test.cpp
+++ b/tests/gateway/soak_test.cpp
@@ -577,7 +577,7 @@
 
 BOOST_AUTO_TEST_CASE(promises_hold_through_faults_by_seed)
 {
-    runSoak(static_cast<unsigned>(getNumberFrom("ALDERWARD_SEED", 1)), std::chrono::seconds(getNumberFrom("ALDERWARD_SECONDS", 10)));
+    runSoak(static_cast<unsigned>(getEnvironmentNumber("ALDERWARD_SEED", 1)), std::chrono::seconds(getEnvironmentNumber("ALDERWARD_SECONDS", 10)));
 }
 
 // A primary that started again with nothing was read, on a connection that was opened while newer floors were being told: the position that it
--- a/tests/harness/gateway_rig.cpp
+++ b/tests/harness/gateway_rig.cpp
@@ -29,7 +29,7 @@
     m_folder = fmt::format("{}/alderward-rig-{}-{}", std::filesystem::temp_directory_path().string(), getpid(), ++number);
     std::filesystem::create_directories(m_folder);
     auto own = 1 + 3 * m_shape.groups + 4 * m_shape.hosts;
-    m_ports = findPorts(own + (m_shape.hasProxies ? 3 * m_shape.groups + kProxiesOfHost * m_shape.hosts : 0));
+    m_ports = findFreePorts(own + (m_shape.hasProxies ? 3 * m_shape.groups + kProxiesOfHost * m_shape.hosts : 0));
     size_t next = 1;
     std::vector<standins::LineGroup*> groups;
     for (unsigned i = 0; i < m_shape.groups; ++i) {
--- a/tests/harness/harness.cpp
+++ b/tests/harness/harness.cpp
@@ -221,7 +221,7 @@
 
 // Free ports below the ephemeral range: a port in that range can be taken by an outgoing connection of a process that was
 // started before the one that is to listen on it.
-std::vector<unsigned short> findPorts(size_t count)
+std::vector<unsigned short> findFreePorts(size_t count)
 {
     constexpr unsigned kFirst = 12000;
     constexpr unsigned kLast = 32000;
@@ -237,7 +237,7 @@
     return ports;
 }
 
-int getNumberFrom(const char* name, int fallback)
+int getEnvironmentNumber(const char* name, int fallback)
 {
     auto* text = std::getenv(name);
     return text ? std::atoi(text) : fallback;
@@ -270,7 +270,7 @@
     size_t members = 0;
     for (auto& it : m_options.groups)
         members += it.members.size();
-    auto ports = findPorts(1 + members + 3 * m_options.hosts);
+    auto ports = findFreePorts(1 + members + 3 * m_options.hosts);
     auto next = ports.begin();
     m_platformPort = *next++;
     for (auto& group : m_options.groups) {
@@ -295,7 +295,7 @@
         std::filesystem::remove_all(m_folder);
 }
 
-void Cluster::beginStandIns()
+void Cluster::startStandIns()
 {
     m_platform = std::make_unique<Process>(std::vector<std::string> { m_binaries + "/tests/standin-platform", "--address", getPlatformAddress() }, m_folder + "/platform.log");
     for (auto& group : m_options.groups) {
@@ -318,31 +318,31 @@
     file << m_options.extraSettings;
 }
 
-void Cluster::listHost(const std::string& name, const json::object& value, milliseconds lag)
+void Cluster::registerHost(const std::string& name, const json::object& value, milliseconds lag)
 {
     postAdmin(getPlatformAddress(), "/admin/put", { { "key", "platform/hosts/" + name }, { "value", json::serialize(value) }, { "lagMs", lag.count() } });
 }
 
 void Cluster::setHostLeaving(const std::string& name, bool isLeaving)
 {
-    listHost(name, { { "leaving", isLeaving } });
+    registerHost(name, { { "leaving", isLeaving } });
 }
 
-void Cluster::beginHost(size_t index)
+void Cluster::startHost(size_t index)
 {
     writeSettings(index);
     m_hosts[index] = std::make_unique<Process>(std::vector<std::string> { m_binaries + "/alderward", "--settings", getSettingsPath(index) }, m_folder + "/" + getHostName(index) + ".log");
 }
 
-void Cluster::beginAll()
+void Cluster::startAll()
 {
-    beginStandIns();
+    startStandIns();
     for (size_t i = 0; i < m_options.hosts; ++i)
-        listHost(getHostName(i), { { "dataCentre", m_options.dataCentres[i % m_options.dataCentres.size()] }, { "peerAddress", getAddress(m_peerPorts[i]) }, { "callerAddress", getCallerAddress(i) }, { "operatorAddress", getOperatorAddress(i) } });
+        registerHost(getHostName(i), { { "dataCentre", m_options.dataCentres[i % m_options.dataCentres.size()] }, { "peerAddress", getAddress(m_peerPorts[i]) }, { "callerAddress", getCallerAddress(i) }, { "operatorAddress", getOperatorAddress(i) } });
     for (auto& it : m_options.groups)
         applyRecord(it);
     for (size_t i = 0; i < m_options.hosts; ++i)
-        beginHost(i);
+        startHost(i);
     bool isReady = waitUntil(milliseconds(20000), [&] {
         for (auto& group : m_options.groups) {
             auto homes = getHomes(group.name);
@@ -392,7 +392,7 @@
     return postAdmin(getPlatformAddress(), "/admin/stats", {});
 }
 
-void Cluster::cutPeers(size_t index, const std::vector<std::string>& names)
+void Cluster::blockPeers(size_t index, const std::vector<std::string>& names)
 {
     json::array hosts;
     for (auto& it : names)
@@ -466,14 +466,14 @@
     return false;
 }
 
-Cluster::ToolRun Cluster::runTool(const std::vector<std::string>& arguments)
+Cluster::ToolResult Cluster::runTool(const std::vector<std::string>& arguments)
 {
     std::vector<std::string> all { m_binaries + "/alderctl", "--platform", getPlatformAddress() };
     all.insert(all.end(), arguments.begin(), arguments.end());
     static std::atomic<int> number { 0 }; // tests run two tools at once
     auto log = fmt::format("{}/tool-{}.log", m_folder, ++number);
     Process process(all, log);
-    ToolRun run;
+    ToolResult run;
     run.code = process.wait(milliseconds(30000)).value_or(-1);
     std::ifstream file(log);
     run.output.assign(std::istreambuf_iterator<char>(file), {});
@@ -546,7 +546,7 @@
     return error && error->is_object() ? links::getString(error->get_object(), "kind") : std::string();
 }
 
-std::string getRan(const Answer& answer)
+std::string getRanField(const Answer& answer)
 {
     auto* error = answer.body.if_contains("error");
     if (error && error->is_object())
--- a/tests/harness/harness.h
+++ b/tests/harness/harness.h
@@ -83,8 +83,8 @@
     explicit Cluster(ClusterOptions options);
     ~Cluster();
 
-    void beginAll(); // stand-ins, records, hosts; returns when every host serves every group
-    void beginHost(size_t index);
+    void startAll(); // stand-ins, records, hosts; returns when every host serves every group
+    void startHost(size_t index);
     Process& getHost(size_t index) { return *m_hosts.at(index); }
     Process& getMember(const std::string& name) { return *m_members.at(name); }
     Process& getPlatform() { return *m_platform; }
@@ -103,9 +103,9 @@
     json::object getMemberStats(const std::string& name);
     json::object setPlatform(const json::object& body);
     json::object getPlatformStats();
-    void cutPeers(size_t index, const std::vector<std::string>& names);
+    void blockPeers(size_t index, const std::vector<std::string>& names);
     // Tells the platform's list about a host or target.
-    void listHost(const std::string& name, const json::object& value, milliseconds lag = milliseconds(0));
+    void registerHost(const std::string& name, const json::object& value, milliseconds lag = milliseconds(0));
     void setHostLeaving(const std::string& name, bool isLeaving);
 
     // ---- views ----
@@ -118,17 +118,17 @@
     bool hasEvent(size_t index, const std::string& kind, const std::string& group);
 
     // ---- operators' tool ----
-    struct ToolRun {
+    struct ToolResult {
         int code { -1 };
         std::string output {};
     };
-    ToolRun runTool(const std::vector<std::string>& arguments);
+    ToolResult runTool(const std::vector<std::string>& arguments);
     std::string writeRecord(const GroupOptions& group, const std::function<void(json::object&)>& change = {}); // returns the path
     void applyRecord(const GroupOptions& group, const std::function<void(json::object&)>& change = {});
 
 private:
     static std::string getAddress(unsigned short port) { return "127.0.0.1:" + std::to_string(port); }
-    void beginStandIns();
+    void startStandIns();
     void writeSettings(size_t index);
     json::object postAdmin(const std::string& address, const std::string& path, const json::object& body);
 
@@ -150,7 +150,7 @@
         : m_client(std::make_unique<Client>(address))
     {
     }
-    void roam(std::string address) { m_client = std::make_unique<Client>(address); }
+    void switchHost(std::string address) { m_client = std::make_unique<Client>(address); }
     Answer write(const std::string& group, const std::string& statement, const std::string& requestKey, int deadlineMs = 5000);
     Answer read(const std::string& group, const std::string& statement, std::optional<int> maximumAgeMs = std::nullopt, int deadlineMs = 5000);
     Answer send(const std::string& path, json::object body);
@@ -163,13 +163,13 @@
 };
 
 std::string getErrorKind(const Answer& answer);
-std::string getRan(const Answer& answer);
+std::string getRanField(const Answer& answer);
 std::string getResult(const Answer& answer);
 
 // Free ports on loopback, different ones.
-std::vector<unsigned short> findPorts(size_t count);
+std::vector<unsigned short> findFreePorts(size_t count);
 // A number from the environment, for runs by hand.
-int getNumberFrom(const char* name, int fallback);
+int getEnvironmentNumber(const char* name, int fallback);
 // Memory of a process that is in use now, in KB; 0 if it does not run.
 size_t getResidentKb(pid_t id);
 
--- a/tests/process/at_most_once_test.cpp
+++ b/tests/process/at_most_once_test.cpp
@@ -25,7 +25,7 @@
 BOOST_AUTO_TEST_CASE(same_key_through_another_host_runs_once_and_answers_the_same)
 {
     Cluster cluster(makeSmallOptions());
-    cluster.beginAll();
+    cluster.startAll();
     auto first = Caller(cluster.getCallerAddress(0)).write("orders", "APPEND sanctions x", "sanction-1");
     auto second = Caller(cluster.getCallerAddress(1)).write("orders", "APPEND sanctions x", "sanction-1");
     BOOST_TEST(first.status == 200u);
@@ -38,11 +38,11 @@
 BOOST_AUTO_TEST_CASE(answer_lost_after_the_write_is_unknown_and_the_key_settles_it)
 {
     Cluster cluster(makeSmallOptions());
-    cluster.beginAll();
+    cluster.startAll();
     cluster.setMember("orders-a", { { "loseAnswers", 1 } });
     auto lost = Caller(cluster.getCallerAddress(0)).write("orders", "APPEND sanctions x", "s1", 800);
     BOOST_TEST(getErrorKind(lost) == "outcome-unknown");
-    BOOST_TEST(getRan(lost) == "unknown");
+    BOOST_TEST(getRanField(lost) == "unknown");
     auto again = Caller(cluster.getCallerAddress(1)).write("orders", "APPEND sanctions x", "s1");
     BOOST_TEST(again.status == 200u);
     BOOST_TEST(countRuns(cluster, 0, "sanctions") == "x");
@@ -54,13 +54,13 @@
 BOOST_AUTO_TEST_CASE(settling_as_not_run_closes_the_key_against_a_late_arrival)
 {
     Cluster cluster(makeSmallOptions());
-    cluster.beginAll();
+    cluster.startAll();
     auto settled = settle(cluster, 0, "late");
     BOOST_TEST(settled.status == 200u, json::serialize(settled.body));
     BOOST_TEST(settled.body.at("ran").get_string() == "no");
     auto late = Caller(cluster.getCallerAddress(1)).write("orders", "APPEND sanctions x", "late");
     BOOST_TEST(getErrorKind(late) == "key-closed");
-    BOOST_TEST(getRan(late) == "no");
+    BOOST_TEST(getRanField(late) == "no");
     BOOST_TEST(countRuns(cluster, 2, "sanctions") == "");
     // It also holds after a change of primary.
     cluster.getMember("orders-a").kill();
@@ -74,7 +74,7 @@
     auto options = makeSmallOptions();
     options.hosts = 7;
     Cluster cluster(options);
-    cluster.beginAll();
+    cluster.startAll();
     cluster.setMember("orders-a", { { "serviceMs", 6 } });
     std::string expected;
     auto homes = cluster.getHomes("orders");
@@ -98,7 +98,7 @@
             cluster.getHost(victim).signal(SIGCONT);
         else {
             cluster.getHost(victim).kill();
-            cluster.beginHost(victim);
+            cluster.startHost(victim);
         }
         BOOST_TEST(waitUntil(milliseconds(8000), [&] { return !cluster.getPrimary("orders", victim).empty() || Client(cluster.getOperatorAddress(victim)).get("/healthz", milliseconds(1000)).status == 200; }));
     }
--- a/tests/process/callers_test.cpp
+++ b/tests/process/callers_test.cpp
@@ -32,7 +32,7 @@
     auto shape = makeSmallOptions();
     shape.extraSettings = "[limits]\nbody_limit_kb = 4\nrequest_timeout_ms = 300\n";
     Cluster cluster(shape);
-    cluster.beginAll();
+    cluster.startAll();
     Caller caller(cluster.getCallerAddress(0));
     auto token = caller.read("orders", "GET a").status == 200 ? caller.getSession() : std::string();
     const std::vector<BadRequest> cases {
@@ -73,7 +73,7 @@
 BOOST_AUTO_TEST_CASE(a_read_with_a_stated_age_is_answered_only_within_it)
 {
     Cluster cluster(makeSmallOptions());
-    cluster.beginAll();
+    cluster.startAll();
     Caller caller(cluster.getCallerAddress(0));
     BOOST_REQUIRE_EQUAL(caller.write("orders", "SET a 1", "k1").status, 200);
     auto fresh = caller.read("orders", "GET a", 0);
@@ -89,10 +89,10 @@
     auto shape = makeSmallOptions();
     shape.hosts = 1;
     Cluster cluster(shape);
-    cluster.beginAll();
+    cluster.startAll();
     cluster.getHost(0).kill();
     cluster.setPlatform({ { "down", true } });
-    cluster.beginHost(0);
+    cluster.startHost(0);
     Caller caller(cluster.getCallerAddress(0));
     BOOST_TEST(waitUntil(milliseconds(5000), [&] { return getErrorKind(caller.read("orders", "GET a", std::nullopt, 500)) == "not-configured"; }));
     BOOST_TEST(Client(cluster.getOperatorAddress(0)).get("/healthz").status == 503u);
--- a/tests/process/configuration_test.cpp
+++ b/tests/process/configuration_test.cpp
@@ -47,7 +47,7 @@
     auto shape = makeSmallOptions();
     shape.hosts = 7;
     Cluster cluster(shape);
-    cluster.beginAll();
+    cluster.startAll();
     auto run = cluster.runTool({ "--wait", "config", "apply", writeSlots(cluster, 3) });
     BOOST_TEST(run.code == 0, run.output);
     BOOST_TEST(run.output.find("in force on 7 hosts") != std::string::npos, run.output);
@@ -57,7 +57,7 @@
 BOOST_AUTO_TEST_CASE(lost_answer_is_found_out_and_not_repeated)
 {
     Cluster cluster(makeSmallOptions());
-    cluster.beginAll();
+    cluster.startAll();
     auto before = getStoredVersion(cluster);
     cluster.setPlatform({ { "loseAnswers", 1 } });
     auto run = cluster.runTool({ "config", "apply", writeSlots(cluster, 3) });
@@ -71,7 +71,7 @@
 BOOST_AUTO_TEST_CASE(of_two_operators_at_once_one_loses_and_sees_the_others_change)
 {
     Cluster cluster(makeSmallOptions());
-    cluster.beginAll();
+    cluster.startAll();
     // Each reads before it writes, and no write is let through before both have come.
     cluster.setPlatform({ { "gatherSwaps", 2 } });
     auto first = writeSlots(cluster, 3);
@@ -83,7 +83,7 @@
         auto at = text.find("\"slots\":3");
         std::ofstream(copy) << text.replace(at, 9, "\"slots\":4");
     }
-    Cluster::ToolRun one;
+    Cluster::ToolResult one;
     std::thread other([&] { one = cluster.runTool({ "--by", "asha", "config", "apply", first }); });
     auto two = cluster.runTool({ "--by", "bat", "config", "apply", copy });
     other.join();
@@ -98,7 +98,7 @@
 BOOST_AUTO_TEST_CASE(bad_record_is_refused_by_the_tool_and_by_every_host)
 {
     Cluster cluster(makeSmallOptions());
-    cluster.beginAll();
+    cluster.startAll();
     auto path = cluster.writeRecord(cluster.getOptions().groups.front(), [](json::object& record) { record["slots"] = 0; });
     auto run = cluster.runTool({ "config", "check", path });
     BOOST_TEST(run.code == 4);
@@ -123,7 +123,7 @@
     auto shape = makeSmallOptions();
     shape.groups.push_back({ "old", { "old-a", "old-b", "old-c" } });
     Cluster cluster(shape);
-    cluster.beginAll();
+    cluster.startAll();
     json::array members;
     size_t i = 0;
     for (auto& it : { "old-a", "old-b", "old-c" })
@@ -140,13 +140,13 @@
 BOOST_AUTO_TEST_CASE(restarted_host_learns_the_records_from_peers_while_the_platform_is_down)
 {
     Cluster cluster(makeSmallOptions());
-    cluster.beginAll();
+    cluster.startAll();
     auto run = cluster.runTool({ "--wait", "config", "apply", writeSlots(cluster, 3) });
     BOOST_REQUIRE_EQUAL(run.code, 0);
     auto version = getStoredVersion(cluster);
     cluster.setPlatform({ { "down", true } });
     cluster.getHost(2).kill();
-    cluster.beginHost(2);
+    cluster.startHost(2);
     BOOST_TEST(waitUntil(milliseconds(10000), [&] { return getVersion(cluster, 2) == version; }));
     BOOST_TEST(waitUntil(milliseconds(5000), [&] { return Caller(cluster.getCallerAddress(2)).write("orders", "SET a 1", "k").status == 200; }));
 }
@@ -154,7 +154,7 @@
 BOOST_AUTO_TEST_CASE(compacted_or_interrupted_watch_misses_nothing)
 {
     Cluster cluster(makeSmallOptions());
-    cluster.beginAll();
+    cluster.startAll();
     cluster.setPlatform({ { "cut", json::array { "h1", "h2", "h3" } } });
     cluster.runTool({ "config", "apply", writeSlots(cluster, 3) });
     Client(cluster.getPlatformAddress()).post("/admin/compact", {});
@@ -167,7 +167,7 @@
 BOOST_AUTO_TEST_CASE(change_reaches_a_data_centre_that_is_cut_off_from_the_platform)
 {
     Cluster cluster(makeSmallOptions());
-    cluster.beginAll();
+    cluster.startAll();
     cluster.setPlatform({ { "cut", json::array { "h3" } } });
     auto run = cluster.runTool({ "--wait", "config", "apply", writeSlots(cluster, 3) });
     BOOST_TEST(run.code == 0, run.output);
@@ -177,7 +177,7 @@
 BOOST_AUTO_TEST_CASE(tool_shows_status_and_one_time_line)
 {
     Cluster cluster(makeSmallOptions());
-    cluster.beginAll();
+    cluster.startAll();
     cluster.getMember("orders-a").kill();
     BOOST_TEST(Caller(cluster.getCallerAddress(0)).write("orders", "SET a 1", "k").status == 200u);
     auto line = cluster.runTool({ "timeline", "--group", "orders" });
--- a/tests/process/drain_test.cpp
+++ b/tests/process/drain_test.cpp
@@ -16,7 +16,7 @@
     auto shape = makeSmallOptions();
     shape.hosts = 4;
     Cluster cluster(shape);
-    cluster.beginAll();
+    cluster.startAll();
     cluster.setMember("orders-a", { { "serviceMs", 2 } });
     std::vector<std::atomic<bool>> isReady(4);
     for (auto& it : isReady)
@@ -34,7 +34,7 @@
                 if (!isReady[at]) {
                     while (!isReady[at])
                         at = (at + 1) % 4;
-                    caller.roam(cluster.getCallerAddress(at));
+                    caller.switchHost(cluster.getCallerAddress(at));
                 }
                 auto key = "c" + std::to_string(n) + "-" + std::to_string(i);
                 auto answer = i % 2 ? caller.read("orders", "GET x") : caller.write("orders", "SET x " + key, key);
@@ -54,7 +54,7 @@
         isReady[i] = false;
         auto code = cluster.getHost(i).wait(milliseconds(20000));
         BOOST_TEST(code.value_or(-1) == 0);
-        cluster.beginHost(i);
+        cluster.startHost(i);
         BOOST_TEST(waitUntil(milliseconds(10000), [&] { return Client(cluster.getOperatorAddress(i)).get("/healthz").status == 200; }));
         isReady[i] = true;
     }
@@ -71,14 +71,14 @@
 BOOST_AUTO_TEST_CASE(transaction_in_flight_is_finished_before_the_stop)
 {
     Cluster cluster(makeSmallOptions());
-    cluster.beginAll();
+    cluster.startAll();
     Caller caller(cluster.getCallerAddress(0));
     auto begun = caller.send("/v1/transaction/begin", { { "group", "orders" } });
     auto name = std::string(begun.body.at("transaction").get_string());
     cluster.getHost(0).signal(SIGTERM);
     std::this_thread::sleep_for(milliseconds(1200));
     BOOST_TEST(cluster.getHost(0).isRunning());
-    caller.roam(cluster.getCallerAddress(1));
+    caller.switchHost(cluster.getCallerAddress(1));
     auto written = caller.send("/v1/statement", { { "group", "orders" }, { "kind", "write" }, { "statement", "SET a 1" }, { "transaction", name } });
     BOOST_TEST(written.status == 200u, json::serialize(written.body));
     auto committed = caller.send("/v1/transaction/commit", { { "group", "orders" }, { "transaction", name } });
@@ -90,7 +90,7 @@
 BOOST_AUTO_TEST_CASE(second_signal_ends_the_stop_and_reports_what_it_cuts)
 {
     Cluster cluster(makeSmallOptions());
-    cluster.beginAll();
+    cluster.startAll();
     Caller caller(cluster.getCallerAddress(0));
     caller.send("/v1/transaction/begin", { { "group", "orders" } });
     cluster.getHost(0).signal(SIGTERM);
--- a/tests/process/failover_test.cpp
+++ b/tests/process/failover_test.cpp
@@ -48,7 +48,7 @@
 BOOST_AUTO_TEST_CASE(killed_primary_is_replaced_and_no_acknowledged_write_is_lost)
 {
     Cluster cluster(makeSmallOptions());
-    cluster.beginAll();
+    cluster.startAll();
     Caller caller(cluster.getCallerAddress(0));
     for (int i = 0; i < 10; ++i)
         BOOST_REQUIRE_EQUAL(caller.write("orders", "APPEND log " + std::to_string(i), "k" + std::to_string(i)).status, 200);
@@ -64,14 +64,14 @@
 BOOST_AUTO_TEST_CASE(frozen_primary_that_wakes_acknowledges_nothing_and_follows)
 {
     Cluster cluster(makeSmallOptions());
-    cluster.beginAll();
+    cluster.startAll();
     Caller caller(cluster.getCallerAddress(0));
     BOOST_REQUIRE_EQUAL(caller.write("orders", "SET a 1", "k1").status, 200);
     cluster.getMember("orders-a").signal(SIGSTOP);
     auto during = caller.write("orders", "SET a 2", "k2", 8000);
     // Sent to the frozen member it is unknown; the same key again settles that, without running it twice.
     if (during.status != 200)
-        BOOST_TEST(getRan(during) == "unknown");
+        BOOST_TEST(getRanField(during) == "unknown");
     auto again = caller.write("orders", "SET a 2", "k2", 8000);
     BOOST_TEST(again.status == 200u, json::serialize(again.body));
     cluster.getMember("orders-a").signal(SIGCONT);
@@ -86,16 +86,16 @@
     auto shape = makeSmallOptions();
     shape.groups.front().acknowledge = "primary";
     Cluster cluster(shape);
-    cluster.beginAll();
+    cluster.startAll();
     Caller caller(cluster.getCallerAddress(0));
     BOOST_REQUIRE_EQUAL(caller.write("orders", "SET a 1", "k1").status, 200);
     // h1 and orders-a on one side, everything else on the other.
     isolateMember(cluster, "orders-a", { "orders-b", "orders-c", "h2", "h3" });
     cluster.setMember("orders-b", { { "cut", toArray({ "orders-a", "h1" }) } });
     cluster.setMember("orders-c", { { "cut", toArray({ "orders-a", "h1" }) } });
-    cluster.cutPeers(0, { "h2", "h3" });
-    cluster.cutPeers(1, { "h1" });
-    cluster.cutPeers(2, { "h1" });
+    cluster.blockPeers(0, { "h2", "h3" });
+    cluster.blockPeers(1, { "h1" });
+    cluster.blockPeers(2, { "h1" });
     auto lost = caller.write("orders", "SET a lost", "k2", 1500);
     BOOST_TEST(lost.status != 200u, json::serialize(lost.body));
     Caller other(cluster.getCallerAddress(1));
@@ -113,7 +113,7 @@
     for (auto& it : { "orders-a", "orders-b", "orders-c" })
         cluster.setMember(it, { { "cut", json::array() } });
     for (size_t i = 0; i < 3; ++i)
-        cluster.cutPeers(i, {});
+        cluster.blockPeers(i, {});
     BOOST_TEST(waitUntil(milliseconds(5000), [&] { return cluster.getMemberStats("orders-a")["role"] == "replica"; }));
     BOOST_TEST(getResult(other.read("orders", "GET a", 100)) == "3");
     BOOST_TEST(cluster.sumMetric("invariant_violations") == 0u);
@@ -122,7 +122,7 @@
 BOOST_AUTO_TEST_CASE(failover_works_while_the_platform_is_down_and_the_claim_follows)
 {
     Cluster cluster(makeSmallOptions());
-    cluster.beginAll();
+    cluster.startAll();
     cluster.setPlatform({ { "down", true } });
     Caller caller(cluster.getCallerAddress(1));
     cluster.getMember("orders-a").kill();
@@ -141,13 +141,13 @@
     auto shape = makeSmallOptions();
     shape.groups.front().canFence = false;
     Cluster cluster(shape);
-    cluster.beginAll();
+    cluster.startAll();
     cluster.setPlatform({ { "down", true } });
     cluster.getMember("orders-a").kill();
     Caller caller(cluster.getCallerAddress(1));
     auto refused = caller.write("orders", "SET a 1", "k1", 2500);
     BOOST_TEST(refused.status == 503u, json::serialize(refused.body));
-    BOOST_TEST(getRan(refused) == "no");
+    BOOST_TEST(getRanField(refused) == "no");
     BOOST_TEST(getTerm(cluster, "orders-b") == 1u);
     cluster.setPlatform({ { "down", false } });
     BOOST_TEST(waitUntil(milliseconds(6000), [&] { return hasNewPrimary(cluster, "orders-a"); }));
@@ -159,13 +159,13 @@
     auto shape = makeSmallOptions();
     shape.groups.front().promotion = R"({"mode":"off"})";
     Cluster cluster(shape);
-    cluster.beginAll();
+    cluster.startAll();
     cluster.getMember("orders-a").kill();
     BOOST_TEST(waitUntil(milliseconds(5000), [&] { return cluster.hasEvent(0, "promotion-held-back", "orders"); }));
     auto began = std::chrono::steady_clock::now();
     auto refused = Caller(cluster.getCallerAddress(0)).write("orders", "SET a 1", "k1", 20000);
     BOOST_TEST(getErrorKind(refused) == "no-primary");
-    BOOST_TEST(getRan(refused) == "no");
+    BOOST_TEST(getRanField(refused) == "no");
     BOOST_TEST((std::chrono::steady_clock::now() - began < std::chrono::seconds(10)));
     BOOST_TEST(refused.body.at("error").at("retryAfterMs").to_number<int>() > 0);
     BOOST_TEST(getTerm(cluster, "orders-b") == 1u);
@@ -177,7 +177,7 @@
 BOOST_AUTO_TEST_CASE(home_that_freezes_in_its_turn_is_passed_over_and_does_no_harm_when_it_wakes)
 {
     Cluster cluster(makeSmallOptions());
-    cluster.beginAll();
+    cluster.startAll();
     BOOST_TEST(Caller(cluster.getCallerAddress(0)).write("orders", "SET a before", "before").status == 200u);
     auto homes = cluster.getStatus(0)["groups"].at("orders").at("homes").as_array();
     size_t first = 0;
@@ -200,7 +200,7 @@
     auto shape = makeSmallOptions();
     shape.groups.front().acknowledge = "primary";
     Cluster cluster(shape);
-    cluster.beginAll();
+    cluster.startAll();
     cluster.setMember("orders-b", { { "lagMs", 100 } });
     cluster.setMember("orders-c", { { "lagMs", 100 } });
     Caller caller(cluster.getCallerAddress(0));
@@ -226,7 +226,7 @@
     auto shape = makeSmallOptions();
     shape.groups.front().acknowledge = "primary";
     Cluster cluster(shape);
-    cluster.beginAll();
+    cluster.startAll();
     cluster.setMember("orders-b", { { "lagMs", 60000 } });
     cluster.setMember("orders-c", { { "lagMs", 60000 } });
     Caller caller(cluster.getCallerAddress(0));
--- a/tests/process/hosts_test.cpp
+++ b/tests/process/hosts_test.cpp
@@ -99,11 +99,11 @@
 BOOST_AUTO_TEST_CASE(relay_to_a_host_that_is_no_home_goes_back_unrun_and_its_sender_asks_another)
 {
     Cluster cluster(makeSmallOptions());
-    cluster.beginAll();
+    cluster.startAll();
     // The hosts listen on 127.0.0.1 only, so a port of theirs is free on the next address.
     auto port = cluster.getPeerAddress(0).substr(cluster.getPeerAddress(0).rfind(':'));
     DecliningPeer peer("127.0.0.2" + port);
-    cluster.listHost("h9", { { "dataCentre", "vadodara" }, { "peerAddress", "127.0.0.2" + port } });
+    cluster.registerHost("h9", { { "dataCentre", "vadodara" }, { "peerAddress", "127.0.0.2" + port } });
     cluster.applyRecord(makeSmallOptions().groups.front(), [](json::object& record) { record["hosts"] = json::array { "h9", "h1" }; });
     BOOST_TEST(waitUntil(milliseconds(5000), [&] { return cluster.getHomes("orders") == std::vector<size_t> { 0 }; }));
 
@@ -126,7 +126,7 @@
 BOOST_AUTO_TEST_CASE(exchanges_from_all_sides_touch_the_membership_in_one_place)
 {
     Cluster cluster(makeSeven());
-    cluster.beginAll();
+    cluster.startAll();
     BOOST_TEST(waitUntil(milliseconds(10000), [&] { return cluster.sumMetric("exchanges") > 100; }));
     cluster.getHost(0).signal(SIGTERM); // its leaving is said by a path of its own
     BOOST_TEST(cluster.getHost(0).wait(milliseconds(20000)).value_or(-1) == 0);
@@ -136,10 +136,10 @@
 BOOST_AUTO_TEST_CASE(restarted_host_does_not_take_itself_for_the_only_home)
 {
     Cluster cluster(makeSeven());
-    cluster.beginAll();
+    cluster.startAll();
     auto host = findNonHome(cluster);
     cluster.getHost(host).kill();
-    cluster.beginHost(host);
+    cluster.startHost(host);
     BOOST_TEST(waitUntil(milliseconds(8000), [&] { return Client(cluster.getOperatorAddress(host)).get("/healthz").status == 200; }));
     BOOST_TEST(waitUntil(milliseconds(8000), [&] { return Caller(cluster.getCallerAddress(host)).write("orders", "SET a 1", "k").status == 200; }));
     // A home would have asked the members and seen the primary.
@@ -149,7 +149,7 @@
 BOOST_AUTO_TEST_CASE(home_that_dies_costs_a_caller_at_most_one_answer_that_can_be_repeated)
 {
     Cluster cluster(makeSeven());
-    cluster.beginAll();
+    cluster.startAll();
     auto host = findNonHome(cluster);
     Caller caller(cluster.getCallerAddress(host));
     int failures = 0;
@@ -172,7 +172,7 @@
     auto shape = makeSeven();
     shape.groups.front().connections = 5;
     Cluster cluster(shape);
-    cluster.beginAll();
+    cluster.startAll();
     cluster.setMember("orders-a", { { "serviceMs", 3 } });
     // Homes come and go while callers write through every host.
     for (int round = 0; round < 3; ++round) {
@@ -184,7 +184,7 @@
             auto answer = Caller(cluster.getCallerAddress(i)).write("orders", "SET a b", "r" + std::to_string(round) + std::to_string(i));
             BOOST_TEST(answer.status == 200u, json::serialize(answer.body));
         }
-        cluster.beginHost(home);
+        cluster.startHost(home);
         BOOST_TEST(waitUntil(milliseconds(8000), [&] { return Client(cluster.getOperatorAddress(home)).get("/healthz").status == 200; }));
     }
     BOOST_TEST(cluster.getMemberStats("orders-a")["mostConnections"].to_number<int>() <= 5);
--- a/tests/process/random_run_test.cpp
+++ b/tests/process/random_run_test.cpp
@@ -67,7 +67,7 @@
     void step(size_t index)
     {
         if (m_random() % 4 == 0)
-            roam();
+            switchHost();
         if (m_random() % 3 == 0)
             read();
         else
@@ -75,7 +75,7 @@
     }
 
 private:
-    void roam() { m_caller.roam(m_cluster.getCallerAddress(m_random() % m_cluster.getOptions().hosts)); }
+    void switchHost() { m_caller.switchHost(m_cluster.getCallerAddress(m_random() % m_cluster.getOptions().hosts)); }
 
     void read()
     {
@@ -83,7 +83,7 @@
         if (answer.status == 200)
             checkValue(m_history, getResult(answer), "read");
         else if (answer.status == 0)
-            roam();
+            switchHost();
     }
 
     void write(size_t index)
@@ -101,7 +101,7 @@
                     m_history.complaints.push_back(fmt::format("{} was answered with another's result {}", attempt.mark, value));
                 break;
             }
-            bool isNotRun = getRan(answer) == "no" || (answer.status == 0 && !answer.mayHaveArrived);
+            bool isNotRun = getRanField(answer) == "no" || (answer.status == 0 && !answer.mayHaveArrived);
             wasEverUnknown = wasEverUnknown || !isNotRun;
             if (isNotRun && !wasEverUnknown && m_random() % 4 == 0) {
                 attempt.isFinallyNotRun = true;
@@ -109,7 +109,7 @@
             }
             if (m_random() % 5 == 0 && settle(attempt, requestKey))
                 break;
-            roam();
+            switchHost();
         }
         m_history.attempts.push_back(attempt);
     }
@@ -161,7 +161,7 @@
         case 2:
             m_cluster.getHost(host).kill();
             pause(500);
-            m_cluster.beginHost(host);
+            m_cluster.startHost(host);
             break;
         case 3:
             m_cluster.getHost(host).signal(SIGSTOP);
@@ -184,7 +184,7 @@
             m_cluster.getHost(host).kill();
             pause(1000);
             m_cluster.getMember(member).signal(SIGCONT);
-            m_cluster.beginHost(host);
+            m_cluster.startHost(host);
             break;
         }
         pause(200);
@@ -253,7 +253,7 @@
 {
     options.extraSettings += "[limits]\ndeadline_default_ms = 1500\n";
     Cluster cluster(options);
-    cluster.beginAll();
+    cluster.startAll();
     std::atomic<bool> mustStop { false };
     std::vector<History> histories(12);
     std::vector<std::thread> callers;
@@ -296,12 +296,12 @@
 
 BOOST_AUTO_TEST_CASE(sahyog)
 {
-    runRandomly(makeSahyogOptions(7), static_cast<unsigned>(getNumberFrom("ALDERWARD_SEED", 1)), getNumberFrom("ALDERWARD_SECONDS", 20));
+    runRandomly(makeSahyogOptions(7), static_cast<unsigned>(getEnvironmentNumber("ALDERWARD_SEED", 1)), getEnvironmentNumber("ALDERWARD_SECONDS", 20));
 }
 
 BOOST_AUTO_TEST_CASE(batbayar)
 {
-    runRandomly(makeBatbayarOptions(9), static_cast<unsigned>(getNumberFrom("ALDERWARD_SEED", 2)), getNumberFrom("ALDERWARD_SECONDS", 20));
+    runRandomly(makeBatbayarOptions(9), static_cast<unsigned>(getEnvironmentNumber("ALDERWARD_SEED", 2)), getEnvironmentNumber("ALDERWARD_SECONDS", 20));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/process/thin_path_test.cpp
+++ b/tests/process/thin_path_test.cpp
@@ -9,7 +9,7 @@
 BOOST_AUTO_TEST_CASE(session_reads_its_write_through_another_host_while_replicas_lag)
 {
     Cluster cluster(makeSmallOptions());
-    cluster.beginAll();
+    cluster.startAll();
     // One replica is quick, so that writes are acknowledged; the other is far behind.
     cluster.setMember("orders-c", { { "lagMs", 3000 } });
     Caller caller(cluster.getCallerAddress(0));
@@ -17,7 +17,7 @@
         auto value = "v" + std::to_string(i);
         auto written = caller.write("orders", "SET loan " + value, "key-" + std::to_string(i));
         BOOST_REQUIRE_EQUAL(written.status, 200);
-        caller.roam(cluster.getCallerAddress((i + 1) % 3));
+        caller.switchHost(cluster.getCallerAddress((i + 1) % 3));
         auto read = caller.read("orders", "GET loan");
         BOOST_REQUIRE_EQUAL(read.status, 200);
         BOOST_TEST(getResult(read) == value);
--- a/tests/process/traces_test.cpp
+++ b/tests/process/traces_test.cpp
@@ -60,7 +60,7 @@
 BOOST_AUTO_TEST_CASE(killed_primary)
 {
     Cluster cluster(makeTracedOptions());
-    cluster.beginAll();
+    cluster.startAll();
     write(cluster, "before");
     cluster.getMember("orders-a").kill();
     write(cluster, "after");
@@ -70,7 +70,7 @@
 BOOST_AUTO_TEST_CASE(frozen_primary_that_wakes)
 {
     Cluster cluster(makeTracedOptions());
-    cluster.beginAll();
+    cluster.startAll();
     write(cluster, "before");
     cluster.getMember("orders-a").signal(SIGSTOP);
     write(cluster, "after");
@@ -86,7 +86,7 @@
 BOOST_AUTO_TEST_CASE(leaving_primary)
 {
     Cluster cluster(makeTracedOptions());
-    cluster.beginAll();
+    cluster.startAll();
     write(cluster, "before");
     cluster.applyRecord(cluster.getOptions().groups.front(), [](json::object& record) { record["members"].get_array()[0].get_object()["leaving"] = true; });
     auto home = cluster.getHomes("orders").front();
@@ -101,7 +101,7 @@
 BOOST_AUTO_TEST_CASE(slow_and_lagging_members)
 {
     Cluster cluster(makeTracedOptions());
-    cluster.beginAll();
+    cluster.startAll();
     cluster.setMember("orders-a", { { "serviceMs", 40 } });
     cluster.setMember("orders-b", { { "lagMs", 300 } });
     cluster.setMember("orders-c", { { "lagMs", 200 } });
--- a/tests/process/transactions_test.cpp
+++ b/tests/process/transactions_test.cpp
@@ -32,17 +32,17 @@
 BOOST_AUTO_TEST_CASE(roaming_caller_reaches_the_owner_and_commit_is_whole)
 {
     Cluster cluster(makeSmallOptions());
-    cluster.beginAll();
+    cluster.startAll();
     Caller caller(cluster.getCallerAddress(0));
     auto name = beginTransaction(caller);
     BOOST_REQUIRE(!name.empty());
     BOOST_TEST(writeIn(caller, name, "SET a 1").status == 200u);
-    caller.roam(cluster.getCallerAddress(1));
+    caller.switchHost(cluster.getCallerAddress(1));
     BOOST_TEST(writeIn(caller, name, "SET b 2").status == 200u);
     // Nobody else sees it before the commit.
     Caller other(cluster.getCallerAddress(2));
     BOOST_TEST(getResult(other.read("orders", "GET a")) == "");
-    caller.roam(cluster.getCallerAddress(2));
+    caller.switchHost(cluster.getCallerAddress(2));
     BOOST_TEST(endTransaction(caller, name, "commit").status == 200u);
     BOOST_TEST(getResult(caller.read("orders", "GET a")) == "1");
     BOOST_TEST(getResult(caller.read("orders", "GET b")) == "2");
@@ -52,18 +52,18 @@
 BOOST_AUTO_TEST_CASE(owner_that_has_just_started_is_reached_from_hosts_that_found_it_gone)
 {
     Cluster cluster(makeSmallOptions());
-    cluster.beginAll();
+    cluster.startAll();
     for (int round = 0; round < 3; ++round) {
         cluster.getHost(0).kill();
         // The others find it gone, and their channels to it wait longer and longer between two tries.
         std::this_thread::sleep_for(milliseconds(1300));
-        cluster.beginHost(0);
+        cluster.startHost(0);
         BOOST_TEST(waitUntil(milliseconds(8000), [&] { return Client(cluster.getOperatorAddress(0)).get("/healthz").status == 200; }));
         Caller caller(cluster.getCallerAddress(0));
         auto name = beginTransaction(caller);
         BOOST_REQUIRE(!name.empty());
         for (size_t i = 1; i < 3; ++i) {
-            caller.roam(cluster.getCallerAddress(i));
+            caller.switchHost(cluster.getCallerAddress(i));
             auto written = writeIn(caller, name, "SET a 1");
             BOOST_TEST(written.status == 200u, json::serialize(written.body));
         }
@@ -76,7 +76,7 @@
     auto shape = makeSmallOptions();
     shape.extraSettings = "[limits]\ntransaction_idle_ms = 300\n";
     Cluster cluster(shape);
-    cluster.beginAll();
+    cluster.startAll();
     Caller caller(cluster.getCallerAddress(0));
     auto first = beginTransaction(caller);
     writeIn(caller, first, "SET a 1");
@@ -93,28 +93,28 @@
 BOOST_AUTO_TEST_CASE(host_that_dies_in_a_transaction_leaves_it_rolled_back)
 {
     Cluster cluster(makeSmallOptions());
-    cluster.beginAll();
+    cluster.startAll();
     Caller caller(cluster.getCallerAddress(0));
     auto name = beginTransaction(caller);
     BOOST_TEST(writeIn(caller, name, "SET a 1").status == 200u);
     cluster.getHost(0).kill();
-    caller.roam(cluster.getCallerAddress(1));
+    caller.switchHost(cluster.getCallerAddress(1));
     // Sent before h2 has noticed the death, the commit may have reached a living h1 for all that h2 knows.
     auto atOnce = endTransaction(caller, name, "commit");
-    bool isHonest = getErrorKind(atOnce) == "transaction-unknown" || (getErrorKind(atOnce) == "outcome-unknown" && getRan(atOnce) == "unknown");
+    bool isHonest = getErrorKind(atOnce) == "transaction-unknown" || (getErrorKind(atOnce) == "outcome-unknown" && getRanField(atOnce) == "unknown");
     BOOST_TEST(isHonest, json::serialize(atOnce.body));
     // Once its exchanges have failed, it knows that nothing can be sent there.
     BOOST_TEST(waitUntil(milliseconds(10000), [&] { return cluster.getStatus(1)["hosts"].at("h1").at("state") != "alive"; }));
     auto answer = endTransaction(caller, name, "commit");
     BOOST_TEST(getErrorKind(answer) == "transaction-unknown", json::serialize(answer.body));
-    BOOST_TEST(getRan(answer) == "no");
+    BOOST_TEST(getRanField(answer) == "no");
     BOOST_TEST(getResult(caller.read("orders", "GET a")) == "");
 }
 
 BOOST_AUTO_TEST_CASE(transaction_at_a_superseded_primary_does_not_commit)
 {
     Cluster cluster(makeSmallOptions());
-    cluster.beginAll();
+    cluster.startAll();
     Caller caller(cluster.getCallerAddress(0));
     auto name = beginTransaction(caller);
     BOOST_TEST(writeIn(caller, name, "SET a 1").status == 200u);
@@ -131,7 +131,7 @@
     auto shape = makeSmallOptions();
     shape.groups.front().connections = 6;
     Cluster cluster(shape);
-    cluster.beginAll();
+    cluster.startAll();
     cluster.setMember("orders-a", { { "serviceMs", 1 } });
     std::atomic<int> wrong { 0 };
     std::atomic<int> done { 0 };
