--- a/tests/gateway/failover_test.cpp
+++ b/tests/gateway/failover_test.cpp
@@ -14,9 +14,9 @@
     return LineCaller(rig.getCallerAddress(host), "db0-primary").ask("WRITE x 1").isOk();
 }
 
-std::vector<standins::PromotionSeen> getPromotions(GatewayRig& rig)
+std::vector<standins::PromotionRequest> getPromotionRequests(GatewayRig& rig)
 {
-    return rig.call([&] { return rig.getStore().getPromotions(); });
+    return rig.call([&] { return rig.getStore().getPromotionRequests(); });
 }
 
 }
@@ -28,14 +28,14 @@
     GatewayRig rig;
     rig.beginHosts();
     BOOST_TEST(canWrite(rig, 0));
-    rig.call([&] { rig.getGroup().getFaults("g0-b").isDeaf = true; });
+    rig.call([&] { rig.getGroup().getFaults("g0-b").isReplicationStopped = true; });
     BOOST_TEST(canWrite(rig, 0));
     std::this_thread::sleep_for(milliseconds(100));
     rig.call([&] { rig.getGroup().kill("g0-a"); });
     for (unsigned i = 0; i < 3; ++i)
         BOOST_TEST(waitUntil(milliseconds(4000), [&] { return canWrite(rig, i); }));
     BOOST_TEST(rig.call([&] { return rig.getGroup().getPrimary(); }) == "g0-c");
-    auto promotions = getPromotions(rig);
+    auto promotions = getPromotionRequests(rig);
     BOOST_TEST(promotions.size() == 1u);
 }
 
@@ -46,7 +46,7 @@
     BOOST_TEST(canWrite(rig, 0));
     rig.call([&] {
         rig.getStore().faults.isSilent = true;
-        rig.getGroup().getFaults("g0-a").isDark = true;
+        rig.getGroup().getFaults("g0-a").isUnresponsive = true;
     });
     for (unsigned i = 0; i < 3; ++i)
         BOOST_TEST(waitUntil(milliseconds(6000), [&] { return canWrite(rig, i); }));
@@ -62,11 +62,11 @@
         auto term = rig.call([&] { return rig.getGroup().getTerm(); });
         rig.call([&] { rig.getGroup().kill(primary); });
         BOOST_TEST(waitUntil(milliseconds(6000), [&] { return rig.call([&] { return rig.getGroup().getTerm(); }) > term; }));
-        rig.call([&] { rig.getGroup().begin(primary); });
+        rig.call([&] { rig.getGroup().start(primary); });
         BOOST_TEST(waitUntil(milliseconds(4000), [&] { return canWrite(rig, 0) && canWrite(rig, 1) && canWrite(rig, 2); }));
-        auto promotions = getPromotions(rig);
+        auto promotions = getPromotionRequests(rig);
         // The holder dies; another takes its place in the store.
-        auto holder = promotions.back().holder;
+        auto holder = promotions.back().host;
         auto index = static_cast<unsigned>(holder.back() - '0');
         rig.getHost(index).kill();
         std::this_thread::sleep_for(milliseconds(1500));
@@ -76,9 +76,9 @@
     }
     std::map<uint64_t, std::pair<std::string, std::string>> users; // token to holder and member
     uint64_t highest = 0;
-    for (auto& it : getPromotions(rig)) {
-        auto [known, isNew] = users.emplace(it.token, std::pair(it.holder, it.member));
-        BOOST_TEST((isNew || known->second == std::pair(it.holder, it.member)));
+    for (auto& it : getPromotionRequests(rig)) {
+        auto [known, isNew] = users.emplace(it.token, std::pair(it.host, it.member));
+        BOOST_TEST((isNew || known->second == std::pair(it.host, it.member)));
         BOOST_TEST(it.token >= highest);
         highest = std::max(highest, it.token);
     }
@@ -114,14 +114,14 @@
     GatewayRig rig;
     rig.beginHosts();
     rig.call([&] {
-        rig.getStore().faults.losesPromotions = true;
+        rig.getStore().faults.losesPromotionReplies = true;
         rig.getGroup().kill("g0-a");
     });
     BOOST_TEST(waitUntil(milliseconds(4000), [&] { return rig.call([&] { return rig.getGroup().getTerm(); }) == 2; }));
     for (unsigned i = 0; i < 3; ++i)
         BOOST_TEST(waitUntil(milliseconds(5000), [&] { return canWrite(rig, i); }));
     std::map<uint64_t, std::string> byToken;
-    for (auto& it : getPromotions(rig)) {
+    for (auto& it : getPromotionRequests(rig)) {
         auto [known, isNew] = byToken.emplace(it.token, it.member);
         BOOST_TEST((isNew || known->second == it.member), "token " << it.token << " was used for two members");
     }
@@ -131,7 +131,7 @@
 {
     GatewayRig rig;
     rig.beginHosts();
-    rig.call([&] { rig.getGroup().getFaults("g0-a").work = milliseconds(400); });
+    rig.call([&] { rig.getGroup().getFaults("g0-a").statementTime = milliseconds(400); });
     std::vector<std::unique_ptr<LineCaller>> callers;
     for (int i = 0; i < 12; ++i)
         callers.push_back(std::make_unique<LineCaller>(rig.getCallerAddress(i % 3), "db0-primary"));
@@ -177,7 +177,7 @@
     BOOST_TEST(!canWrite(rig, 0));
     BOOST_TEST((std::chrono::steady_clock::now() - askedAt < milliseconds(200))); // the caller may find another host that reaches the primary; 1,500 ms before
     std::this_thread::sleep_for(milliseconds(2000));
-    BOOST_TEST(getPromotions(rig).empty());
+    BOOST_TEST(getPromotionRequests(rig).empty());
     BOOST_TEST(waitUntil(milliseconds(9000), [&] { return canWrite(rig, 0); })); // they may have died with the primary
     rig.getHost(1).signal(SIGCONT);
     rig.getHost(2).signal(SIGCONT);
@@ -194,11 +194,11 @@
     for (int i = 0; i < 20; ++i)
         BOOST_TEST(writer.ask(fmt::format("WRITE item{} 1", i)).isOk());
     std::this_thread::sleep_for(milliseconds(300)); // replicas have it all
-    auto ran = [&] { return rig.call([&] { return std::ranges::count(rig.getGroup().getRan(), "g0-a", &standins::RanStatement::member); }); };
+    auto ran = [&] { return rig.call([&] { return std::ranges::count(rig.getGroup().getExecutedStatements(), "g0-a", &standins::ExecutedStatement::member); }); };
     auto before = ran();
     rig.call([&] {
-        rig.getGroup().beginEmpty("g0-a");
-        rig.getStore().listMembers();
+        rig.getGroup().restartEmpty("g0-a");
+        rig.getStore().registerMembers();
     });
     for (unsigned i = 0; i < 3; ++i)
         BOOST_TEST(waitUntil(milliseconds(5000), [&] { return canWrite(rig, i); }));
@@ -218,9 +218,9 @@
     for (int i = 0; i < 10; ++i)
         BOOST_TEST(writer.ask(fmt::format("WRITE item{} 1", i)).isOk());
     rig.call([&] {
-        rig.getGroup().getFaults("g0-b").isDeaf = true;
-        rig.getGroup().beginEmpty("g0-b");
-        rig.getStore().listMembers();
+        rig.getGroup().getFaults("g0-b").isReplicationStopped = true;
+        rig.getGroup().restartEmpty("g0-b");
+        rig.getStore().registerMembers();
     });
     BOOST_TEST(waitUntil(milliseconds(3000), [&] { return rig.countEvents("member-restarted") >= 3; }));
     for (int i = 0; i < 200; ++i)
@@ -241,8 +241,8 @@
     for (unsigned i = 0; i < 3; ++i)
         rig.getHost(i).kill();
     rig.call([&] {
-        rig.getGroup().beginEmpty("g0-a");
-        rig.getStore().listMembers();
+        rig.getGroup().restartEmpty("g0-a");
+        rig.getStore().registerMembers();
     });
     rig.beginHost(0);
     BOOST_REQUIRE(rig.waitReady(0));
--- a/tests/gateway/input_test.cpp
+++ b/tests/gateway/input_test.cpp
@@ -24,7 +24,7 @@
     shape.hosts = 1;
     GatewayRig rig(shape);
     rig.beginHosts();
-    auto before = rig.call([&] { return rig.getGroup().getRan().size(); });
+    auto before = rig.call([&] { return rig.getGroup().getExecutedStatements().size(); });
     for (auto& bytes : std::vector<std::string> { "GET / HTTP/1.1\r\n\r\n", "QUERY\r\n", "QUERY a\r\n", "QUERY - READ x\r\n", "READ x\n", "\r\n", "\n", std::string("\0\1\2\r\n", 5), "CONNECT\r\n", "QUERY a READ x\r\n" }) {
         LineCaller caller(rig.getCallerAddress(0), "");
         caller.sendRaw(bytes);
@@ -35,7 +35,7 @@
     BOOST_TEST(inside.ask("READ x").isOk());
     inside.sendRaw(std::string(2 << 20, 'x'));
     BOOST_TEST(inside.isClosed(milliseconds(3000)));
-    BOOST_TEST(rig.call([&] { return rig.getGroup().getRan().size(); }) == before + 1);
+    BOOST_TEST(rig.call([&] { return rig.getGroup().getExecutedStatements().size(); }) == before + 1);
     BOOST_TEST(rig.getHost(0).isRunning());
 }
 
--- a/tests/gateway/leaving_test.cpp
+++ b/tests/gateway/leaving_test.cpp
@@ -41,8 +41,8 @@
 
 size_t countRanAt(GatewayRig& rig, const std::string& member)
 {
-    auto ran = rig.call([&] { return rig.getGroup().getRan(); });
-    return static_cast<size_t>(std::ranges::count(ran, member, &standins::RanStatement::member));
+    auto ran = rig.call([&] { return rig.getGroup().getExecutedStatements(); });
+    return static_cast<size_t>(std::ranges::count(ran, member, &standins::ExecutedStatement::member));
 }
 
 // Reads at the primary through all hosts until then, and a write now and then; how many reads were served.
@@ -86,7 +86,7 @@
     rig.beginHosts();
     auto holder = rig.findHolder();
     rig.call([&] {
-        rig.getStore().faults.unheardHolders.insert(fmt::format("h{}", holder));
+        rig.getStore().faults.ignoredHosts.insert(fmt::format("h{}", holder));
         rig.getStore().setLeaving("g0-a", true);
     });
     BOOST_TEST(waitUntil(kHandoverLimit, [&] { return isHandedOver(rig); }));
@@ -95,12 +95,12 @@
     BOOST_TEST(rig.call([&] { return rig.getGroup().getTerm(); }) == 2u);
     // The host in charge is heard again. Its tokens are below the one that the deputy used, so it must not try these.
     rig.call([&] {
-        rig.getStore().faults.unheardHolders.clear();
+        rig.getStore().faults.ignoredHosts.clear();
         rig.getGroup().kill(rig.getGroup().getPrimary());
     });
     BOOST_TEST(waitUntil(milliseconds(6000), [&] { return rig.call([&] { return rig.getGroup().getTerm(); }) == 3u; }));
     uint64_t highest = 0;
-    for (auto& it : rig.call([&] { return rig.getStore().getPromotions(); })) {
+    for (auto& it : rig.call([&] { return rig.getStore().getPromotionRequests(); })) {
         BOOST_TEST(it.token >= highest);
         highest = it.token;
     }
@@ -152,11 +152,11 @@
     rig.call([&] { rig.getStore().remove("servers/g0-c"); });
     rig.beginHosts();
     rig.setStoreCut(2, true); // in the new member's data centre, so the first to carry to it
-    rig.call([&] { rig.getStore().listMembers(); });
+    rig.call([&] { rig.getStore().registerMembers(); });
     BOOST_TEST(waitUntil(milliseconds(2000), [&] { return rig.getLog(0).find("\"member\":\"g0-c\"") != std::string::npos && rig.getLog(1).find("\"member\":\"g0-c\"") != std::string::npos; }));
     rig.call([&] {
         rig.getGroup().promote("g0-c");
-        rig.getStore().listMembers();
+        rig.getStore().registerMembers();
     });
     for (unsigned i = 0; i < 2; ++i)
         BOOST_TEST(waitUntil(milliseconds(2000), [&] { return canWrite(rig, i); }));
@@ -176,11 +176,11 @@
             return at != std::string::npos && log.substr(at, log.find('\n', at) - at).find("\"source\":\"told\"") != std::string::npos;
         });
     };
-    rig.call([&] { rig.getStore().listMembers(); });
+    rig.call([&] { rig.getStore().registerMembers(); });
     BOOST_TEST(isTold("\"event\":\"member\",\"member\":\"g0-c\""));
     rig.call([&] {
         rig.getGroup().promote("g0-c");
-        rig.getStore().listMembers();
+        rig.getStore().registerMembers();
     });
     BOOST_TEST(waitUntil(milliseconds(4000), [&] { return canWrite(rig, 2); })); // a member that it cannot have read of
     rig.call([&] { rig.getStore().setLeaving("g0-a", true); });
--- a/tests/gateway/path_test.cpp
+++ b/tests/gateway/path_test.cpp
@@ -39,7 +39,7 @@
 {
     GatewayRig rig;
     rig.beginHosts();
-    auto turnAway = [&](int n) { rig.call([&] { rig.getGroup().getFaults(rig.getGroup().getPrimary()).turnsAway = n; }); };
+    auto turnAway = [&](int n) { rig.call([&] { rig.getGroup().getFaults(rig.getGroup().getPrimary()).busyReplies = n; }); };
     for (unsigned i = 0; i < 3; ++i) {
         LineCaller caller(rig.getCallerAddress(i), "db0-primary");
         turnAway(3);
@@ -69,7 +69,7 @@
     rig.beginHosts();
     rig.configure(2, 4000);
     BOOST_TEST(waitUntil(milliseconds(3000), [&] { return rig.getMetrics(2).find("alderward_configuration_version 2") != std::string::npos; }));
-    rig.call([&] { rig.getGroup().getFaults(rig.getGroup().getPrimary()).silentAnswers = 3; });
+    rig.call([&] { rig.getGroup().getFaults(rig.getGroup().getPrimary()).unansweredAfterRun = 3; });
     std::vector<std::unique_ptr<LineCaller>> hung;
     for (int i = 0; i < 3; ++i) {
         hung.push_back(std::make_unique<LineCaller>(rig.getCallerAddress(0), "db0-primary"));
@@ -102,14 +102,14 @@
     }
     BOOST_TEST(callers[0]->ask("DEALLOC s").isOk());
     BOOST_TEST(callers[0]->ask("EXECUTE s x").hasCode("NOSUCHSTMT"));
-    auto ran = rig.call([&] { return rig.getGroup().getRan(); });
+    auto ran = rig.call([&] { return rig.getGroup().getExecutedStatements(); });
     size_t seen = 0;
     for (auto& it : ran) {
         auto found = expected.find(it.id);
         if (found == expected.end())
             continue;
         ++seen;
-        BOOST_TEST(it.values["zone"] == found->second.first);
+        BOOST_TEST(it.variables["zone"] == found->second.first);
     }
     BOOST_TEST(seen == expected.size());
 }
@@ -131,7 +131,7 @@
     LineCaller bounded(rig.getCallerAddress(1), "db0-bounded");
     for (int i = 0; i < 30; ++i)
         BOOST_TEST(bounded.ask("READ mine").isOk());
-    auto ran = rig.call([&] { return rig.getGroup().getRan(); });
+    auto ran = rig.call([&] { return rig.getGroup().getExecutedStatements(); });
     auto byReplica = std::ranges::count_if(ran, [](const auto& it) { return it.member != "g0-a" && it.text == "READ mine"; });
     BOOST_TEST(byReplica >= 20);
 }
@@ -147,7 +147,7 @@
         rig.call([&] {
             for (auto& id : group.getIds()) {
                 group.getFaults(id).lag = lag;
-                group.getFaults(id).work = milliseconds(12); // a primary that is much faster than replicas are guessed to be would get all reads
+                group.getFaults(id).statementTime = milliseconds(12); // a primary that is much faster than replicas are guessed to be would get all reads
             }
         });
     };
@@ -158,19 +158,19 @@
         BOOST_TEST(writer.ask("WRITE mine v").isOk());
         std::this_thread::sleep_for(milliseconds(30));
     }
-    auto before = rig.call([&] { return group.getTurnedAwayAsBehind(); });
+    auto before = rig.call([&] { return group.getLaggingRefusals(); });
     for (int i = 0; i < 80; ++i) {
         BOOST_TEST(writer.ask("WRITE mine v").isOk());
         BOOST_TEST(reader.ask("READ mine").isOk());
         BOOST_TEST(reader.ask("READ mine").isOk());
         std::this_thread::sleep_for(milliseconds(15));
     }
-    auto turnedAway = rig.call([&] { return group.getTurnedAwayAsBehind(); }) - before;
+    auto turnedAway = rig.call([&] { return group.getLaggingRefusals(); }) - before;
     BOOST_TEST(turnedAway <= 8U);
     setLag(milliseconds(5));
     BOOST_TEST(writer.ask("WRITE mine v").isOk()); // brings the rest along
     auto countAtReplicas = [&] {
-        return rig.call([&] { return std::ranges::count_if(group.getRan(), [&](const auto& it) { return it.member != group.getPrimary() && it.text == "READ mine"; }); });
+        return rig.call([&] { return std::ranges::count_if(group.getExecutedStatements(), [&](const auto& it) { return it.member != group.getPrimary() && it.text == "READ mine"; }); });
     };
     auto ran = countAtReplicas();
     auto caughtUpAt = std::chrono::steady_clock::now();
@@ -193,7 +193,7 @@
         reader.ask("READ x"); // wrapped in a transaction of the gateway's own, whose rollback fails
         writer.ask("WRITE x 1"); // on its own, and on a connection that is free
     }
-    auto ran = rig.call([&] { return rig.getGroup().getRan(); });
+    auto ran = rig.call([&] { return rig.getGroup().getExecutedStatements(); });
     for (auto& it : ran)
         BOOST_TEST((it.transaction.empty() || it.transaction == it.id), it.id << " ran inside the transaction of " << it.transaction);
 }
@@ -209,11 +209,11 @@
             caller.ask("BEGIN");
             BOOST_TEST(caller.ask(fmt::format("WRITE {} 1", item)).isOk());
         }
-        rig.call([&] { rig.getGroup().getFaults("g0-a").losesAnswers = 1; });
+        rig.call([&] { rig.getGroup().getFaults("g0-a").closedAfterRun = 1; });
         auto answer = caller.ask(isTransaction ? "COMMIT" : fmt::format("WRITE {} 1", item));
         BOOST_TEST(answer.hasCode("INDOUBT"), answer.result);
         BOOST_TEST(answer.state == "I");
-        auto ran = rig.call([&] { return rig.getGroup().getRan(); });
+        auto ran = rig.call([&] { return rig.getGroup().getExecutedStatements(); });
         BOOST_TEST(std::ranges::count_if(ran, [&](const auto& it) { return it.id == caller.getLastId(); }) == 1);
     }
 }
@@ -223,12 +223,12 @@
     GatewayRig rig;
     rig.beginHosts();
     LineCaller reader(rig.getCallerAddress(0), "db0-primary");
-    rig.call([&] { rig.getGroup().getFaults("g0-a").losesAnswers = 1; });
+    rig.call([&] { rig.getGroup().getFaults("g0-a").closedAfterRun = 1; });
     BOOST_TEST(reader.ask("READ x").isOk());
     LineCaller writer(rig.getCallerAddress(2), "db0-primary");
     writer.ask("BEGIN");
     BOOST_TEST(writer.ask("WRITE kept 1").isOk());
-    rig.call([&] { rig.getGroup().getFaults("g0-a").losesAnswers = 1; });
+    rig.call([&] { rig.getGroup().getFaults("g0-a").closedAfterRun = 1; });
     auto answer = writer.ask("WRITE kept 2");
     BOOST_TEST(answer.hasCode("ABORTED"), answer.result);
     BOOST_TEST(answer.state == "E");
@@ -277,7 +277,7 @@
             BOOST_TEST(it->receive().isOk());
     }
     for (auto& id : rig.getGroup().getIds())
-        BOOST_TEST(rig.call([&] { return rig.getGroup().getConnectionsMost(id); }) <= 10u);
+        BOOST_TEST(rig.call([&] { return rig.getGroup().getMaxConnections(id); }) <= 10u);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/gateway/platform_test.cpp
+++ b/tests/gateway/platform_test.cpp
@@ -87,10 +87,10 @@
     rig.configure(6, 1500, "after-history");
     for (unsigned i = 0; i < 3; ++i)
         BOOST_TEST(waitUntil(milliseconds(4000), [&] { return LineCaller(rig.getCallerAddress(i), "after-history").getHello().state == "I"; }));
-    rig.call([&] { rig.getStore().faults.silentWatches = true; });
+    rig.call([&] { rig.getStore().faults.hasSilentWatches = true; });
     rig.configure(7, 1500, "after-silence");
     std::this_thread::sleep_for(milliseconds(1000));
-    rig.call([&] { rig.getStore().faults.silentWatches = false; });
+    rig.call([&] { rig.getStore().faults.hasSilentWatches = false; });
     for (unsigned i = 0; i < 3; ++i)
         BOOST_TEST(waitUntil(milliseconds(5000), [&] { return LineCaller(rig.getCallerAddress(i), "after-silence").getHello().state == "I"; }));
 }
@@ -188,7 +188,7 @@
     LineCaller(rig.getCallerAddress(0), "db0-primary").ask("READ x"); // a first floor
     rig.call([&] {
         for (auto& id : rig.getGroup().getIds())
-            rig.getGroup().getFaults(id).work = milliseconds(60);
+            rig.getGroup().getFaults(id).statementTime = milliseconds(60);
     });
     std::vector<std::unique_ptr<LineCaller>> callers;
     for (int i = 0; i < 18; ++i)
@@ -201,9 +201,9 @@
     }
     rig.call([&] {
         for (auto& id : rig.getGroup().getIds())
-            rig.getGroup().getFaults(id).work = milliseconds(1);
+            rig.getGroup().getFaults(id).statementTime = milliseconds(1);
     });
-    auto open = [&](const std::string& id) { return rig.call([&] { return rig.getGroup().getConnections(id); }); };
+    auto open = [&](const std::string& id) { return rig.call([&] { return rig.getGroup().getConnectionCount(id); }); };
     BOOST_TEST(open("g0-b") + open("g0-c") >= 6u);
     // h1 and h2 are in the data centres of g0-b and g0-c.
     rig.beginHost(1);
@@ -289,8 +289,8 @@
     put("servers/g0-c", R"({"Service":"g0"})");
     BOOST_TEST(waitUntil(milliseconds(3000), [&] { return rig.countEvents("member-unlisted") >= 3; }));
     auto ranAt = [&](const std::string& member) {
-        auto ran = rig.call([&] { return rig.getGroup().getRan(); });
-        return std::ranges::count(ran, member, &standins::RanStatement::member);
+        auto ran = rig.call([&] { return rig.getGroup().getExecutedStatements(); });
+        return std::ranges::count(ran, member, &standins::ExecutedStatement::member);
     };
     auto before = ranAt("g0-c");
     for (unsigned i = 0; i < 3; ++i) {
@@ -307,8 +307,8 @@
     BOOST_TEST(rig.countEvents("entry-unreadable") < 3u * 40u); // a line a change
     BOOST_TEST(rig.countEvents("configuration-refused") >= 3u);
     BOOST_TEST(rig.getMetrics(0).find("alderward_entries_refused_total") != std::string::npos);
-    BOOST_TEST(rig.call([&] { return rig.getStore().getPromotions().size(); }) == 0u); // of no group that operators do not know
-    rig.call([&] { rig.getStore().listMembers(); });
+    BOOST_TEST(rig.call([&] { return rig.getStore().getPromotionRequests().size(); }) == 0u); // of no group that operators do not know
+    rig.call([&] { rig.getStore().registerMembers(); });
     BOOST_TEST(waitUntil(milliseconds(3000), [&] {
         auto log = rig.getLog(2);
         return log.rfind("\"event\":\"member\",\"member\":\"g0-c\"") > log.rfind("\"event\":\"member-unlisted\",\"member\":\"g0-c\"");
--- a/tests/gateway/relays_test.cpp
+++ b/tests/gateway/relays_test.cpp
@@ -145,12 +145,12 @@
     rig.beginHosts();
     BOOST_REQUIRE(waitUntil(milliseconds(5000), [&] { return findRelays(rig, 0).size() == 2; }));
     std::this_thread::sleep_for(milliseconds(3000)); // hosts that came ask no more
-    auto before = rig.call([&] { return rig.getStore().getWatches(); });
+    auto before = rig.call([&] { return rig.getStore().getWatchCount(); });
     for (int i = 0; i < 10; ++i) {
         rig.call([&] { rig.getStore().put("other/key", std::to_string(i)); });
         std::this_thread::sleep_for(milliseconds(400));
     }
-    auto watches = rig.call([&] { return rig.getStore().getWatches(); }) - before;
+    auto watches = rig.call([&] { return rig.getStore().getWatchCount(); }) - before;
     BOOST_TEST(watches <= 100u);
     rig.configure(2);
     for (unsigned i = 0; i < kHosts; ++i)
@@ -167,7 +167,7 @@
     BOOST_REQUIRE(LineCaller(rig.getCallerAddress(1), "db0-primary").ask("WRITE x 1").isOk());
     rig.call([&] {
         for (unsigned i = 0; i < kHosts; i += 3)
-            rig.getProxies()[3 * i + 2]->faults = { .swallowsThere = true, .swallowsBack = true };
+            rig.getProxies()[3 * i + 2]->faults = { .dropsUpstream = true, .dropsDownstream = true };
     });
     auto began = Clock::now();
     auto passed = [&] { return std::chrono::duration_cast<milliseconds>(Clock::now() - began); };
@@ -210,12 +210,12 @@
     std::this_thread::sleep_for(milliseconds(3000));
     auto before = rig.call([&] {
         rig.getStore().faults.status = 503;
-        return rig.getStore().getCalls();
+        return rig.getStore().getCallCount();
     });
     std::this_thread::sleep_for(milliseconds(8000));
     auto calls = rig.call([&] {
         rig.getStore().faults.status = 0;
-        return rig.getStore().getCalls();
+        return rig.getStore().getCallCount();
     }) - before;
     BOOST_TEST_MESSAGE("calls in 8 s: " << calls);
     BOOST_TEST(calls <= 190u);
--- a/tests/gateway/soak_test.cpp
+++ b/tests/gateway/soak_test.cpp
@@ -369,24 +369,24 @@
         auto heal = [this, &faults](auto change) { return [this, &faults, change] { m_rig.call([&] { change(faults); }); }; };
         if (event.fault == Fault::KillMember) {
             group.kill(id);
-            endLater(event.lasts, [this, &group, id] { m_rig.call([&] { group.begin(id); m_rig.getStore().listMembers(); }); });
+            endLater(event.lasts, [this, &group, id] { m_rig.call([&] { group.start(id); m_rig.getStore().registerMembers(); }); });
         } else if (event.fault == Fault::DarkMember) {
-            faults.isDark = true;
+            faults.isUnresponsive = true;
             // Its connections end with the darkness: what it took meanwhile is gone.
-            endLater(event.lasts, [this, &group, &faults, id] { m_rig.call([&] { faults.isDark = false; group.kill(id); group.begin(id); m_rig.getStore().listMembers(); }); });
+            endLater(event.lasts, [this, &group, &faults, id] { m_rig.call([&] { faults.isUnresponsive = false; group.kill(id); group.start(id); m_rig.getStore().registerMembers(); }); });
         } else if (event.fault == Fault::DeafMember) {
-            faults.isDeaf = true;
-            endLater(event.lasts, heal([](standins::MemberFaults& it) { it.isDeaf = false; }));
+            faults.isReplicationStopped = true;
+            endLater(event.lasts, heal([](standins::MemberFaults& it) { it.isReplicationStopped = false; }));
         } else if (event.fault == Fault::LagMember) {
             faults.lag = milliseconds(800);
             endLater(event.lasts, heal([](standins::MemberFaults& it) { it.lag = standins::MemberFaults {}.lag; }));
         } else if (event.fault == Fault::SlowMember) {
-            faults.work = milliseconds(60);
-            endLater(event.lasts, heal([](standins::MemberFaults& it) { it.work = standins::MemberFaults {}.work; }));
+            faults.statementTime = milliseconds(60);
+            endLater(event.lasts, heal([](standins::MemberFaults& it) { it.statementTime = standins::MemberFaults {}.statementTime; }));
         } else if (event.fault == Fault::LoseAnswers)
-            faults.losesAnswers = 3;
+            faults.closedAfterRun = 3;
         else
-            faults.silentAnswers = 3;
+            faults.unansweredAfterRun = 3;
     }
 
     // What members, or others in their name, say in the store.
@@ -396,8 +396,8 @@
         auto& store = m_rig.getStore();
         auto id = group.getIds()[event.index / kGroups % 3];
         if (event.fault == Fault::RestartMember) {
-            group.beginEmpty(id);
-            store.listMembers();
+            group.restartEmpty(id);
+            store.registerMembers();
         } else if (event.fault == Fault::LeaveMember) {
             store.setLeaving(id, true);
             endLater(event.lasts, [this, id] { m_rig.call([&] { m_rig.getStore().setLeaving(id, false); }); });
@@ -405,7 +405,7 @@
             store.put("servers/foreign", R"({"Service":"g0","Address":7})");
             store.put("alderward/hosts/foreign", R"({"address":{}})");
             store.put("servers/" + id, "not an entry");
-            endLater(event.lasts, [this] { m_rig.call([&] { m_rig.getStore().listMembers(); }); });
+            endLater(event.lasts, [this] { m_rig.call([&] { m_rig.getStore().registerMembers(); }); });
         }
     }
 
@@ -424,11 +424,11 @@
             else if (event.fault == Fault::StoreSlow)
                 faults.delay = milliseconds(200);
             else if (event.fault == Fault::StoreLosesAnswers)
-                faults.lostAnswers = 3;
+                faults.droppedChangeReplies = 3;
             else if (event.fault == Fault::StoreLosesOrders)
-                faults.losesPromotions = true;
+                faults.losesPromotionReplies = true;
             else if (event.fault == Fault::SilentWatches)
-                faults.silentWatches = true;
+                faults.hasSilentWatches = true;
             else
                 m_rig.getStore().compact();
         });
@@ -444,8 +444,8 @@
         }
         if (event.fault == Fault::DelayLink)
             proxy.faults.delay = milliseconds(30);
-        proxy.faults.swallowsThere = event.fault == Fault::CutThere || event.fault == Fault::SilenceLink;
-        proxy.faults.swallowsBack = event.fault == Fault::CutBack || event.fault == Fault::SilenceLink;
+        proxy.faults.dropsUpstream = event.fault == Fault::CutThere || event.fault == Fault::SilenceLink;
+        proxy.faults.dropsDownstream = event.fault == Fault::CutBack || event.fault == Fault::SilenceLink;
         bool loses = event.fault != Fault::DelayLink;
         endLater(event.lasts, [this, &proxy, loses] {
             m_rig.call([&] {
@@ -467,7 +467,7 @@
 // ---- promises ----
 
 // What members ran against what callers asked and were told.
-std::vector<std::string> checkRan(const std::vector<standins::RanStatement>& ran, const std::vector<History>& histories)
+std::vector<std::string> checkRan(const std::vector<standins::ExecutedStatement>& ran, const std::vector<History>& histories)
 {
     std::vector<std::string> complaints;
     std::map<std::string, unsigned> times; // single writes and commits by id; all else leaves nothing behind and may be repeated
@@ -485,8 +485,8 @@
             auto asked = history.asked.find(it.id);
             if (asked == history.asked.end())
                 continue;
-            auto mark = it.values.find("mark");
-            if (mark == it.values.end() || mark->second != asked->second.sessionValue)
+            auto mark = it.variables.find("mark");
+            if (mark == it.variables.end() || mark->second != asked->second.sessionValue)
                 complaints.push_back(it.id + " ran with the values of another session");
             bool isAlone = it.transaction.empty() || it.transaction == it.id;
             if (asked->second.transaction.empty() ? !isAlone : it.transaction != asked->second.transaction)
@@ -500,14 +500,14 @@
     return complaints;
 }
 
-std::vector<std::string> checkOrders(const std::vector<standins::PromotionSeen>& orders)
+std::vector<std::string> checkOrders(const std::vector<standins::PromotionRequest>& orders)
 {
     std::vector<std::string> complaints;
     std::map<std::pair<std::string, uint64_t>, std::string> holders;
     for (auto& it : orders) {
-        auto& holder = holders.try_emplace({ it.group, it.token }, it.holder + " for " + it.member).first->second;
-        if (holder != it.holder + " for " + it.member)
-            complaints.push_back(fmt::format("token {} of {} was used by {} and by {} for {}", it.token, it.group, holder, it.holder, it.member));
+        auto& holder = holders.try_emplace({ it.group, it.token }, it.host + " for " + it.member).first->second;
+        if (holder != it.host + " for " + it.member)
+            complaints.push_back(fmt::format("token {} of {} was used by {} and by {} for {}", it.token, it.group, holder, it.host, it.member));
     }
     return complaints;
 }
@@ -551,13 +551,13 @@
         faults.play(makeSchedule(seed, length));
         checkRecovery(rig);
     }
-    std::vector<standins::RanStatement> ran;
+    std::vector<standins::ExecutedStatement> ran;
     for (unsigned i = 0; i < kGroups; ++i) {
-        auto part = rig.call([&] { return rig.getGroup(i).getRan(); });
+        auto part = rig.call([&] { return rig.getGroup(i).getExecutedStatements(); });
         ran.insert(ran.end(), part.begin(), part.end());
     }
     auto complaints = checkRan(ran, histories);
-    auto orders = rig.call([&] { return rig.getStore().getPromotions(); });
+    auto orders = rig.call([&] { return rig.getStore().getPromotionRequests(); });
     for (auto& it : { checkOrders(orders), faults.getComplaints() })
         complaints.insert(complaints.end(), it.begin(), it.end());
     unsigned served = 0;
--- a/tests/gateway/starting_test.cpp
+++ b/tests/gateway/starting_test.cpp
@@ -15,11 +15,11 @@
 constexpr milliseconds kServedWithin { 3000 }; // after a start, with nothing to be found out
 constexpr milliseconds kReplacedWithin { 12000 }; // a change of primary
 
-void setDark(GatewayRig& rig, bool isDark)
+void setDark(GatewayRig& rig, bool isUnresponsive)
 {
     rig.call([&] {
         for (auto* id : { "g0-b", "g0-c" })
-            rig.getGroup().getFaults(id).isDark = isDark;
+            rig.getGroup().getFaults(id).isUnresponsive = isUnresponsive;
     });
 }
 
@@ -56,8 +56,8 @@
     killHosts(rig);
     setDark(rig, true);
     rig.call([&] {
-        rig.getGroup().beginEmpty("g0-a");
-        rig.getStore().listMembers();
+        rig.getGroup().restartEmpty("g0-a");
+        rig.getStore().registerMembers();
     });
     rig.beginHost(0);
     BOOST_REQUIRE(rig.waitReady(0));
@@ -104,10 +104,10 @@
     writeItems(rig);
     killHosts(rig);
     rig.call([&] {
-        rig.getGroup().getFaults("g0-c").isDark = true;
+        rig.getGroup().getFaults("g0-c").isUnresponsive = true;
         rig.getGroup().kill("g0-a");
-        rig.getGroup().begin("g0-a");
-        rig.getStore().listMembers();
+        rig.getGroup().start("g0-a");
+        rig.getStore().registerMembers();
     });
     rig.beginHost(0);
     BOOST_REQUIRE(rig.waitReady(0));
--- a/tests/gateway/terms_test.cpp
+++ b/tests/gateway/terms_test.cpp
@@ -48,7 +48,7 @@
 
 size_t countPromotions(GatewayRig& rig)
 {
-    return rig.call([&] { return rig.getStore().getPromotions().size(); });
+    return rig.call([&] { return rig.getStore().getPromotionRequests().size(); });
 }
 
 }
@@ -61,8 +61,8 @@
     GatewayRig rig;
     rig.beginHosts();
     rig.call([&] {
-        rig.getGroup().getFaults("g0-b").isDeaf = true;
-        rig.getGroup().getFaults("g0-c").isDeaf = true;
+        rig.getGroup().getFaults("g0-b").isReplicationStopped = true;
+        rig.getGroup().getFaults("g0-c").isReplicationStopped = true;
     });
     BOOST_TEST(canWrite(rig, 0));
     rig.call([&] { rig.getStore().setLeaving("g0-a", true); });
@@ -82,13 +82,13 @@
     rig.beginHosts();
     BOOST_TEST(canWrite(rig, 0));
     rig.call([&] {
-        rig.getStore().faults.unheardHolders = { "h0", "h1", "h2" };
+        rig.getStore().faults.ignoredHosts = { "h0", "h1", "h2" };
         rig.getStore().setLeaving("g0-a", true);
     });
     BOOST_TEST(waitUntil(milliseconds(3000), [&] { return rig.countEvents("promotion-ordered") > 0; }));
     rig.call([&] { rig.getStore().setLeaving("g0-a", false); });
     std::this_thread::sleep_for(milliseconds(1500));
-    rig.call([&] { rig.getStore().faults.unheardHolders.clear(); });
+    rig.call([&] { rig.getStore().faults.ignoredHosts.clear(); });
     std::this_thread::sleep_for(kHeard);
     BOOST_TEST(countPromotions(rig) == 0u);
     checkTerms(rig);
@@ -102,11 +102,11 @@
     rig.beginHosts();
     BOOST_TEST(canWrite(rig, 0));
     rig.call([&] {
-        rig.getStore().faults.losesPromotions = true;
+        rig.getStore().faults.losesPromotionReplies = true;
         rig.getGroup().kill("g0-a");
     });
     BOOST_TEST(waitUntil(milliseconds(4000), [&] { return getTerm(rig) == 2; }));
-    rig.call([&] { rig.getStore().faults.losesPromotions = false; });
+    rig.call([&] { rig.getStore().faults.losesPromotionReplies = false; });
     for (unsigned i = 0; i < kHosts; ++i)
         BOOST_TEST(waitUntil(milliseconds(5000), [&] { return canWrite(rig, i); }));
     checkTerms(rig);
@@ -120,7 +120,7 @@
     rig.beginHosts();
     BOOST_TEST(canWrite(rig, 0));
     rig.call([&] {
-        rig.getStore().faults.promotionsTake = milliseconds(2600);
+        rig.getStore().faults.promotionDelay = milliseconds(2600);
         rig.getGroup().kill("g0-a");
     });
     for (unsigned i = 0; i < kHosts; ++i)
@@ -148,8 +148,8 @@
 {
     GatewayRig rig;
     rig.call([&] {
-        rig.getGroup().getFaults("g0-b").isDeaf = true;
-        rig.getGroup().getFaults("g0-c").isDeaf = true;
+        rig.getGroup().getFaults("g0-b").isReplicationStopped = true;
+        rig.getGroup().getFaults("g0-c").isReplicationStopped = true;
     });
     rig.beginHosts();
     LineCaller writer(rig.getCallerAddress(0), "db0-primary");
@@ -157,12 +157,12 @@
         BOOST_TEST(writer.ask(fmt::format("WRITE item{} 1", i)).isOk());
     std::this_thread::sleep_for(milliseconds(1000)); // all hosts have heard of it
     rig.call([&] {
-        rig.getGroup().beginEmpty("g0-a");
-        rig.getStore().listMembers();
+        rig.getGroup().restartEmpty("g0-a");
+        rig.getStore().registerMembers();
     });
     for (unsigned i = 0; i < kHosts; ++i)
         BOOST_TEST(waitUntil(milliseconds(6000), [&] { return canWrite(rig, i); }));
-    for (auto& it : rig.call([&] { return rig.getStore().getPromotions(); }))
+    for (auto& it : rig.call([&] { return rig.getStore().getPromotionRequests(); }))
         BOOST_TEST(it.member != "g0-a");
     checkTerms(rig);
 }
@@ -180,8 +180,8 @@
     rig.setStoreCut(0, true);
     rig.call([&] {
         rig.getGroup().kill("g0-a"); // it comes back with its log
-        rig.getGroup().begin("g0-a");
-        rig.getStore().listMembers();
+        rig.getGroup().start("g0-a");
+        rig.getStore().registerMembers();
     });
     for (unsigned i : { 1U, 2U })
         BOOST_TEST(waitUntil(kRecovered, [&] { return canWrite(rig, i); }));
--- a/tests/harness/gateway_rig.cpp
+++ b/tests/harness/gateway_rig.cpp
@@ -48,7 +48,7 @@
     if (m_shape.hasProxies)
         addProxies(own);
     m_thread = std::thread([this] { m_context.run(); });
-    call([&] { m_store->listMembers(); });
+    call([&] { m_store->registerMembers(); });
     configure(1);
 }
 
@@ -64,11 +64,11 @@
     for (unsigned i = 0; i < m_shape.hosts; ++i) {
         m_storeAddresses[i] = addProxy(m_ports[port++], m_store->getAddress());
         m_callerAddresses[i] = addProxy(m_ports[port++], getHostAddress(i, 0));
-        m_store->advertised[getHostAddress(i, 1)] = addProxy(m_ports[port++], getHostAddress(i, 1));
+        m_store->advertisedAddresses[getHostAddress(i, 1)] = addProxy(m_ports[port++], getHostAddress(i, 1));
     }
     for (auto& group : m_groups) {
         for (auto& id : group->getIds())
-            m_store->advertised[group->getAddress(id)] = addProxy(m_ports[port++], group->getAddress(id));
+            m_store->advertisedAddresses[group->getAddress(id)] = addProxy(m_ports[port++], group->getAddress(id));
     }
 }
 
@@ -151,8 +151,8 @@
 {
     auto* proxy = m_proxies.at(host * kProxiesOfHost).get(); // the first of its proxies
     call([proxy, isCut] {
-        proxy->faults.swallowsThere = isCut;
-        proxy->faults.swallowsBack = isCut;
+        proxy->faults.dropsUpstream = isCut;
+        proxy->faults.dropsDownstream = isCut;
         if (!isCut)
             proxy->resetAll();
     });
--- a/tests/standins/answers.h
+++ b/tests/standins/answers.h
@@ -1,4 +1,4 @@
-// What both stand-ins answer with, and the cuts that tests ask them for.
+// HTTP responses and blocked peers of the stand-ins for the platform and for members.
 #pragma once
 #include "links/http.h"
 #include <boost/json.hpp>
@@ -7,21 +7,21 @@
 
 namespace standins {
 
-inline alderward::links::HttpResponse answerJson(const boost::json::object& body, unsigned status = 200)
+inline alderward::links::HttpResponse makeJsonResponse(const boost::json::object& body, unsigned status = 200)
 {
     return { status, boost::json::serialize(body) };
 }
 
-// No answer ever: what a cut looks like to the one who asked.
-inline alderward::links::HttpResponse dropAnswer()
+// Makes the server leave the request unanswered, as on a broken network path.
+inline alderward::links::HttpResponse makeDroppedResponse()
 {
     alderward::links::HttpResponse answer;
     answer.mustNotAnswer = true;
     return answer;
 }
 
-// Reads {"cut": ["h1", ...]}; leaves `names` as it is when the field is absent.
-inline void readCut(const boost::json::object& body, std::set<std::string>& names)
+// Replaces `names` by the field "cut", a list of hosts and members; keeps `names` if the field is absent.
+inline void applyBlockedPeers(const boost::json::object& body, std::set<std::string>& names)
 {
     auto* cut = body.if_contains("cut");
     if (!cut || !cut->is_array())
--- a/tests/standins/fault_proxy.cpp
+++ b/tests/standins/fault_proxy.cpp
@@ -16,23 +16,23 @@
 
 static tcp::endpoint makeLoopback(unsigned short port) { return { asio::ip::address_v4::loopback(), port }; }
 
-struct FaultProxy::Pair {
-    explicit Pair(tcp::socket socket)
-        : near(std::move(socket))
-        , far(near.get_executor())
+struct FaultProxy::ConnectionPair {
+    explicit ConnectionPair(tcp::socket socket)
+        : client(std::move(socket))
+        , upstream(client.get_executor())
     {
     }
-    // A reset, not an orderly end: the far side learns that something may be missing.
+    // Sends a TCP reset, so that the remote ends learn that data may be missing.
     void reset()
     {
         boost::system::error_code ec;
-        for (auto* it : { &near, &far }) {
+        for (auto* it : { &client, &upstream }) {
             it->set_option(asio::socket_base::linger(true, 0), ec);
             it->close(ec);
         }
     }
-    tcp::socket near;
-    tcp::socket far;
+    tcp::socket client;
+    tcp::socket upstream;
 };
 
 FaultProxy::FaultProxy(asio::io_context& context, unsigned short port, const std::string& address)
@@ -46,8 +46,8 @@
 
 void FaultProxy::resetAll()
 {
-    auto pairs = m_pairs;
-    for (auto& it : pairs)
+    auto allConnections = m_connectionPairs;
+    for (auto& it : allConnections)
         it->reset();
 }
 
@@ -56,49 +56,49 @@
     m_acceptor.async_accept([this](boost::system::error_code ec, tcp::socket socket) {
         if (ec)
             return;
-        auto pair = std::make_shared<Pair>(std::move(socket));
-        m_pairs.insert(pair);
-        asio::co_spawn(m_context, connect(pair), asio::detached);
+        auto connections = std::make_shared<ConnectionPair>(std::move(socket));
+        m_connectionPairs.insert(connections);
+        asio::co_spawn(m_context, connect(connections), asio::detached);
         accept();
     });
 }
 
-asio::awaitable<void> FaultProxy::connect(std::shared_ptr<Pair> pair)
+asio::awaitable<void> FaultProxy::connect(std::shared_ptr<ConnectionPair> connections)
 {
     boost::system::error_code ec;
-    co_await pair->far.async_connect(m_target, asio::redirect_error(asio::use_awaitable, ec));
+    co_await connections->upstream.async_connect(m_target, asio::redirect_error(asio::use_awaitable, ec));
     if (ec) {
-        pair->reset();
-        m_pairs.erase(pair);
+        connections->reset();
+        m_connectionPairs.erase(connections);
         co_return;
     }
-    pair->near.set_option(tcp::no_delay(true), ec);
-    pair->far.set_option(tcp::no_delay(true), ec);
-    asio::co_spawn(m_context, pump(pair, true), asio::detached);
-    asio::co_spawn(m_context, pump(pair, false), asio::detached);
+    connections->client.set_option(tcp::no_delay(true), ec);
+    connections->upstream.set_option(tcp::no_delay(true), ec);
+    asio::co_spawn(m_context, forward(connections, true), asio::detached);
+    asio::co_spawn(m_context, forward(connections, false), asio::detached);
 }
 
-asio::awaitable<void> FaultProxy::pump(std::shared_ptr<Pair> pair, bool isThere)
+asio::awaitable<void> FaultProxy::forward(std::shared_ptr<ConnectionPair> connections, bool isUpstream)
 {
-    auto& from = isThere ? pair->near : pair->far;
-    auto& to = isThere ? pair->far : pair->near;
+    auto& from = isUpstream ? connections->client : connections->upstream;
+    auto& to = isUpstream ? connections->upstream : connections->client;
     std::array<char, 16384> buf;
     boost::system::error_code ec;
     while (!ec) {
         auto n = co_await from.async_read_some(asio::buffer(buf), asio::redirect_error(asio::use_awaitable, ec));
-        if (ec || (isThere ? faults.swallowsThere : faults.swallowsBack))
+        if (ec || (isUpstream ? faults.dropsUpstream : faults.dropsDownstream))
             continue;
         if (faults.delay.count() > 0)
             co_await alderward::base::sleepFor(faults.delay);
         co_await asio::async_write(to, asio::buffer(buf.data(), n), asio::redirect_error(asio::use_awaitable, ec));
     }
-    if (ec == asio::error::eof) { // an orderly end stays one
+    if (ec == asio::error::eof) { // forwards an orderly close
         to.shutdown(tcp::socket::shutdown_send, ec);
-        if (isThere)
-            co_return; // what the address still sends is passed on
+        if (isUpstream)
+            co_return; // the other direction keeps forwarding
     }
-    pair->reset();
-    m_pairs.erase(pair);
+    connections->reset();
+    m_connectionPairs.erase(connections);
 }
 
 }
--- a/tests/standins/kv_store.cpp
+++ b/tests/standins/kv_store.cpp
@@ -14,7 +14,7 @@
 using alderward::links::HttpResponse;
 using Clock = std::chrono::steady_clock;
 
-static constexpr uint64_t kFirstBorn = 1789000000000; // ms since 1970
+static constexpr uint64_t kFirstStartMs = 1789000000000; // ms since 1970
 
 static std::string encode(const std::string& bytes)
 {
@@ -33,7 +33,7 @@
     return bytes;
 }
 
-static std::string getQuery(const std::string& path, const std::string& name)
+static std::string getQueryParameter(const std::string& path, const std::string& name)
 {
     auto at = path.find(name + "=");
     if (at == std::string::npos)
@@ -74,14 +74,14 @@
 {
     auto& item = m_items[key];
     item.value = value;
-    for (auto& [from, to] : advertised) {
+    for (auto& [from, to] : advertisedAddresses) {
         if (auto at = item.value.find('"' + from + '"'); at != std::string::npos)
             item.value.replace(at + 1, from.size(), to);
     }
     item.lease = lease;
     item.revision = ++m_revision;
-    if (item.created == 0)
-        item.created = m_revision;
+    if (item.createRevision == 0)
+        item.createRevision = m_revision;
     m_changes.push_back({ m_revision, key, false, item });
 }
 
@@ -97,16 +97,16 @@
         m_leaving.insert(member);
     else
         m_leaving.erase(member);
-    listMembers();
+    registerMembers();
 }
 
-void KvStore::listMembers()
+void KvStore::registerMembers()
 {
     for (auto* group : m_groups) {
         for (auto& id : group->getIds()) {
-            json::object entry { { "Service", group->getName() }, { "Address", group->getAddress(id) }, { "Zone", "dc-" + id.substr(id.size() - 1) }, { "Version", "v1" }, { "Slots", 4 }, { "State", m_leaving.contains(id) ? "draining" : "ready" }, { "ColdLeftMs", 0 }, { "DbRole", group->getPrimary() == id ? "primary" : "replica" }, { "Sequence", 1 }, { "born", kFirstBorn + group->getStarts(id) } };
-            auto address = advertised.find(group->getAddress(id));
-            if (address != advertised.end())
+            json::object entry { { "Service", group->getName() }, { "Address", group->getAddress(id) }, { "Zone", "dc-" + id.substr(id.size() - 1) }, { "Version", "v1" }, { "Slots", 4 }, { "State", m_leaving.contains(id) ? "draining" : "ready" }, { "ColdLeftMs", 0 }, { "DbRole", group->getPrimary() == id ? "primary" : "replica" }, { "Sequence", 1 }, { "born", kFirstStartMs + group->getStartCount(id) } };
+            auto address = advertisedAddresses.find(group->getAddress(id));
+            if (address != advertisedAddresses.end())
                 entry["Address"] = address->second;
             auto value = json::serialize(entry);
             auto it = m_items.find("servers/" + id);
@@ -119,7 +119,7 @@
 void KvStore::compact()
 {
     m_changes.clear();
-    m_forgotten = m_revision;
+    m_compactedRevision = m_revision;
 }
 
 void KvStore::expire()
@@ -145,7 +145,7 @@
     json::array items;
     for (auto& [key, item] : m_items) {
         if (key.starts_with(prefix))
-            items.push_back({ { "Key", key }, { "Value", encode(item.value) }, { "Revision", item.revision }, { "CreateRev", item.created }, { "Lease", item.lease } });
+            items.push_back({ { "Key", key }, { "Value", encode(item.value) }, { "Revision", item.revision }, { "CreateRev", item.createRevision }, { "Lease", item.lease } });
     }
     return makeAnswer(200, json::object { { "items", items }, { "HasMore", false }, { "CurrentRev", m_revision } });
 }
@@ -154,7 +154,7 @@
 {
     auto until = Clock::now() + milliseconds(waitMs);
     for (;;) {
-        if (after < m_forgotten)
+        if (after < m_compactedRevision)
             co_return makeAnswer(410, json::object {});
         json::array events;
         for (auto& it : m_changes) {
@@ -163,16 +163,16 @@
             if (it.isDeleted)
                 events.push_back({ { "Key", it.key }, { "Revision", it.revision }, { "Tombstone", true } });
             else
-                events.push_back({ { "Key", it.key }, { "Value", encode(it.item.value) }, { "Revision", it.revision }, { "CreateRev", it.item.created }, { "Lease", it.item.lease } });
+                events.push_back({ { "Key", it.key }, { "Value", encode(it.item.value) }, { "Revision", it.revision }, { "CreateRev", it.item.createRevision }, { "Lease", it.item.lease } });
         }
         bool isOver = Clock::now() >= until;
-        if (!faults.silentWatches && (!events.empty() || isOver))
+        if (!faults.hasSilentWatches && (!events.empty() || isOver))
             co_return makeAnswer(200, json::object { { "events", events }, { "CurrentRev", m_revision } });
         co_await base::sleepFor(milliseconds(5));
     }
 }
 
-HttpResponse KvStore::change(const std::string& body)
+HttpResponse KvStore::executeTransaction(const std::string& body)
 {
     auto request = json::parse(body).as_object();
     json::array conflicts;
@@ -211,41 +211,41 @@
     return "";
 }
 
-static std::string getHolder(const links::HttpRequest& request)
+static std::string getOrderingHost(const links::HttpRequest& request)
 {
     return getHeader(request, "Duty-Holder");
 }
 
-bool KvStore::carryOut(LineGroup& group, const std::string& member)
+bool KvStore::executePromotion(LineGroup& group, const std::string& member)
 {
-    if (faults.promotionsTake.count() == 0)
+    if (faults.promotionDelay.count() == 0)
         return group.promote(member);
-    auto timer = std::make_shared<asio::steady_timer>(m_context, faults.promotionsTake);
+    auto timer = std::make_shared<asio::steady_timer>(m_context, faults.promotionDelay);
     timer->async_wait([this, timer, &group, member](boost::system::error_code ec) {
         if (!ec && group.promote(member))
-            listMembers();
+            registerMembers();
     });
     return true;
 }
 
 HttpResponse KvStore::promote(const links::HttpRequest& request)
 {
-    PromotionSeen seen;
-    seen.holder = getHolder(request);
-    seen.token = std::stoull(getHeader(request, "Fencing-Token"));
+    PromotionRequest promotion;
+    promotion.host = getOrderingHost(request);
+    promotion.token = std::stoull(getHeader(request, "Fencing-Token"));
     auto body = json::parse(request.body).as_object();
-    seen.group = body["Service"].as_string();
-    seen.member = body["Id"].as_string();
-    auto& highest = m_tokens[seen.group];
-    seen.status = seen.token < highest ? 409 : 200;
-    highest = std::max(highest, seen.token);
+    promotion.group = body["Service"].as_string();
+    promotion.member = body["Id"].as_string();
+    auto& highest = m_tokens[promotion.group];
+    promotion.status = promotion.token < highest ? 409 : 200;
+    highest = std::max(highest, promotion.token);
     for (auto* group : m_groups) {
-        if (seen.status == 200 && group->getName() == seen.group && !carryOut(*group, seen.member))
-            seen.status = 409;
+        if (promotion.status == 200 && group->getName() == promotion.group && !executePromotion(*group, promotion.member))
+            promotion.status = 409;
     }
-    m_promotions.push_back(seen);
-    listMembers();
-    return makeAnswer(seen.status, json::object { { "Error", seen.status == 409 ? "refused" : "" } });
+    m_promotions.push_back(promotion);
+    registerMembers();
+    return makeAnswer(promotion.status, json::object { { "Error", promotion.status == 409 ? "refused" : "" } });
 }
 
 asio::awaitable<HttpResponse> KvStore::serve(links::HttpRequest request)
@@ -258,10 +258,10 @@
     if (path == "/promote") {
         if (faults.refusesPromotions)
             co_return makeAnswer(503, json::object {});
-        if (faults.unheardHolders.contains(getHolder(request)))
+        if (faults.ignoredHosts.contains(getOrderingHost(request)))
             co_return dropped;
         auto answer = promote(request);
-        co_return faults.losesPromotions ? dropped : answer;
+        co_return faults.losesPromotionReplies ? dropped : answer;
     }
     if (faults.delay.count() > 0)
         co_await alderward::base::sleepFor(faults.delay);
@@ -270,7 +270,7 @@
     if (faults.status != 0)
         co_return makeAnswer(faults.status, json::object {});
     if (path.starts_with("/-/kv-key")) {
-        auto key = getQuery(path, "Key");
+        auto key = getQueryParameter(path, "Key");
         if (faults.refusedKeys.contains(key))
             co_return makeAnswer(503, json::object {});
         auto it = m_items.find(key);
@@ -279,14 +279,14 @@
         co_return makeAnswer(200, json::object { { "Key", key }, { "Value", encode(it->second.value) }, { "Revision", it->second.revision }, { "Lease", it->second.lease }, { "CurrentRev", m_revision } });
     }
     if (path.starts_with("/-/kv-range"))
-        co_return list(getQuery(path, "Prefix"));
+        co_return list(getQueryParameter(path, "Prefix"));
     m_watches += path.starts_with("/-/kv-watch") ? 1 : 0;
     if (path.starts_with("/-/kv-watch"))
-        co_return co_await watch(getQuery(path, "Prefix"), std::stoull(getQuery(path, "after")), std::stoi(getQuery(path, "WaitMs")));
+        co_return co_await watch(getQueryParameter(path, "Prefix"), std::stoull(getQueryParameter(path, "after")), std::stoi(getQueryParameter(path, "WaitMs")));
     if (path == "/-/kv-txn") {
-        auto answer = change(request.body);
-        if (faults.lostAnswers > 0) {
-            --faults.lostAnswers;
+        auto answer = executeTransaction(request.body);
+        if (faults.droppedChangeReplies > 0) {
+            --faults.droppedChangeReplies;
             co_return dropped;
         }
         co_return answer;
--- a/tests/standins/kv_store.h
+++ b/tests/standins/kv_store.h
@@ -1,4 +1,4 @@
-// Stand-in for the platform's metadata store and its promotion call, over HTTP with JSON as published. Misbehaves on demand.
+// Stand-in for the platform's metadata store and its promotion call (JSON over HTTP), with faults that tests can inject.
 #pragma once
 #include "links/http.h"
 #include "standins/line_group.h"
@@ -10,24 +10,24 @@
 namespace links = alderward::links;
 
 struct StoreFaults {
-    unsigned status { 0 }; // every call gets this one instead of an answer; 0: none
-    bool isSilent { false }; // no call is answered
-    milliseconds delay { 0 }; // each call is answered this much later
-    int lostAnswers { 0 }; // so many of the next changes are made and not answered
-    bool silentWatches { false }; // watches that wait are never answered
-    std::set<std::string> refusedKeys {}; // reads of these keys get 503
-    bool losesPromotions { false }; // orders are carried out late and not answered
-    milliseconds promotionsTake { 0 }; // an order is answered at once and carried out this much later
-    bool refusesPromotions { false }; // orders are answered as not taken
-    std::set<std::string> unheardHolders {}; // orders of these hosts are neither carried out nor answered
+    unsigned status { 0 }; // HTTP status of the reply to every call; 0: calls are served
+    bool isSilent { false }; // leaves all calls unanswered
+    milliseconds delay { 0 }; // before each reply
+    int droppedChangeReplies { 0 }; // number of next transactions that are applied but not answered
+    bool hasSilentWatches { false }; // watches never receive a reply
+    std::set<std::string> refusedKeys {}; // reads of these keys fail with 503
+    bool losesPromotionReplies { false }; // promotions are executed but not answered
+    milliseconds promotionDelay { 0 }; // from the reply to a promotion order until its execution
+    bool refusesPromotions { false }; // promotion orders fail with 503
+    std::set<std::string> ignoredHosts {}; // promotion orders from these hosts are neither executed nor answered
 };
 
-struct PromotionSeen {
+struct PromotionRequest {
     std::string group;
     std::string member;
-    std::string holder;
-    uint64_t token;
-    unsigned status;
+    std::string host;
+    uint64_t token; // fencing token
+    unsigned status; // of the reply
 };
 
 class KvStore {
@@ -36,24 +36,24 @@
 
     std::string getAddress() const { return m_address; }
     StoreFaults faults {};
-    std::map<std::string, std::string> advertised {}; // addresses in values and what stands in their place: proxies before them
+    std::map<std::string, std::string> advertisedAddresses {}; // real address of a member to the one written in stored values (that of its proxy)
     void put(const std::string& key, const std::string& value, uint64_t lease = 0);
     void remove(const std::string& key);
     bool has(const std::string& key) const { return m_items.contains(key); }
-    // Registers the members of all groups as they are now.
-    void listMembers();
+    // Writes the registrations of all members in their present state.
+    void registerMembers();
     void setLeaving(const std::string& member, bool isLeaving);
-    // Forgets the history: every watch that waits or comes with an older revision is told so.
+    // Discards the change history; watches from older revisions get 410.
     void compact();
-    const std::vector<PromotionSeen>& getPromotions() const { return m_promotions; }
-    uint64_t getCalls() const { return m_calls; }
-    uint64_t getWatches() const { return m_watches; }
+    const std::vector<PromotionRequest>& getPromotionRequests() const { return m_promotions; }
+    uint64_t getCallCount() const { return m_calls; }
+    uint64_t getWatchCount() const { return m_watches; }
 
 private:
     struct Item {
         std::string value;
         uint64_t revision { 0 };
-        uint64_t created { 0 };
+        uint64_t createRevision { 0 };
         uint64_t lease { 0 };
     };
     struct Change {
@@ -64,9 +64,9 @@
     };
     boost::asio::awaitable<links::HttpResponse> serve(links::HttpRequest request);
     boost::asio::awaitable<links::HttpResponse> watch(std::string prefix, uint64_t after, int waitMs);
-    links::HttpResponse change(const std::string& body);
+    links::HttpResponse executeTransaction(const std::string& body);
     links::HttpResponse promote(const links::HttpRequest& request);
-    bool carryOut(LineGroup& group, const std::string& member);
+    bool executePromotion(LineGroup& group, const std::string& member);
     links::HttpResponse list(const std::string& prefix) const;
     void expire();
 
@@ -76,12 +76,12 @@
     std::unique_ptr<links::HttpServer> m_server;
     std::map<std::string, Item> m_items;
     std::vector<Change> m_changes;
-    std::map<uint64_t, std::pair<std::chrono::steady_clock::time_point, milliseconds>> m_leases; // when it ends, how long it runs
-    std::map<std::string, uint64_t> m_tokens; // highest seen, by group
+    std::map<uint64_t, std::pair<std::chrono::steady_clock::time_point, milliseconds>> m_leases; // expiry and time to live
+    std::map<std::string, uint64_t> m_tokens; // highest fencing token seen, by group
     std::set<std::string> m_leaving;
-    std::vector<PromotionSeen> m_promotions;
+    std::vector<PromotionRequest> m_promotions;
     uint64_t m_revision { 0 };
-    uint64_t m_forgotten { 0 };
+    uint64_t m_compactedRevision { 0 };
     uint64_t m_lastLease { 100 };
     uint64_t m_calls { 0 };
     uint64_t m_watches { 0 };
--- a/tests/standins/line_group.cpp
+++ b/tests/standins/line_group.cpp
@@ -16,11 +16,11 @@
 
 namespace asio = boost::asio;
 using asio::ip::tcp;
-using Values = std::map<std::string, std::string>;
+using Variables = std::map<std::string, std::string>;
 
-struct Entry {
+struct LogEntry {
     uint64_t term;
-    Values items;
+    Variables items;
 };
 
 struct Connection;
@@ -30,11 +30,11 @@
     unsigned short port { 0 };
     std::unique_ptr<tcp::acceptor> acceptor;
     MemberFaults faults;
-    size_t received { 0 }; // entries of the log
-    size_t applied { 0 };
-    unsigned starts { 0 }; // after the first
+    size_t receivedEntries { 0 }; // in the log
+    size_t appliedEntries { 0 };
+    unsigned startCount { 0 };
     std::set<std::shared_ptr<Connection>> connections;
-    size_t connectionsMost { 0 };
+    size_t maxConnections { 0 };
     unsigned busySlots { 0 };
     std::deque<std::function<void()>> queue;
     bool isRunning { false };
@@ -47,14 +47,14 @@
         , member(member)
     {
     }
-    void begin();
+    void start();
     void read();
-    void next();
-    void take(const std::string& line);
-    void query(const std::string& id, std::string text);
-    void run(const std::string& id, const std::string& text, bool isRead);
-    void answer(const std::string& body);
-    void ready();
+    void handleNextLine();
+    void handleLine(const std::string& line);
+    void handleStatement(const std::string& id, std::string text);
+    void runStatement(const std::string& id, const std::string& text, bool isRead);
+    void sendAnswer(const std::string& body);
+    void sendReady();
     void send(std::string bytes);
     void close();
     std::string getPosition() const;
@@ -64,16 +64,16 @@
     Member& member;
     asio::streambuf buf { 2 << 20 };
     std::deque<std::string> lines;
-    Values values;
-    Values prepared; // name to "READ|WRITE shape"
-    Values written; // by the open transaction
-    std::string transaction; // id of its first statement
-    bool isOpen { false }; // hello was taken
-    std::string account {}; // named in the hello
+    Variables variables;
+    Variables preparedStatements; // name to READ or WRITE and the statement text
+    Variables written; // data written by the open transaction
+    std::string transaction; // id of the first statement of the open transaction
+    bool hasHandshake { false };
+    std::string account {}; // named in the handshake
     bool isInTransaction { false };
     bool isReadOnly { false };
     bool hasFailed { false };
-    uint64_t beganIn { 0 }; // term
+    uint64_t transactionTerm { 0 };
     bool isBusy { false };
     bool isClosed { false };
 };
@@ -84,24 +84,24 @@
     std::vector<std::string> ids;
     std::map<std::string, Member> members;
     unsigned slots;
-    unsigned connectionsMost;
-    std::vector<Entry> log;
+    unsigned maxConnections;
+    std::vector<LogEntry> log;
     std::string primary;
     uint64_t term { 1 };
-    std::vector<RanStatement> ran;
-    Values items;
+    std::vector<ExecutedStatement> executedStatements;
+    Variables items;
     uint64_t commits { 0 };
-    uint64_t turnedAwayAsBehind { 0 };
+    uint64_t laggingRefusals { 0 };
 
     void accept(Member& member);
-    void commit(Member& member, const Values& written);
-    void spread();
-    void occupy(Member& member, std::function<void()> work);
-    void release(Member& member);
-    Values readAt(const Member& member) const;
+    void commit(Member& member, const Variables& written);
+    void replicate();
+    void acquireSlot(Member& member, std::function<void()> task);
+    void releaseSlot(Member& member);
+    Variables getStateAt(const Member& member) const;
 };
 
-void Connection::begin()
+void Connection::start()
 {
     boost::system::error_code ec;
     socket.set_option(tcp::no_delay(true), ec);
@@ -120,38 +120,38 @@
         stream.read(line.data(), static_cast<std::streamsize>(n - 2));
         stream.ignore(2);
         self->lines.push_back(std::move(line));
-        self->next();
+        self->handleNextLine();
         self->read();
     });
 }
 
-void Connection::next()
+void Connection::handleNextLine()
 {
     while (!isBusy && !lines.empty() && !isClosed) {
         auto line = std::move(lines.front());
         lines.pop_front();
-        if (member.faults.isDark)
+        if (member.faults.isUnresponsive)
             return;
-        take(line);
+        handleLine(line);
     }
 }
 
 std::string Connection::getPosition() const
 {
-    return fmt::format("{}.{}", group.term, member.applied);
+    return fmt::format("{}.{}", group.term, member.appliedEntries);
 }
 
-void Connection::ready()
+void Connection::sendReady()
 {
     send(fmt::format("READY {} {}\r\n", hasFailed ? "E" : isInTransaction ? "T"
                                                                           : "I",
         getPosition()));
 }
 
-void Connection::answer(const std::string& body)
+void Connection::sendAnswer(const std::string& body)
 {
     send(body + "\r\n");
-    ready();
+    sendReady();
 }
 
 void Connection::send(std::string bytes)
@@ -173,7 +173,7 @@
     member.connections.erase(shared_from_this());
 }
 
-void Connection::take(const std::string& line)
+void Connection::handleLine(const std::string& line)
 {
     std::istringstream stream(line);
     std::string word;
@@ -184,17 +184,17 @@
         if (name != group.name || (!id.empty() && id != member.id)) {
             send("ERROR WRONGNODE " + member.id + "\r\n");
             close();
-        } else if (member.connections.size() > group.connectionsMost) {
+        } else if (member.connections.size() > group.maxConnections) {
             send("ERROR OVERLOAD " + member.id + "\r\n");
             close();
         } else {
-            isOpen = true;
+            hasHandshake = true;
             account = from;
-            ready();
+            sendReady();
         }
         return;
     }
-    if (word == "TERMINATE" || !isOpen) {
+    if (word == "TERMINATE" || !hasHandshake) {
         close();
         return;
     }
@@ -202,10 +202,10 @@
     stream >> id;
     std::string text;
     std::getline(stream >> std::ws, text);
-    query(id, text);
+    handleStatement(id, text);
 }
 
-void Connection::query(const std::string& id, std::string text)
+void Connection::handleStatement(const std::string& id, std::string text)
 {
     auto isPrimary = group.primary == member.id;
     if (text.starts_with("AFTER ")) {
@@ -214,9 +214,9 @@
         text = text.substr(end + 1);
         auto term = std::stoull(mark.substr(0, mark.find('.')));
         auto number = std::stoull(mark.substr(mark.find('.') + 1));
-        if (term > group.term || number > member.applied) {
-            ++group.turnedAwayAsBehind;
-            answer("ERROR LAGGING " + member.id);
+        if (term > group.term || number > member.appliedEntries) {
+            ++group.laggingRefusals;
+            sendAnswer("ERROR LAGGING " + member.id);
             return;
         }
     }
@@ -224,45 +224,45 @@
     std::string word;
     stream >> word;
     if (hasFailed && word != "ROLLBACK" && word != "COMMIT") {
-        answer("ERROR MALFORMED failed");
+        sendAnswer("ERROR MALFORMED failed");
     } else if (word == "STATUS") {
-        answer(fmt::format("ROW {} {} {}.{} 0 0 {} {}\r\nCOMPLETE -", isPrimary ? "primary" : "replica", group.term, group.term, member.received, member.busySlots, member.connections.size()));
+        sendAnswer(fmt::format("ROW {} {} {}.{} 0 0 {} {}\r\nCOMPLETE -", isPrimary ? "primary" : "replica", group.term, group.term, member.receivedEntries, member.busySlots, member.connections.size()));
     } else if (word == "RESET") {
-        values.clear();
-        prepared.clear();
-        answer("COMPLETE -");
+        variables.clear();
+        preparedStatements.clear();
+        sendAnswer("COMPLETE -");
     } else if (word == "SET") {
         std::string name, value;
         stream >> name;
         std::getline(stream >> std::ws, value);
-        values[name] = value;
-        answer("COMPLETE -");
+        variables[name] = value;
+        sendAnswer("COMPLETE -");
     } else if (word == "PREPARE") {
         std::string name, shape;
         stream >> name;
         std::getline(stream >> std::ws, shape);
-        prepared[name] = shape;
-        answer("COMPLETE -");
+        preparedStatements[name] = shape;
+        sendAnswer("COMPLETE -");
     } else if (word == "BEGIN") {
         bool readOnly = text == "BEGIN READ";
         if (!readOnly && !isPrimary) {
-            answer("ERROR READONLY " + member.id);
+            sendAnswer("ERROR READONLY " + member.id);
             return;
         }
         isInTransaction = true;
         isReadOnly = readOnly;
-        beganIn = group.term;
+        transactionTerm = group.term;
         written.clear();
         transaction.clear();
-        answer("COMPLETE -");
+        sendAnswer("COMPLETE -");
     } else if (word == "ROLLBACK") {
         if (member.faults.failsRollback) {
-            answer("ERROR FAILED broken");
+            sendAnswer("ERROR FAILED broken");
             return;
         }
         isInTransaction = hasFailed = false;
         written.clear();
-        answer("COMPLETE -");
+        sendAnswer("COMPLETE -");
     } else if (word == "READ" || word == "WRITE" || word == "EXECUTE" || word == "COMMIT") {
         std::string shaped = text;
         bool isRead = word == "READ";
@@ -270,55 +270,55 @@
             std::string name, rest;
             stream >> name;
             std::getline(stream >> std::ws, rest);
-            auto it = prepared.find(name);
-            if (it == prepared.end()) {
-                answer("ERROR NOSUCHSTMT " + name);
+            auto it = preparedStatements.find(name);
+            if (it == preparedStatements.end()) {
+                sendAnswer("ERROR NOSUCHSTMT " + name);
                 return;
             }
             isRead = it->second.starts_with("READ ");
             shaped = it->second.substr(0, it->second.find(' ')) + " " + rest;
         }
-        run(id, shaped, isRead);
+        runStatement(id, shaped, isRead);
     } else
-        answer("ERROR MALFORMED " + word);
+        sendAnswer("ERROR MALFORMED " + word);
 }
 
-void Connection::run(const std::string& id, const std::string& text, bool isRead)
+void Connection::runStatement(const std::string& id, const std::string& text, bool isRead)
 {
-    if (member.faults.turnsAway > 0) {
-        --member.faults.turnsAway;
-        answer("ERROR BUSY " + member.id);
+    if (member.faults.busyReplies > 0) {
+        --member.faults.busyReplies;
+        sendAnswer("ERROR BUSY " + member.id);
         return;
     }
     isBusy = true;
-    group.occupy(member, [self = shared_from_this(), id, text, isRead] {
-        auto timer = std::make_shared<asio::steady_timer>(self->group.context, self->member.faults.work);
+    group.acquireSlot(member, [self = shared_from_this(), id, text, isRead] {
+        auto timer = std::make_shared<asio::steady_timer>(self->group.context, self->member.faults.statementTime);
         timer->async_wait([self, timer, id, text, isRead](boost::system::error_code) {
-            self->group.release(self->member);
+            self->group.releaseSlot(self->member);
             self->isBusy = false;
             if (self->isClosed)
                 return;
             auto& group = self->group;
             auto& member = self->member;
             bool isCommit = text == "COMMIT";
-            bool leads = group.primary == member.id && (!self->isInTransaction || self->beganIn == group.term);
-            bool needsLead = self->isInTransaction ? !self->isReadOnly && !(isCommit && self->written.empty()) : !isRead;
-            if (needsLead && !leads) {
+            bool isPrimary = group.primary == member.id && (!self->isInTransaction || self->transactionTerm == group.term);
+            bool needsPrimary = self->isInTransaction ? !self->isReadOnly && !(isCommit && self->written.empty()) : !isRead;
+            if (needsPrimary && !isPrimary) {
                 self->hasFailed = self->isInTransaction;
-                self->answer("ERROR READONLY " + member.id);
-                self->next();
+                self->sendAnswer("ERROR READONLY " + member.id);
+                self->handleNextLine();
                 return;
             }
             if (self->isInTransaction && self->transaction.empty())
                 self->transaction = id;
-            group.ran.push_back({ member.id, id, text, self->values, self->account, self->isInTransaction ? self->transaction : "" });
+            group.executedStatements.push_back({ member.id, id, text, self->variables, self->account, self->isInTransaction ? self->transaction : "" });
             std::string rows;
             std::istringstream stream(text);
             std::string word, item, data;
             stream >> word >> item;
             std::getline(stream >> std::ws, data);
             if (isRead) {
-                auto items = group.readAt(member);
+                auto items = group.getStateAt(member);
                 for (auto& [name, value] : self->written)
                     items[name] = value;
                 rows = fmt::format("ROW {}\r\n", items[item]);
@@ -333,74 +333,74 @@
                 self->isInTransaction = false;
                 self->written.clear();
             }
-            if (member.faults.losesAnswers > 0) {
-                --member.faults.losesAnswers;
+            if (member.faults.closedAfterRun > 0) {
+                --member.faults.closedAfterRun;
                 self->close();
                 return;
             }
-            if (member.faults.silentAnswers > 0) {
-                --member.faults.silentAnswers;
+            if (member.faults.unansweredAfterRun > 0) {
+                --member.faults.unansweredAfterRun;
                 self->isBusy = true;
                 return;
             }
-            self->answer(fmt::format("{}COMPLETE sig.{}.{}", rows, member.id, id));
-            self->next();
+            self->sendAnswer(fmt::format("{}COMPLETE sig.{}.{}", rows, member.id, id));
+            self->handleNextLine();
         });
     });
 }
 
-void LineGroup::Impl::occupy(Member& member, std::function<void()> work)
+void LineGroup::Impl::acquireSlot(Member& member, std::function<void()> task)
 {
     if (member.busySlots < slots) {
         ++member.busySlots;
-        work();
+        task();
     } else
-        member.queue.push_back(std::move(work));
+        member.queue.push_back(std::move(task));
 }
 
-void LineGroup::Impl::release(Member& member)
+void LineGroup::Impl::releaseSlot(Member& member)
 {
     if (member.queue.empty()) {
         --member.busySlots;
         return;
     }
-    auto work = std::move(member.queue.front());
+    auto task = std::move(member.queue.front());
     member.queue.pop_front();
-    asio::post(context, std::move(work));
+    asio::post(context, std::move(task));
 }
 
-Values LineGroup::Impl::readAt(const Member& member) const
+Variables LineGroup::Impl::getStateAt(const Member& member) const
 {
-    Values state;
-    for (size_t i = 0; i < member.applied; ++i) {
+    Variables state;
+    for (size_t i = 0; i < member.appliedEntries; ++i) {
         for (auto& [name, value] : log[i].items)
             state[name] = value;
     }
     return state;
 }
 
-void LineGroup::Impl::commit(Member& member, const Values& written)
+void LineGroup::Impl::commit(Member& member, const Variables& written)
 {
     log.push_back({ term, written });
-    member.received = member.applied = log.size();
+    member.receivedEntries = member.appliedEntries = log.size();
     ++commits;
     for (auto& [name, value] : written)
         items[name] = value;
-    spread();
+    replicate();
 }
 
-void LineGroup::Impl::spread()
+void LineGroup::Impl::replicate()
 {
     auto size = log.size();
-    auto when = term;
+    auto startTerm = term;
     for (auto& [id, member] : members) {
-        if (id == primary || member.faults.isDeaf || !member.isRunning)
+        if (id == primary || member.faults.isReplicationStopped || !member.isRunning)
             continue;
         auto timer = std::make_shared<asio::steady_timer>(context, member.faults.lag);
-        timer->async_wait([this, timer, &member, size, when](boost::system::error_code) {
-            if (when != term || member.faults.isDeaf)
+        timer->async_wait([this, timer, &member, size, startTerm](boost::system::error_code) {
+            if (startTerm != term || member.faults.isReplicationStopped)
                 return;
-            member.received = member.applied = std::max(member.applied, std::min(size, log.size()));
+            member.receivedEntries = member.appliedEntries = std::max(member.appliedEntries, std::min(size, log.size()));
         });
     }
 }
@@ -412,8 +412,8 @@
             return;
         auto connection = std::make_shared<Connection>(std::move(socket), *this, member);
         member.connections.insert(connection);
-        member.connectionsMost = std::max(member.connectionsMost, member.connections.size());
-        connection->begin();
+        member.maxConnections = std::max(member.maxConnections, member.connections.size());
+        connection->start();
         accept(member);
     });
 }
@@ -425,7 +425,7 @@
     for (size_t i = 0; i < ids.size(); ++i) {
         m_impl->members[ids[i]].id = ids[i];
         m_impl->members[ids[i]].port = ports[i];
-        begin(ids[i]);
+        start(ids[i]);
     }
 }
 
@@ -441,37 +441,37 @@
 std::string LineGroup::getPrimary() const { return m_impl->primary; }
 uint64_t LineGroup::getTerm() const { return m_impl->term; }
 MemberFaults& LineGroup::getFaults(const std::string& id) { return m_impl->members.at(id).faults; }
-size_t LineGroup::getConnections(const std::string& id) const { return m_impl->members.at(id).connections.size(); }
-size_t LineGroup::getConnectionsMost(const std::string& id) const { return m_impl->members.at(id).connectionsMost; }
-const std::vector<RanStatement>& LineGroup::getRan() const { return m_impl->ran; }
+size_t LineGroup::getConnectionCount(const std::string& id) const { return m_impl->members.at(id).connections.size(); }
+size_t LineGroup::getMaxConnections(const std::string& id) const { return m_impl->members.at(id).maxConnections; }
+const std::vector<ExecutedStatement>& LineGroup::getExecutedStatements() const { return m_impl->executedStatements; }
 const std::map<std::string, std::string>& LineGroup::getItems() const { return m_impl->items; }
-uint64_t LineGroup::getCommits() const { return m_impl->commits; }
-uint64_t LineGroup::getTurnedAwayAsBehind() const { return m_impl->turnedAwayAsBehind; }
+uint64_t LineGroup::getCommitCount() const { return m_impl->commits; }
+uint64_t LineGroup::getLaggingRefusals() const { return m_impl->laggingRefusals; }
 
 bool LineGroup::promote(const std::string& id)
 {
     auto it = m_impl->members.find(id);
-    if (it == m_impl->members.end() || !it->second.isRunning || it->second.faults.isDark)
+    if (it == m_impl->members.end() || !it->second.isRunning || it->second.faults.isUnresponsive)
         return false;
     if (m_impl->primary == id)
         return true;
-    m_impl->log.resize(it->second.received);
+    m_impl->log.resize(it->second.receivedEntries);
     m_impl->primary = id;
     ++m_impl->term;
-    it->second.applied = it->second.received;
-    m_impl->items = m_impl->readAt(it->second);
+    it->second.appliedEntries = it->second.receivedEntries;
+    m_impl->items = m_impl->getStateAt(it->second);
     for (auto& [other, member] : m_impl->members)
-        member.received = member.applied = std::min(member.applied, m_impl->log.size());
-    m_impl->spread();
+        member.receivedEntries = member.appliedEntries = std::min(member.appliedEntries, m_impl->log.size());
+    m_impl->replicate();
     return true;
 }
 
-// Bound and not listening: connections are refused, and nobody else gets the port meanwhile.
+// Binds without listening: connections are refused, and the port stays reserved.
 static void bindPort(asio::io_context& context, Member& member)
 {
     member.acceptor = std::make_unique<tcp::acceptor>(context, tcp::v4());
     member.acceptor->set_option(tcp::acceptor::reuse_address(true));
-    // A process that is just being started holds copies of all sockets until it closes them: some ms on a busy machine.
+    // Retries, because a process that has just been forked holds copies of all sockets until it closes them.
     boost::system::error_code ec;
     for (int i = 0; i < 200; ++i) {
         member.acceptor->bind({ asio::ip::address_v4::loopback(), member.port }, ec);
@@ -497,20 +497,20 @@
         it->close();
 }
 
-void LineGroup::beginEmpty(const std::string& id)
+void LineGroup::restartEmpty(const std::string& id)
 {
     kill(id);
     auto& member = m_impl->members.at(id);
-    member.received = member.applied = 0;
-    begin(id);
+    member.receivedEntries = member.appliedEntries = 0;
+    start(id);
 }
 
-unsigned LineGroup::getStarts(const std::string& id) const
+unsigned LineGroup::getStartCount(const std::string& id) const
 {
-    return m_impl->members.at(id).starts;
+    return m_impl->members.at(id).startCount;
 }
 
-void LineGroup::begin(const std::string& id)
+void LineGroup::start(const std::string& id)
 {
     auto& member = m_impl->members.at(id);
     if (member.isRunning)
@@ -519,10 +519,10 @@
         bindPort(m_impl->context, member);
     member.acceptor->listen();
     member.isRunning = true;
-    ++member.starts;
-    member.received = member.applied = std::min(member.applied, m_impl->log.size());
+    ++member.startCount;
+    member.receivedEntries = member.appliedEntries = std::min(member.appliedEntries, m_impl->log.size());
     m_impl->accept(member);
-    m_impl->spread();
+    m_impl->replicate();
 }
 
 }
--- a/tests/standins/line_group.h
+++ b/tests/standins/line_group.h
@@ -1,5 +1,5 @@
-// Stand-in for a database group whose members speak the platform's line protocol: sessions with values and prepared statements,
-// transactions, a replicated log, promotion. Runs on one io_context; misbehaves on demand; remembers what it ran.
+// Stand-in for a database group whose members speak the platform's line protocol, with sessions, transactions, a replicated
+// log and promotion. Tests can inject faults and inspect the executed statements.
 #pragma once
 #include <boost/asio/io_context.hpp>
 #include <chrono>
@@ -14,25 +14,25 @@
 
 using std::chrono::milliseconds;
 
-// A caller's statement that a member ran.
-struct RanStatement {
+// A caller's statement that a member executed.
+struct ExecutedStatement {
     std::string member;
     std::string id;
-    std::string text; // with prepared names replaced by their shapes
-    std::map<std::string, std::string> values; // of the connection
-    std::string account; // that the connection named
-    std::string transaction; // id of the first statement of the transaction it ran in; empty: none
+    std::string text; // names of prepared statements are replaced by their text
+    std::map<std::string, std::string> variables; // session variables of the connection
+    std::string account; // client account from the connection's handshake
+    std::string transaction; // id of the first statement of its transaction; empty: none
 };
 
 struct MemberFaults {
-    bool isDark { false }; // neither accepts nor answers
-    bool failsRollback { false }; // answers an error and keeps the transaction open
-    int losesAnswers { 0 }; // so many of the next reads, writes and commits run, and their connection is cut
-    int turnsAway { 0 }; // so many of the next reads, writes and commits are answered as busy and not run
-    int silentAnswers { 0 }; // so many of the next ones run and are never answered
-    milliseconds lag { 5 }; // until a commit is applied at this member
-    milliseconds work { 1 }; // a statement's time in a slot
-    bool isDeaf { false }; // receives nothing
+    bool isUnresponsive { false }; // keeps connections open but answers nothing
+    bool failsRollback { false }; // replies with an error and keeps the transaction open
+    int closedAfterRun { 0 }; // number of next statements that are executed, then their connection is closed without a reply
+    int busyReplies { 0 }; // number of next statements that are refused as busy
+    int unansweredAfterRun { 0 }; // number of next statements that are executed and never answered
+    milliseconds lag { 5 }; // until this member applies a commit
+    milliseconds statementTime { 1 }; // execution time of a statement in a slot
+    bool isReplicationStopped { false }; // receives no log entries
 };
 
 class LineGroup {
@@ -46,20 +46,21 @@
     std::string getPrimary() const;
     uint64_t getTerm() const;
     MemberFaults& getFaults(const std::string& id);
-    // As by the platform: the member leads the next term with what it received; false if it does not run.
+    // Makes the member primary of the next term with the entries it received; returns false if it is not running.
     bool promote(const std::string& id);
-    // Ends the member's connections and its listening; `begin` brings it back as a replica, or as primary if none was promoted since.
+    // Closes the member's connections and stops listening. After `start` it is a replica, or still primary if no other member
+    // was promoted meanwhile.
     void kill(const std::string& id);
-    void begin(const std::string& id);
-    // Starts a member again at once under its id; it holds nothing of before and, if it was the primary, still calls itself that.
-    void beginEmpty(const std::string& id);
-    unsigned getStarts(const std::string& id) const; // of its process, the first not counted
-    size_t getConnections(const std::string& id) const; // open now
-    size_t getConnectionsMost(const std::string& id) const; // most at a time
-    const std::vector<RanStatement>& getRan() const;
-    const std::map<std::string, std::string>& getItems() const; // as committed at the primary
-    uint64_t getCommits() const;
-    uint64_t getTurnedAwayAsBehind() const; // statements whose position a member's log lacked
+    void start(const std::string& id);
+    // Restarts the member without data; a primary still claims to be primary.
+    void restartEmpty(const std::string& id);
+    unsigned getStartCount(const std::string& id) const; // number of starts of the member
+    size_t getConnectionCount(const std::string& id) const; // currently open
+    size_t getMaxConnections(const std::string& id) const; // peak of open connections
+    const std::vector<ExecutedStatement>& getExecutedStatements() const;
+    const std::map<std::string, std::string>& getItems() const; // committed data of the primary
+    uint64_t getCommitCount() const;
+    uint64_t getLaggingRefusals() const; // statements refused because the member lacked their required position
 
     struct Impl;
 
--- a/tests/standins/member.cpp
+++ b/tests/standins/member.cpp
@@ -1,6 +1,6 @@
-// Stand-in for one member of a database group: terms, a log, asynchronous replication with a settable lag, limited
-// connections and slots, transactions bound to a connection, and the operations that src/links/target.h lists.
-// Statements are GET k, SET k v and APPEND k v; words may also come as parameters. State is in memory only.
+// Stand-in for one member of a database group with the operations of src/links/target.h: terms, asynchronous replication with
+// a configurable lag, limited connections and slots, transactions. Statements are GET k, SET k v and APPEND k v; the last words
+// may be parameters. Data is kept in memory only.
 #include "decisions/session.h"
 #include "links/http.h"
 #include "links/json_fields.h"
@@ -26,12 +26,12 @@
 using links::getString;
 using links::HttpRequest;
 using links::HttpResponse;
-using standins::answerJson;
-using standins::dropAnswer;
+using standins::makeDroppedResponse;
+using standins::makeJsonResponse;
 
 namespace {
 
-constexpr milliseconds kPullWait { 40 }; // the primary answers a pull at least this often: its heartbeat
+constexpr milliseconds kMaxPullWait { 40 }; // after which the primary answers a pull without entries, as a heartbeat
 constexpr milliseconds kPullTimeout { 400 };
 
 struct Options {
@@ -42,16 +42,16 @@
     bool canFence { true };
 };
 
-struct Entry {
+struct LogEntry {
     uint64_t term { 0 };
     std::vector<std::pair<std::string, std::string>> effects {}; // key, new value
     std::string requestKey {};
     std::string result {}; // JSON
-    bool isClosing { false }; // closes the request key as not run
+    bool isClosing { false }; // marks the request key as not run for good
     Clock::time_point writtenAt {};
 };
 
-struct KeyState {
+struct RequestKeyState {
     uint64_t position { 0 };
     std::string result {};
     bool isClosed { false };
@@ -62,8 +62,8 @@
 };
 
 struct Session {
-    bool isWork { false };
-    bool hasHello { false };
+    bool isWorkConnection { false };
+    bool hasHandshake { false };
     std::optional<Transaction> transaction;
 };
 
@@ -77,7 +77,7 @@
     Member(asio::io_context& context, Options options)
         : m_context(context)
         , m_options(std::move(options))
-        , m_slotFreed(context)
+        , m_slotReleased(context)
     {
         m_primaryName = m_options.primaryName;
         m_primaryAddress = m_options.primaryAddress;
@@ -95,49 +95,49 @@
             co_return HttpResponse { 400, "{}" };
         if (request.path.starts_with("/admin/"))
             co_return handleAdmin(request.path, *body);
-        if (m_cut.contains(request.from))
-            co_return dropAnswer();
+        if (m_blockedPeers.contains(request.from))
+            co_return makeDroppedResponse();
         auto answer = co_await handleMember(request, *body);
-        if (m_cut.contains(request.from))
-            co_return dropAnswer();
-        if (m_loseAnswers > 0 && (request.path == "/member/execute" || request.path == "/member/commit")) {
-            --m_loseAnswers;
-            co_return dropAnswer();
+        if (m_blockedPeers.contains(request.from))
+            co_return makeDroppedResponse();
+        if (m_repliesToDrop > 0 && (request.path == "/member/execute" || request.path == "/member/commit")) {
+            --m_repliesToDrop;
+            co_return makeDroppedResponse();
         }
         co_return answer;
     }
 
-    void endConnection(uint64_t id)
+    void closeSession(uint64_t id)
     {
         auto it = m_sessions.find(id);
         if (it == m_sessions.end())
             return;
-        if (it->second.isWork)
+        if (it->second.isWorkConnection)
             --m_workConnections;
         m_sessions.erase(it);
     }
 
-    // Follows the primary: asks for what is new, again and again.
-    asio::awaitable<void> pullForever()
+    // Pulls new log entries from the primary in a loop.
+    asio::awaitable<void> runReplication()
     {
         std::unique_ptr<links::HttpConnection> link;
-        std::string linkedTo;
+        std::string connectedAddress;
         for (;;) {
-            bool mayPull = !m_isPrimary && !m_primaryAddress.empty() && m_fencedTerm <= m_term && !m_cut.contains(m_primaryName);
+            bool mayPull = !m_isPrimary && !m_primaryAddress.empty() && m_fencedTerm <= m_term && !m_blockedPeers.contains(m_primaryName);
             if (!mayPull) {
                 link.reset();
                 co_await base::sleepFor(milliseconds(2));
                 continue;
             }
-            if (!link || !link->isOpen() || linkedTo != m_primaryAddress) {
+            if (!link || !link->isOpen() || connectedAddress != m_primaryAddress) {
                 link = links::makeHttpConnection(m_context.get_executor(), m_primaryAddress);
-                linkedTo = m_primaryAddress;
+                connectedAddress = m_primaryAddress;
                 if (!co_await link->open(Clock::now() + kPullTimeout)) {
                     co_await base::sleepFor(milliseconds(10));
                     continue;
                 }
             }
-            co_await pullOnce(*link);
+            co_await pullEntries(*link);
         }
     }
 
@@ -147,7 +147,7 @@
     uint64_t getPosition() const { return m_log.size(); }
     uint64_t getLogTerm() const { return m_log.empty() ? 0 : m_log.back().term; }
 
-    void apply(const Entry& entry, uint64_t position)
+    void apply(const LogEntry& entry, uint64_t position)
     {
         for (auto& [key, value] : entry.effects)
             m_data[key] = value;
@@ -157,7 +157,7 @@
             m_history.push_back({ entry.term, position });
     }
 
-    void append(Entry entry)
+    void append(LogEntry entry)
     {
         entry.writtenAt = Clock::now();
         m_log.push_back(std::move(entry));
@@ -186,7 +186,7 @@
 
     // ---- replication ----
 
-    asio::awaitable<void> pullOnce(links::HttpConnection& link)
+    asio::awaitable<void> pullEntries(links::HttpConnection& link)
     {
         HttpRequest request;
         request.path = "/member/log";
@@ -195,7 +195,7 @@
         auto lag = m_lag;
         request.body = json::serialize(json::object { { "term", term }, { "after", getPosition() }, { "lastTerm", getLogTerm() }, { "lagMs", m_lag.count() } });
         auto answer = co_await link.exchange(std::move(request), Clock::now() + kPullTimeout);
-        bool isStale = term != m_term || lag != m_lag || m_isPrimary || m_fencedTerm > m_term || m_cut.contains(m_primaryName);
+        bool isStale = term != m_term || lag != m_lag || m_isPrimary || m_fencedTerm > m_term || m_blockedPeers.contains(m_primaryName);
         if (!answer || isStale || answer->status != 200) {
             co_await base::sleepFor(milliseconds(5));
             co_return;
@@ -207,20 +207,20 @@
         if (body->contains("truncateTo"))
             truncate(std::min(getPosition(), getNumber(*body, "truncateTo")));
         for (auto& it : body->at("entries").get_array())
-            takeEntry(it.get_object());
+            appendReplicatedEntry(it.get_object());
         wakeWaiters();
     }
 
-    void takeEntry(const json::object& object)
+    void appendReplicatedEntry(const json::object& object)
     {
-        Entry entry { getNumber(object, "t"), {}, getString(object, "k"), getString(object, "r"), links::getBool(object, "c"), Clock::time_point(Clock::duration(static_cast<int64_t>(getNumber(object, "w")))) };
+        LogEntry entry { getNumber(object, "t"), {}, getString(object, "k"), getString(object, "r"), links::getBool(object, "c"), Clock::time_point(Clock::duration(static_cast<int64_t>(getNumber(object, "w")))) };
         for (auto& it : object.at("e").get_array())
             entry.effects.emplace_back(it.get_array()[0].get_string(), it.get_array()[1].get_string());
         m_log.push_back(std::move(entry));
         apply(m_log.back(), getPosition());
     }
 
-    static json::object formatEntry(const Entry& entry)
+    static json::object formatEntry(const LogEntry& entry)
     {
         json::array effects;
         for (auto& [key, value] : entry.effects)
@@ -228,7 +228,7 @@
         return { { "t", entry.term }, { "e", std::move(effects) }, { "k", entry.requestKey }, { "r", entry.result }, { "c", entry.isClosing }, { "w", entry.writtenAt.time_since_epoch().count() } };
     }
 
-    asio::awaitable<HttpResponse> serveLog(const json::object& body)
+    asio::awaitable<HttpResponse> handlePull(const json::object& body)
     {
         if (!m_isPrimary || getNumber(body, "term") != m_term)
             co_return refuse("role", "not the primary of that term");
@@ -240,19 +240,19 @@
             auto n = std::min(after, getPosition());
             while (n > 0 && (m_log[n - 1].term > lastTerm || n == after))
                 --n;
-            co_return answerJson({ { "truncateTo", n }, { "entries", json::array() } });
+            co_return makeJsonResponse({ { "truncateTo", n }, { "entries", json::array() } });
         }
-        auto until = Clock::now() + kPullWait;
-        while (!hasDue(after, lag) && Clock::now() < until && m_isPrimary)
+        auto until = Clock::now() + kMaxPullWait;
+        while (!hasDueEntry(after, lag) && Clock::now() < until && m_isPrimary)
             co_await waitForEntry(after, lag, until);
         json::array entries;
         for (auto i = after; i < getPosition() && entries.size() < 500 && isDue(i, lag); ++i)
             entries.push_back(formatEntry(m_log[i]));
-        co_return answerJson({ { "entries", std::move(entries) } });
+        co_return makeJsonResponse({ { "entries", std::move(entries) } });
     }
 
     bool isDue(uint64_t index, milliseconds lag) const { return m_log[index].writtenAt + lag <= Clock::now(); }
-    bool hasDue(uint64_t after, milliseconds lag) const { return after < getPosition() && isDue(after, lag); }
+    bool hasDueEntry(uint64_t after, milliseconds lag) const { return after < getPosition() && isDue(after, lag); }
 
     asio::awaitable<void> waitForEntry(uint64_t after, milliseconds lag, Clock::time_point until)
     {
@@ -265,7 +265,7 @@
         co_await waitForChange(until);
     }
 
-    // Sleeps until the log grows or the time is up. Every change of the log wakes all sleepers.
+    // Waits until the log changes or `until`.
     asio::awaitable<void> waitForChange(Clock::time_point until)
     {
         asio::steady_timer own(m_context);
@@ -287,7 +287,7 @@
     {
         auto operation = request.path.substr(std::string("/member/").size());
         if (operation == "log")
-            co_return co_await serveLog(body);
+            co_return co_await handlePull(body);
         auto& session = m_sessions[request.connection];
         if (operation == "hello")
             co_return co_await handleHello(session, body);
@@ -301,24 +301,24 @@
             co_return handlePromote(body);
         if (operation == "follow")
             co_return handleFollow(body);
-        if (!session.isWork)
-            co_return refuse("statement", "say hello for work first");
+        if (!session.isWorkConnection)
+            co_return refuse("statement", "a work connection is required: send hello first");
         if (operation == "execute" || operation == "commit" || operation == "settle")
             co_return co_await runInSlot(request.connection, operation, body);
         if (operation == "begin")
             co_return handleBegin(session, body);
         if (operation == "rollback") {
             session.transaction.reset();
-            co_return answerJson({});
+            co_return makeJsonResponse({});
         }
         co_return HttpResponse { 404, "{}" };
     }
 
     asio::awaitable<HttpResponse> handleHello(Session& session, const json::object& body)
     {
-        session.hasHello = true;
+        session.hasHandshake = true;
         if (getString(body, "purpose") != "work")
-            co_return answerJson({ { "member", m_options.name } });
+            co_return makeJsonResponse({ { "member", m_options.name } });
         if (m_workConnections >= m_options.connectionLimit) {
             ++m_refusedConnections;
             auto answer = refuse("connections", "too many connections");
@@ -327,10 +327,10 @@
         }
         ++m_workConnections;
         ++m_openedConnections;
-        m_mostConnections = std::max(m_mostConnections, m_workConnections);
-        session.isWork = true;
+        m_peakConnections = std::max(m_peakConnections, m_workConnections);
+        session.isWorkConnection = true;
         co_await base::sleepFor(m_options.connectCost);
-        co_return answerJson({ { "member", m_options.name } });
+        co_return makeJsonResponse({ { "member", m_options.name } });
     }
 
     HttpResponse handleStatus() const
@@ -343,7 +343,7 @@
         body["primary"] = m_primaryName;
         body["heardPrimaryAgoMs"] = m_isPrimary ? 0 : std::chrono::duration_cast<milliseconds>(Clock::now() - m_heardAt).count();
         body["fence"] = m_options.canFence;
-        return answerJson(body);
+        return makeJsonResponse(body);
     }
 
     asio::awaitable<HttpResponse> handleAwait(const json::object& body)
@@ -353,7 +353,7 @@
         auto until = Clock::now() + milliseconds(getNumber(body, "limitMs"));
         while (m_term == term && m_fencedTerm <= term && (getLogTerm() != term || getPosition() < position) && Clock::now() < until)
             co_await waitForPosition(until);
-        co_return answerJson({ { "term", m_term }, { "fencedTerm", m_fencedTerm }, { "logTerm", getLogTerm() }, { "position", getPosition() } });
+        co_return makeJsonResponse({ { "term", m_term }, { "fencedTerm", m_fencedTerm }, { "logTerm", getLogTerm() }, { "position", getPosition() } });
     }
 
     asio::awaitable<void> waitForPosition(Clock::time_point until)
@@ -368,7 +368,7 @@
         if (session.transaction)
             return refuse("transaction", "a transaction is open already");
         session.transaction.emplace();
-        return answerJson({});
+        return makeJsonResponse({});
     }
 
     std::optional<HttpResponse> checkWriter(uint64_t term) const
@@ -383,8 +383,8 @@
     asio::awaitable<HttpResponse> runInSlot(uint64_t connection, const std::string& operation, const json::object& body)
     {
         while (m_busySlots >= m_options.slots) {
-            m_slotFreed.expires_at(Clock::time_point::max());
-            co_await m_slotFreed.async_wait(asio::as_tuple(asio::use_awaitable));
+            m_slotReleased.expires_at(Clock::time_point::max());
+            co_await m_slotReleased.async_wait(asio::as_tuple(asio::use_awaitable));
         }
         ++m_busySlots;
         if (m_serviceTime.count() > 0)
@@ -392,13 +392,13 @@
         HttpResponse answer;
         auto it = m_sessions.find(connection);
         if (it != m_sessions.end())
-            answer = co_await run(it->second, operation, body);
+            answer = co_await execute(it->second, operation, body);
         --m_busySlots;
-        m_slotFreed.cancel_one();
+        m_slotReleased.cancel_one();
         co_return answer;
     }
 
-    asio::awaitable<HttpResponse> run(Session& session, const std::string& operation, const json::object& body)
+    asio::awaitable<HttpResponse> execute(Session& session, const std::string& operation, const json::object& body)
     {
         if (operation == "commit")
             co_return commit(session, body);
@@ -409,7 +409,7 @@
         co_return co_await read(session, body);
     }
 
-    static std::vector<std::string> getWords(const json::object& body)
+    static std::vector<std::string> parseStatementWords(const json::object& body)
     {
         std::vector<std::string> words;
         std::istringstream text(getString(body, "statement"));
@@ -433,19 +433,19 @@
         return it == m_data.end() ? std::string() : it->second;
     }
 
-    HttpResponse answerRun(const std::string& result, bool wasReplayed, uint64_t position) const
+    HttpResponse makeResult(const std::string& result, bool wasReplayed, uint64_t position) const
     {
-        return answerJson({ { "result", json::parse(result) }, { "term", getLogTerm() }, { "position", position }, { "replayed", wasReplayed }, { "memberTerm", m_term }, { "fencedTerm", m_fencedTerm } });
+        return makeJsonResponse({ { "result", json::parse(result) }, { "term", getLogTerm() }, { "position", position }, { "replayed", wasReplayed }, { "memberTerm", m_term }, { "fencedTerm", m_fencedTerm } });
     }
 
-    std::optional<HttpResponse> replay(const std::string& requestKey) const
+    std::optional<HttpResponse> replayResult(const std::string& requestKey) const
     {
         auto it = m_keys.find(requestKey);
         if (requestKey.empty() || it == m_keys.end())
             return std::nullopt;
         if (it->second.isClosed)
-            return refuse("key-closed", "settled as not run");
-        return answerRun(it->second.result, true, getPosition());
+            return refuse("key-closed", "the request key was settled as not run");
+        return makeResult(it->second.result, true, getPosition());
     }
 
     HttpResponse write(Session& session, const json::object& body)
@@ -453,19 +453,19 @@
         if (auto refusal = checkWriter(getNumber(body, "term")))
             return *refusal;
         auto requestKey = getString(body, "requestKey");
-        if (auto first = replay(requestKey))
+        if (auto first = replayResult(requestKey))
             return *first;
-        auto words = getWords(body);
+        auto words = parseStatementWords(body);
         if (words.size() < 3 || (words[0] != "SET" && words[0] != "APPEND"))
             return refuse("statement", "writes are SET k v and APPEND k v");
         auto value = words[0] == "APPEND" ? getValue(session, words[1]) + words[2] : words[2];
         auto result = json::serialize(json::value(value));
         if (session.transaction) {
             session.transaction->writes[words[1]] = value;
-            return answerRun(result, false, getPosition());
+            return makeResult(result, false, getPosition());
         }
         append({ m_term, { { words[1], value } }, requestKey, result, false, {} });
-        return answerRun(result, false, getPosition());
+        return makeResult(result, false, getPosition());
     }
 
     HttpResponse commit(Session& session, const json::object& body)
@@ -475,12 +475,12 @@
         auto transaction = std::move(*session.transaction);
         session.transaction.reset();
         if (!m_isPrimary || m_fencedTerm > m_term)
-            return refuse("term", "superseded since the transaction began");
+            return refuse("term", "the transaction's term was superseded");
         auto requestKey = getString(body, "requestKey");
-        if (auto first = replay(requestKey))
+        if (auto first = replayResult(requestKey))
             return *first;
         append({ m_term, { transaction.writes.begin(), transaction.writes.end() }, requestKey, "null", false, {} });
-        return answerRun("null", false, getPosition());
+        return makeResult("null", false, getPosition());
     }
 
     HttpResponse settle(const json::object& body)
@@ -493,7 +493,7 @@
         if (it == m_keys.end()) {
             append({ m_term, {}, requestKey, "null", true, {} });
         }
-        return answerJson({ { "ran", didRun }, { "result", json::parse(didRun ? it->second.result : "null") }, { "term", getLogTerm() }, { "position", getPosition() }, { "replayed", didRun } });
+        return makeJsonResponse({ { "ran", didRun }, { "result", json::parse(didRun ? it->second.result : "null") }, { "term", getLogTerm() }, { "position", getPosition() }, { "replayed", didRun } });
     }
 
     asio::awaitable<HttpResponse> read(Session& session, const json::object& body)
@@ -502,23 +502,23 @@
         if (auto* atLeast = body.if_contains("atLeast"))
             mark = { getNumber(atLeast->get_object(), "term"), getNumber(atLeast->get_object(), "position") };
         auto until = Clock::now() + milliseconds(getNumber(body, "waitMs"));
-        while (!holds(mark) && Clock::now() < until)
+        while (!containsMark(mark) && Clock::now() < until)
             co_await waitForPosition(until);
-        if (!holds(mark))
+        if (!containsMark(mark))
             co_return refuse("behind", fmt::format("at {}.{}", getLogTerm(), getPosition()));
-        auto words = getWords(body);
+        auto words = parseStatementWords(body);
         if (words.size() != 2 || words[0] != "GET")
             co_return refuse("statement", "reads are GET k");
         ++m_reads;
-        co_return answerRun(json::serialize(json::value(getValue(session, words[1]))), false, getPosition());
+        co_return makeResult(json::serialize(json::value(getValue(session, words[1]))), false, getPosition());
     }
 
-    bool holds(const decisions::Mark& mark) const
+    bool containsMark(const decisions::Mark& mark) const
     {
         return decisions::getContainment({ getLogTerm(), getPosition(), m_history }, mark) == decisions::Containment::Contained;
     }
 
-    // ---- arbitration ----
+    // ---- fencing and promotion ----
 
     HttpResponse handleFence(const json::object& body)
     {
@@ -526,9 +526,9 @@
             return refuse("statement", "fence is not supported");
         auto term = getNumber(body, "term");
         auto proposer = getString(body, "proposer");
-        bool isAgain = term == m_fencedTerm && proposer == m_proposer;
-        bool isGranted = isAgain || (term > m_fencedTerm && term > m_term);
-        if (isGranted && !isAgain) {
+        bool isRepeated = term == m_fencedTerm && proposer == m_proposer;
+        bool isGranted = isRepeated || (term > m_fencedTerm && term > m_term);
+        if (isGranted && !isRepeated) {
             m_fencedTerm = term;
             m_proposer = proposer;
             rollBackAll();
@@ -537,7 +537,7 @@
         auto answer = describeLog();
         answer["granted"] = isGranted;
         answer["fencedTerm"] = std::max(m_fencedTerm, m_term);
-        return answerJson(answer);
+        return makeJsonResponse(answer);
     }
 
     HttpResponse handlePromote(const json::object& body)
@@ -545,7 +545,7 @@
         auto term = getNumber(body, "term");
         bool isGranted = m_options.canFence ? (term == m_fencedTerm && getString(body, "proposer") == m_proposer) : term > m_term;
         if (m_isPrimary && term == m_term)
-            return answerJson({});
+            return makeJsonResponse({});
         if (!isGranted || term <= m_term)
             return refuse("term", fmt::format("promised {}", m_fencedTerm));
         m_term = term;
@@ -553,7 +553,7 @@
         m_isPrimary = true;
         m_primaryName = m_options.name;
         append({ term, {}, {}, "null", false, {} });
-        return answerJson({});
+        return makeJsonResponse({});
     }
 
     HttpResponse handleFollow(const json::object& body)
@@ -569,7 +569,7 @@
         m_primaryName = getString(body, "primary");
         m_primaryAddress = getString(body, "address");
         wakeWaiters();
-        return answerJson({});
+        return makeJsonResponse({});
     }
 
     void rollBackAll()
@@ -578,7 +578,7 @@
             session.transaction.reset();
     }
 
-    // ---- commands of the tests ----
+    // ---- test commands ----
 
     HttpResponse handleAdmin(const std::string& path, const json::object& body)
     {
@@ -588,17 +588,17 @@
             if (body.contains("serviceMs"))
                 m_serviceTime = milliseconds(getNumber(body, "serviceMs"));
             if (body.contains("loseAnswers"))
-                m_loseAnswers = getNumber(body, "loseAnswers");
-            standins::readCut(body, m_cut);
-            return answerJson({});
+                m_repliesToDrop = getNumber(body, "loseAnswers");
+            standins::applyBlockedPeers(body, m_blockedPeers);
+            return makeJsonResponse({});
         }
         if (path == "/admin/log") {
             json::array entries;
-            for (auto& it : m_log) // without the values, which would be long
+            for (auto& it : m_log) // without data, to keep the response short
                 entries.push_back({ { "t", it.term }, { "k", it.requestKey } });
-            return answerJson({ { "entries", std::move(entries) } });
+            return makeJsonResponse({ { "entries", std::move(entries) } });
         }
-        return answerJson({ { "reads", m_reads }, { "connections", m_workConnections }, { "openedConnections", m_openedConnections }, { "refusedConnections", m_refusedConnections }, { "mostConnections", m_mostConnections }, { "term", m_term }, { "fencedTerm", m_fencedTerm }, { "position", getPosition() }, { "role", m_isPrimary ? "primary" : "replica" } });
+        return makeJsonResponse({ { "reads", m_reads }, { "connections", m_workConnections }, { "openedConnections", m_openedConnections }, { "refusedConnections", m_refusedConnections }, { "mostConnections", m_peakConnections }, { "term", m_term }, { "fencedTerm", m_fencedTerm }, { "position", getPosition() }, { "role", m_isPrimary ? "primary" : "replica" } });
     }
 
     asio::io_context& m_context;
@@ -610,20 +610,20 @@
     std::string m_primaryName;
     std::string m_primaryAddress;
     Clock::time_point m_heardAt;
-    std::vector<Entry> m_log;
+    std::vector<LogEntry> m_log;
     std::vector<decisions::TermStart> m_history;
     std::map<std::string, std::string> m_data;
-    std::map<std::string, KeyState> m_keys;
+    std::map<std::string, RequestKeyState> m_keys;
     std::map<uint64_t, Session> m_sessions;
-    std::set<std::string> m_cut;
+    std::set<std::string> m_blockedPeers;
     std::vector<asio::steady_timer*> m_waiters;
-    asio::steady_timer m_slotFreed;
+    asio::steady_timer m_slotReleased;
     milliseconds m_lag { 0 };
     milliseconds m_serviceTime { 0 };
-    uint64_t m_loseAnswers { 0 };
+    uint64_t m_repliesToDrop { 0 };
     unsigned m_busySlots { 0 };
     unsigned m_workConnections { 0 };
-    unsigned m_mostConnections { 0 };
+    unsigned m_peakConnections { 0 };
     uint64_t m_openedConnections { 0 };
     uint64_t m_refusedConnections { 0 };
     uint64_t m_reads { 0 };
@@ -633,13 +633,13 @@
 {
     TCLAP::CmdLine command("Stand-in for a member of a database group.", ' ', ALDERWARD_VERSION);
     TCLAP::ValueArg<std::string> name("", "name", "Member's name", true, "", "name", command);
-    TCLAP::ValueArg<std::string> address("", "address", "Where to listen", true, "", "ip:port", command);
-    TCLAP::ValueArg<std::string> primaryName("", "primary", "First primary's name", true, "", "name", command);
-    TCLAP::ValueArg<std::string> primaryAddress("", "primary-address", "First primary's address", true, "", "ip:port", command);
-    TCLAP::ValueArg<unsigned> connections("", "connections", "Connections it takes", false, 16, "n", command);
-    TCLAP::ValueArg<unsigned> slots("", "slots", "Statements at once", false, 2, "n", command);
-    TCLAP::ValueArg<unsigned> cost("", "connect-ms", "Time to open a connection", false, 10, "ms", command);
-    TCLAP::SwitchArg noFence("", "no-fence", "Do not offer fence", command);
+    TCLAP::ValueArg<std::string> address("", "address", "Listening address", true, "", "ip:port", command);
+    TCLAP::ValueArg<std::string> primaryName("", "primary", "Name of the initial primary", true, "", "name", command);
+    TCLAP::ValueArg<std::string> primaryAddress("", "primary-address", "Address of the initial primary", true, "", "ip:port", command);
+    TCLAP::ValueArg<unsigned> connections("", "connections", "Maximum number of work connections", false, 16, "n", command);
+    TCLAP::ValueArg<unsigned> slots("", "slots", "Number of statements executed at a time", false, 2, "n", command);
+    TCLAP::ValueArg<unsigned> cost("", "connect-ms", "Time to open a work connection", false, 10, "ms", command);
+    TCLAP::SwitchArg noFence("", "no-fence", "Refuse fencing", command);
     command.parse(argc, argv);
     return { name.getValue(), address.getValue(), primaryName.getValue(), primaryAddress.getValue(), connections.getValue(), slots.getValue(), milliseconds(cost.getValue()), !noFence.getValue() };
 }
@@ -652,7 +652,7 @@
     asio::io_context context(1);
     Member member(context, options);
     links::HttpServerOptions serverOptions;
-    serverOptions.onClose = [&member](uint64_t connection) { member.endConnection(connection); };
+    serverOptions.onClose = [&member](uint64_t connection) { member.closeSession(connection); };
     serverOptions.bodyLimit = 8 << 20;
     auto server = links::startHttpServer(
         context, options.address, [&member](HttpRequest request) { return member.handle(std::move(request)); }, serverOptions);
@@ -660,6 +660,6 @@
         fmt::print(stderr, "{}\n", server.error());
         return 1;
     }
-    asio::co_spawn(context, member.pullForever(), asio::detached);
+    asio::co_spawn(context, member.runReplication(), asio::detached);
     context.run();
 }
--- a/tests/standins/platform.cpp
+++ b/tests/standins/platform.cpp
@@ -1,5 +1,5 @@
-// Stand-in for the platform: a key-value service with compare-and-swap, leases and watches, and the host list under
-// platform/hosts/. Counts each call, a waiting watch as one. Tests can make it down, slow, lossy or cut off.
+// Stand-in for the platform: a key-value store with compare-and-swap, leases and watches, and the host list under
+// platform/hosts/. Tests can stop it, delay or drop replies, and block hosts.
 #include "links/http.h"
 #include "links/json_fields.h"
 #include "standins/answers.h"
@@ -23,14 +23,14 @@
 using links::getString;
 using links::HttpRequest;
 using links::HttpResponse;
-using standins::answerJson;
-using standins::dropAnswer;
+using standins::makeDroppedResponse;
+using standins::makeJsonResponse;
 
 namespace {
 
-constexpr size_t kValueLimit = 1 << 20; // bytes
+constexpr size_t kMaxValueBytes = 1 << 20; // bytes
 
-struct Stored {
+struct StoredValue {
     std::string value;
     uint64_t revision { 0 };
     uint64_t lease { 0 };
@@ -38,7 +38,7 @@
 
 struct StoreEvent {
     std::string key;
-    Stored stored;
+    StoredValue stored;
     bool isDeleted { false };
 };
 
@@ -58,18 +58,18 @@
             co_return handleAdmin(request.path, *body);
         ++m_calls;
         ++m_callsByPath[request.path];
-        if (m_isDown || m_cut.contains(request.from))
-            co_return dropAnswer();
+        if (m_isDown || m_blockedPeers.contains(request.from))
+            co_return makeDroppedResponse();
         if (m_delay.count() > 0)
             co_await base::sleepFor(m_delay);
         if (request.path == "/kv/cas")
-            co_await gatherSwaps();
+            co_await waitForConcurrentSwaps();
         auto answer = co_await handleStore(request.path, *body);
-        if (m_isDown || m_cut.contains(request.from))
-            co_return dropAnswer();
-        if (m_loseAnswers > 0 && request.path == "/kv/cas") {
-            --m_loseAnswers;
-            co_return dropAnswer();
+        if (m_isDown || m_blockedPeers.contains(request.from))
+            co_return makeDroppedResponse();
+        if (m_repliesToDrop > 0 && request.path == "/kv/cas") {
+            --m_repliesToDrop;
+            co_return makeDroppedResponse();
         }
         co_return answer;
     }
@@ -89,12 +89,12 @@
     }
 
 private:
-    // Holds swaps until as many have come as the test wants at once.
-    asio::awaitable<void> gatherSwaps()
+    // Delays compare-and-swap calls until the requested number has arrived, so that they run concurrently.
+    asio::awaitable<void> waitForConcurrentSwaps()
     {
         ++m_arrivedSwaps;
         auto until = Clock::now() + milliseconds(5000);
-        while (m_arrivedSwaps < m_gatheredSwaps && Clock::now() < until)
+        while (m_arrivedSwaps < m_expectedSwaps && Clock::now() < until)
             co_await base::sleepFor(milliseconds(5));
     }
 
@@ -110,14 +110,14 @@
             co_return co_await watch(body);
         if (path == "/lease/grant") {
             m_leases[++m_nextLease] = Clock::now() + milliseconds(getNumber(body, "ttlMs"));
-            co_return answerJson({ { "lease", m_nextLease } });
+            co_return makeJsonResponse({ { "lease", m_nextLease } });
         }
         if (path == "/lease/keepalive") {
             auto it = m_leases.find(getNumber(body, "lease"));
             if (it == m_leases.end())
-                co_return answerJson({ { "error", "lease is over" } }, 404);
+                co_return makeJsonResponse({ { "error", "lease has expired" } }, 404);
             it->second = Clock::now() + milliseconds(getNumber(body, "ttlMs"));
-            co_return answerJson({});
+            co_return makeJsonResponse({});
         }
         co_return HttpResponse { 404, "{}" };
     }
@@ -126,8 +126,8 @@
     {
         auto it = m_data.find(key);
         if (it == m_data.end())
-            return answerJson({ { "revision", 0 } });
-        return answerJson({ { "value", it->second.value }, { "revision", it->second.revision } });
+            return makeJsonResponse({ { "revision", 0 } });
+        return makeJsonResponse({ { "value", it->second.value }, { "revision", it->second.revision } });
     }
 
     HttpResponse list(const json::object& body) const
@@ -137,21 +137,21 @@
             for (auto it = m_data.lower_bound(prefix); it != m_data.end() && it->first.starts_with(prefix); ++it)
                 entries.push_back({ { "key", it->first }, { "value", it->second.value }, { "revision", it->second.revision } });
         }
-        return answerJson({ { "entries", std::move(entries) }, { "revision", m_revision } });
+        return makeJsonResponse({ { "entries", std::move(entries) }, { "revision", m_revision } });
     }
 
     HttpResponse compareAndSwap(const json::object& body)
     {
         auto key = getString(body, "key");
         auto value = getString(body, "value");
-        if (value.size() > kValueLimit)
-            return answerJson({ { "error", "value is too large" } }, 413);
+        if (value.size() > kMaxValueBytes)
+            return makeJsonResponse({ { "error", "value is too large" } }, 413);
         auto it = m_data.find(key);
-        auto current = it == m_data.end() ? Stored {} : it->second;
+        auto current = it == m_data.end() ? StoredValue {} : it->second;
         if (current.revision != getNumber(body, "expectRevision"))
-            return answerJson({ { "swapped", false }, { "value", current.value }, { "revision", current.revision } });
+            return makeJsonResponse({ { "swapped", false }, { "value", current.value }, { "revision", current.revision } });
         put(key, value, getNumber(body, "lease"));
-        return answerJson({ { "swapped", true }, { "revision", m_revision } });
+        return makeJsonResponse({ { "swapped", true }, { "revision", m_revision } });
     }
 
     void put(const std::string& key, const std::string& value, uint64_t lease)
@@ -203,20 +203,20 @@
         auto prefixes = getPrefixes(body);
         auto after = getNumber(body, "afterRevision");
         auto until = Clock::now() + milliseconds(getNumber(body, "waitMs"));
-        auto interrupted = m_watchEpoch;
+        auto startEpoch = m_watchEpoch;
         for (;;) {
             if (after < m_compacted)
-                co_return answerJson({ { "compacted", true }, { "revision", m_revision } });
+                co_return makeJsonResponse({ { "compacted", true }, { "revision", m_revision } });
             auto events = collect(prefixes, after);
-            if (!events.empty() || Clock::now() >= until || interrupted != m_watchEpoch)
-                co_return answerJson({ { "events", std::move(events) }, { "revision", m_revision } });
+            if (!events.empty() || Clock::now() >= until || startEpoch != m_watchEpoch)
+                co_return makeJsonResponse({ { "events", std::move(events) }, { "revision", m_revision } });
             asio::steady_timer timer(m_context);
             timer.expires_at(until);
             m_waiters.push_back(&timer);
             co_await timer.async_wait(asio::as_tuple(asio::use_awaitable));
             std::erase(m_waiters, &timer);
             if (m_isDown)
-                co_return dropAnswer();
+                co_return makeDroppedResponse();
         }
     }
 
@@ -237,36 +237,36 @@
             if (body.contains("down"))
                 m_isDown = links::getBool(body, "down");
             if (body.contains("gatherSwaps")) {
-                m_gatheredSwaps = getNumber(body, "gatherSwaps");
+                m_expectedSwaps = getNumber(body, "gatherSwaps");
                 m_arrivedSwaps = 0;
             }
             if (body.contains("delayMs"))
                 m_delay = milliseconds(getNumber(body, "delayMs"));
             if (body.contains("loseAnswers"))
-                m_loseAnswers = getNumber(body, "loseAnswers");
-            standins::readCut(body, m_cut);
+                m_repliesToDrop = getNumber(body, "loseAnswers");
+            standins::applyBlockedPeers(body, m_blockedPeers);
             ++m_watchEpoch;
             for (auto* it : m_waiters)
                 it->cancel();
-            return answerJson({});
+            return makeJsonResponse({});
         }
         if (path == "/admin/compact") {
             compact(m_revision);
-            return answerJson({});
+            return makeJsonResponse({});
         }
-        if (path == "/admin/put") { // what the platform itself writes: the host list, after its lag
+        if (path == "/admin/put") { // a write by the platform itself, such as the host list
             auto key = getString(body, "key");
             auto value = getString(body, "value");
-            asio::co_spawn(m_context, putLate(key, value, milliseconds(getNumber(body, "lagMs"))), asio::detached);
-            return answerJson({});
+            asio::co_spawn(m_context, putAfterDelay(key, value, milliseconds(getNumber(body, "lagMs"))), asio::detached);
+            return makeJsonResponse({});
         }
         json::object calls;
         for (auto& [name, n] : m_callsByPath)
             calls[name] = n;
-        return answerJson({ { "calls", m_calls }, { "byPath", std::move(calls) }, { "revision", m_revision } });
+        return makeJsonResponse({ { "calls", m_calls }, { "byPath", std::move(calls) }, { "revision", m_revision } });
     }
 
-    asio::awaitable<void> putLate(std::string key, std::string value, milliseconds lag)
+    asio::awaitable<void> putAfterDelay(std::string key, std::string value, milliseconds lag)
     {
         if (lag.count() > 0)
             co_await base::sleepFor(lag);
@@ -274,20 +274,20 @@
     }
 
     asio::io_context& m_context;
-    std::map<std::string, Stored> m_data;
+    std::map<std::string, StoredValue> m_data;
     std::deque<StoreEvent> m_events;
     std::map<uint64_t, Clock::time_point> m_leases;
     std::vector<asio::steady_timer*> m_waiters;
-    std::set<std::string> m_cut;
+    std::set<std::string> m_blockedPeers;
     std::map<std::string, uint64_t> m_callsByPath;
     uint64_t m_revision { 0 };
     uint64_t m_compacted { 0 };
     uint64_t m_nextLease { 0 };
     uint64_t m_calls { 0 };
-    uint64_t m_loseAnswers { 0 };
+    uint64_t m_repliesToDrop { 0 };
     uint64_t m_watchEpoch { 0 };
     milliseconds m_delay { 0 };
-    uint64_t m_gatheredSwaps { 0 };
+    uint64_t m_expectedSwaps { 0 };
     uint64_t m_arrivedSwaps { 0 };
     bool m_isDown { false };
 };
@@ -297,7 +297,7 @@
 int main(int argc, char** argv)
 {
     TCLAP::CmdLine command("Stand-in for the platform's key-value service and host list.", ' ', ALDERWARD_VERSION);
-    TCLAP::ValueArg<std::string> address("", "address", "Where to listen", true, "", "ip:port", command);
+    TCLAP::ValueArg<std::string> address("", "address", "Listening address", true, "", "ip:port", command);
     command.parse(argc, argv);
     asio::io_context context(1);
     Platform platform(context);
