--- a/tests/bench/bench.cpp
+++ b/tests/bench/bench.cpp
@@ -1,5 +1,4 @@
-// Measurements: each command starts a system of stand-ins and hosts, loads it for a bounded time and prints figures.
-// Run one by name: bench throughput | memory | reads | gap | records | control | groups | placement | membership | overload | sync | storm | fairness | homes | quiet. See docs/MEASUREMENTS.md.
+// Runs one benchmark by name: bench throughput | memory | reads | gap | records | control | groups | placement | membership | overload | sync | storm | fairness | homes | quiet. See docs/MEASUREMENTS.md.
 #include "bench/measure.h"
 #include <cstdlib>
 #include <fmt/format.h>
--- a/tests/bench/control.cpp
+++ b/tests/bench/control.cpp
@@ -1,4 +1,4 @@
-// Measurements of control: exchanges, records, probes, placement.
+// Benchmarks of the control plane: exchanges, records, probes, placement.
 #include "bench/measure.h"
 #include "decisions/membership.h"
 #include "decisions/placement.h"
@@ -19,7 +19,7 @@
 
 using namespace harness;
 
-// ---- spread of records ----
+// ---- propagation of records ----
 
 void measureRecords(int changes, int delayMs)
 {
@@ -44,14 +44,14 @@
         times.push_back(isEverywhere ? getMs(Clock::now() - applied) : 99999);
     }
     std::ranges::sort(times);
-    fmt::print("{} changes, 9 hosts, each call of the platform {} ms later: median {:.0f} ms, p90 {:.0f} ms, worst {:.0f} ms until in force everywhere\n", changes, delayMs, getMedian(times), times[times.size() * 9 / 10], times.back());
+    fmt::print("{} changes, 9 hosts, platform replies delayed by {} ms: median {:.0f} ms, p90 {:.0f} ms, worst {:.0f} ms until active on all hosts\n", changes, delayMs, getMedian(times), times[times.size() * 9 / 10], times.back());
 }
 
-// ---- control at several sizes ----
+// ---- control traffic by number of hosts ----
 
 namespace {
 
-// Sums of the counters of all hosts, to be subtracted from each other.
+// Counters summed over all hosts.
 struct ControlCounts {
     static constexpr std::array kNames { "exchange_bytes", "exchange_host_bytes", "exchange_record_bytes", "exchange_group_bytes", "exchanges", "probes", "probe_bytes", "confirmation_bytes", "platform_bytes" };
     std::map<std::string, uint64_t> counts {};
@@ -75,7 +75,7 @@
     return it;
 }
 
-// Milliseconds from now until every host has this version of the first group's record in force.
+// Waits until the first group's record has this version on every host; returns the time in ms.
 static double waitForVersion(Cluster& cluster, uint64_t version)
 {
     auto began = Clock::now();
@@ -90,7 +90,7 @@
     return getMs(Clock::now() - began);
 }
 
-// Changes the first group's record with the operators' tool; returns the new version.
+// Changes the first group's record with alderctl; returns the new version.
 uint64_t applyChange(Cluster& cluster, int slots)
 {
     auto path = cluster.writeRecord(cluster.getOptions().groups.front(), [slots](json::object& record) { record["slots"] = slots; });
@@ -107,7 +107,7 @@
         Cluster cluster(options);
         cluster.startAll();
         auto agree = getMs(Clock::now() - began);
-        // All hosts joined at once: wait until that news has been told.
+        // Waits until the updates on the joined hosts are no longer transmitted.
         std::this_thread::sleep_for(milliseconds(4000 + 700 * hosts));
         auto before = readControlCounts(cluster);
         std::this_thread::sleep_for(milliseconds(10000));
@@ -123,9 +123,9 @@
     }
 }
 
-// ---- control by groups for each home ----
+// ---- control traffic by number of groups ----
 
-// Busy: each group gets about 240 statements a second, a third of them writes, over all hosts.
+// A third of the statements are writes; all hosts receive statements of all groups.
 static LoadResult loadGroups(Cluster& cluster, unsigned groups, milliseconds time)
 {
     LoadOptions load;
@@ -148,7 +148,7 @@
 
 void measureGroups()
 {
-    fmt::print("3 hosts, each a home of all groups; figures of the mean host\n{:>7} {:>8} {:>8} {:>12} {:>10} {:>10} {:>12} {:>9}\n", "groups", "callers", "cpu %", "resident MB", "probes/s", "probe B/s", "confirm B/s", "served/s");
+    fmt::print("3 hosts, each a home of all groups; mean figures of a host\n{:>7} {:>8} {:>8} {:>12} {:>10} {:>10} {:>12} {:>9}\n", "groups", "callers", "cpu %", "resident MB", "probes/s", "probe B/s", "confirm B/s", "served/s");
     for (unsigned count : { 1U, 4U, 8U, 16U }) {
         ClusterOptions options;
         for (unsigned i = 0; i < count; ++i) {
@@ -174,12 +174,12 @@
     }
 }
 
-// ---- placement at the size of the target ----
+// ---- cost of placement by number of hosts ----
 
 void measurePlacement()
 {
     using namespace alderward::decisions;
-    fmt::print("{:>7} {:>22} {:>22}\n", "hosts", "us a group, all front", "us a group, 24 front");
+    fmt::print("{:>7} {:>22} {:>22}\n", "hosts", "us per group, any host", "us per group, 24 hosts");
     for (unsigned hosts : { 9U, 100U, 500U, 2000U }) {
         std::vector<PlacedHost> live;
         for (unsigned i = 0; i < hosts; ++i)
@@ -207,7 +207,7 @@
     }
 }
 
-// ---- membership at the size of the target ----
+// ---- cost of membership by number of hosts ----
 
 static alderward::decisions::Membership makeMembershipOfHosts(unsigned hosts)
 {
@@ -219,15 +219,15 @@
         news.push_back({ fmt::format("h{:04}", i), 1, HostState::Alive, fmt::format("dc{}", i % 9), fmt::format("10.0.{}.{}:7001", i / 250, i % 250), fmt::format("10.0.{}.{}:7000", i / 250, i % 250), fmt::format("10.0.{}.{}:7002", i / 250, i % 250) });
     applyHostUpdates(membership, news, now);
     for (auto& [name, known] : membership.hosts)
-        known.remainingTransmissions = 0; // quiet times
+        known.remainingTransmissions = 0; // steady state
     return membership;
 }
 
-// What one host does twice a second, without the messages; and what it holds.
+// Computation of a membership round on one host, without messages, and memory of the membership.
 void measureMembership()
 {
     using namespace alderward::decisions;
-    fmt::print("{:>7} {:>14} {:>16} {:>14} {:>14}\n", "hosts", "us a round", "of it partners", "us by parts", "KB a host");
+    fmt::print("{:>7} {:>14} {:>16} {:>14} {:>14}\n", "hosts", "us per round", "of it partners", "us of digests", "KB per host");
     for (unsigned hosts : { 9U, 100U, 500U, 2000U }) {
         constexpr int kRounds = 500;
         constexpr size_t kCopies = 20;
@@ -255,9 +255,9 @@
     }
 }
 
-// ---- a host that missed one change ----
+// ---- synchronization of a host that missed a change ----
 
-// Retired records cost nothing but their place in the configuration.
+// Retired records add to the configuration without any group being served.
 static void writeRetiredRecords(Cluster& cluster, unsigned count, unsigned version)
 {
     Client platform(cluster.getPlatformAddress());
@@ -268,11 +268,11 @@
     }
 }
 
-// Bytes that the fleet exchanges until a host that was cut off during one change has it.
+// Bytes exchanged by all hosts until a host that was isolated during a change has received it.
 void measureSync()
 {
-    fmt::print("9 hosts; one is cut off for 1.5 s while one record of many changes; all bytes of exchanges in the 6 s after that\n");
-    fmt::print("{:>8} {:>12} {:>12} {:>12} {:>10}\n", "records", "of records", "of hosts", "in all", "quiet");
+    fmt::print("9 hosts; one is isolated for 1.5 s while one of many records changes; bytes of all exchanges in the following 6 s\n");
+    fmt::print("{:>8} {:>12} {:>12} {:>12} {:>10}\n", "records", "of records", "of hosts", "in total", "idle");
     for (unsigned count : { 100U, 1000U, 3000U }) {
         Cluster cluster(makeSahyogOptions(9));
         cluster.startAll();
--- a/tests/bench/faults.cpp
+++ b/tests/bench/faults.cpp
@@ -1,4 +1,4 @@
-// Measurements of members that fail, or only look like it.
+// Benchmarks with failed, slow and lagging members.
 #include "bench/measure.h"
 #include <algorithm>
 #include <array>
@@ -28,7 +28,7 @@
 
 }
 
-// Times of the first events of the newest promotion, from the time line of all hosts, relative to `hitMs`.
+// Reads the phases of the promotion after `faultAtMs` from the timelines of all hosts.
 static void readGapPhases(Cluster& cluster, uint64_t faultAtMs, Gap& gap)
 {
     double began = 0;
@@ -136,9 +136,9 @@
     }
 }
 
-// ---- an outage of the primary that nothing replaces ----
+// ---- outage of a primary without promotion ----
 
-// Counters of all hosts once a second; the primary is frozen for ten seconds with promotions off, then wakes.
+// Prints the counters of all hosts once a second while the primary is frozen and resumed, with promotions off.
 void measureStorm()
 {
     auto options = makeSmallOptions();
@@ -181,7 +181,7 @@
     }
 }
 
-// ---- no promotion without need ----
+// ---- no unnecessary promotion ----
 
 void measureQuiet(int seconds)
 {
@@ -208,7 +208,7 @@
         return n % 3 == 0 ? makeWrite(group, "k") : makeRead(group, "k");
     };
     auto result = runLoad(load);
-    fmt::print("{} s of load with members slowed to 0..60 ms and lagging 0..800 ms: {} statements served, {} promotions\n", seconds, result.latencies.size(), cluster.sumMetric("promotions"));
+    fmt::print("{} s of load, members with service times of 0..60 ms and lags of 0..800 ms: {} statements served, {} promotions\n", seconds, result.latencies.size(), cluster.sumMetric("promotions"));
 }
 
 }
--- a/tests/bench/limits.cpp
+++ b/tests/bench/limits.cpp
@@ -1,4 +1,4 @@
-// Measurements with more callers than slots.
+// Benchmarks with more callers than slots.
 #include "bench/measure.h"
 #include <algorithm>
 #include <array>
@@ -28,7 +28,7 @@
     std::vector<std::string> addresses;
     for (unsigned i = 0; i < options.hosts; ++i)
         addresses.push_back(cluster.getCallerAddress(i));
-    fmt::print("writes of 4 ms on 2 slots: capacity about 500/s less overhead; deadline 500 ms; callers come back when told\n");
+    fmt::print("writes of 4 ms on 2 slots: capacity about 500/s less overhead; deadline 500 ms; callers retry after the given time\n");
     fmt::print("{:>9} {:>10} {:>9} {:>9} {:>11} {:>9}\n", "callers", "served/s", "p50 ms", "p99 ms", "refused/s", "unknown");
     for (unsigned callers : { 2U, 4U, 10U, 20U, 100U, 300U, 600U }) {
         LoadOptions load { addresses, callers, milliseconds(6000) };
@@ -54,7 +54,7 @@
     std::fflush(stdout);
 }
 
-// A few callers beside a crowd: in another group, and of the other kind in the same group and at the same member.
+// Runs a few callers next to many others: in another group, and with the other kind of statement at the same member.
 void measureFairness()
 {
     auto options = makeSmallOptions();
@@ -79,24 +79,24 @@
         };
         return load;
     };
-    auto runTwo = [](const LoadOptions& few, const LoadOptions& crowd) {
+    auto runConcurrently = [](const LoadOptions& foreground, const LoadOptions& background) {
         LoadResult results[2];
-        std::jthread other([&] { results[1] = runLoad(crowd); });
-        results[0] = runLoad(few);
+        std::jthread other([&] { results[1] = runLoad(background); });
+        results[0] = runLoad(foreground);
         other.join();
         return std::pair(results[0], results[1]);
     };
-    fmt::print("statements of 4 ms, 2 slots a member, deadline 500 ms, 6 s each; reads of age 0 go to the primary\n");
+    fmt::print("statements of 4 ms, 2 slots per member, deadline 500 ms, 6 s each; reads of age 0 go to the primary\n");
     fmt::print("{:<44} {:>9} {:>8} {:>8} {:>10}\n", "callers", "served/s", "p50 ms", "p99 ms", "refused/s");
     printShare("4 writers of bills, alone", runLoad(makeLoad("bills", true, 4)));
-    auto [quiet, crowd] = runTwo(makeLoad("bills", true, 4), makeLoad("orders", true, 200));
-    printShare("4 writers of bills, beside the next line", quiet);
-    printShare("200 writers of orders", crowd);
-    auto [writers, readers] = runTwo(makeLoad("orders", true, 4), makeLoad("orders", false, 200));
-    printShare("4 writers of orders, beside the next line", writers);
+    auto [foreground, background] = runConcurrently(makeLoad("bills", true, 4), makeLoad("orders", true, 200));
+    printShare("4 writers of bills, at the same time", foreground);
+    printShare("200 writers of orders", background);
+    auto [writers, readers] = runConcurrently(makeLoad("orders", true, 4), makeLoad("orders", false, 200));
+    printShare("4 writers of orders, at the same time", writers);
     printShare("200 readers of orders' primary", readers);
-    auto [fewReaders, manyWriters] = runTwo(makeLoad("orders", false, 4), makeLoad("orders", true, 200));
-    printShare("4 readers of orders' primary, beside the next", fewReaders);
+    auto [fewReaders, manyWriters] = runConcurrently(makeLoad("orders", false, 4), makeLoad("orders", true, 200));
+    printShare("4 readers of orders' primary, at the same time", fewReaders);
     printShare("200 writers of orders", manyWriters);
 }
 
--- a/tests/bench/load.h
+++ b/tests/bench/load.h
@@ -1,4 +1,4 @@
-// A bounded load from many callers over one thread, for measurements and tests of overload.
+// Generates load from many callers on one thread for a bounded time.
 #pragma once
 #include "harness/harness.h"
 #include <functional>
@@ -12,12 +12,12 @@
 using std::chrono::milliseconds;
 
 struct LoadOptions {
-    std::vector<std::string> addresses; // callers take them in turn
+    std::vector<std::string> addresses; // assigned to callers round-robin
     unsigned callers { 1 };
-    milliseconds time { 1000 }; // then each caller ends after its request in flight
-    milliseconds pause { 0 }; // between two requests of a caller
+    milliseconds time { 1000 }; // callers finish their pending request after it
+    milliseconds pause { 0 }; // between requests of a caller
     std::string path { "/v1/statement" };
-    std::string firstPath {}; // sent once on each connection; empty: nothing
+    std::string firstPath {}; // first request on each connection; empty: none
     json::object firstBody {};
     bool keepsSession { false };
     bool obeysRetryAfter { false };
@@ -25,7 +25,7 @@
 };
 
 struct LoadResult {
-    std::vector<double> latencies {}; // ms, of served requests
+    std::vector<double> latencies {}; // ms, of successful requests
     std::map<std::string, uint64_t> kinds {}; // errors by kind
     double seconds { 0 };
 
@@ -36,7 +36,7 @@
 
 LoadResult runLoad(const LoadOptions& options);
 
-// Connections that made one request each and stay open; they close when the handle goes.
+// Opens connections that send one request each; they stay open until the returned handle is destroyed.
 std::shared_ptr<void> openIdleConnections(const std::string& address, unsigned count, const std::function<json::object(unsigned)>& makeBody);
 
 }
--- a/tests/bench/measure.h
+++ b/tests/bench/measure.h
@@ -1,5 +1,5 @@
-// The measurements that bench knows, and what several of them need. Each starts a system of stand-ins and hosts, loads it for
-// a bounded time and prints figures. See docs/MEASUREMENTS.md and docs/CAPACITY.md.
+// Benchmarks: each starts a system of stand-ins and hosts, loads it for a bounded time and prints figures. See
+// docs/MEASUREMENTS.md and docs/CAPACITY.md.
 #pragma once
 #include "bench/load.h"
 #include <chrono>
@@ -11,14 +11,14 @@
 
 using Clock = std::chrono::steady_clock;
 
-// ---- requests.cpp: what callers see ----
+// ---- requests.cpp: throughput, latency, memory ----
 void measureThroughput(unsigned threads);
 void measureMemory();
 void measureReadShare();
 void measureHomes();
 
-// ---- faults.cpp: members that fail, or only look like it ----
-void measureGap(int runs, const std::string& onlyFault); // onlyFault: killed, frozen, cut; empty: all
+// ---- faults.cpp: failed, slow and lagging members ----
+void measureGap(int runs, const std::string& onlyFault); // onlyFault: killed, frozen or cut; empty: all
 void measureStorm();
 void measureQuiet(int seconds);
 
@@ -26,9 +26,9 @@
 void measureOverload();
 void measureFairness();
 
-// ---- control.cpp: what hosts spend on each other, on members and on the platform ----
-void measureRecords(int changes, int delayMs); // delayMs: by which the platform answers each call later
-void measureControl(const std::vector<unsigned>& sizes); // sizes: hosts
+// ---- control.cpp: cost of exchanges, probes, configuration and platform calls ----
+void measureRecords(int changes, int delayMs); // delayMs: before each reply of the platform
+void measureControl(const std::vector<unsigned>& sizes); // sizes: numbers of hosts
 void measureGroups();
 void measurePlacement();
 void measureMembership();
@@ -36,15 +36,15 @@
 
 // ---- shared ----
 
-// What one process has used so far.
+// Resources used by a process.
 struct ProcessUsage {
-    double cpuSeconds { 0 }; // s, user and system
-    double residentMb { 0 }; // MB, now
+    double cpuSeconds { 0 }; // user and system
+    double residentMb { 0 };
 };
 
 ProcessUsage getProcessUsage(pid_t id);
 double getMs(Clock::duration time);
-double getMedian(std::vector<double> values); // 0 of none
+double getMedian(std::vector<double> values); // 0 if empty
 json::object makeRead(const std::string& group, const std::string& key);
 json::object makeWrite(const std::string& group, const std::string& key);
 
--- a/tests/bench/requests.cpp
+++ b/tests/bench/requests.cpp
@@ -1,4 +1,4 @@
-// Measurements of what callers see: throughput, memory, replicas, homes.
+// Benchmarks of requests: throughput, memory of connections, reads from replicas, homes.
 #include "bench/measure.h"
 #include <algorithm>
 #include <array>
@@ -69,7 +69,7 @@
 struct Mix {
     const char* name;
     double writes; // share of statements
-    double sessionReads; // share of reads that follow their session, the rest states an age
+    double sessionReads; // share of reads within the session; the others state a maximum age
     int maximumAgeMs;
 };
 
@@ -132,7 +132,7 @@
     }
 }
 
-// ---- homes against every host connecting ----
+// ---- chosen homes compared with all hosts as homes ----
 
 void measureHomes()
 {
--- a/tests/harness/harness.cpp
+++ b/tests/harness/harness.cpp
@@ -50,7 +50,7 @@
         int log = open(logPath.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0644);
         dup2(log, STDOUT_FILENO);
         dup2(log, STDERR_FILENO);
-        close_range(3, ~0U, 0); // stand-ins in this process may listen: a child must not keep their sockets open
+        close_range(3, ~0U, 0); // the child must not inherit listening sockets
         execv(argv[0], argv.data());
         _exit(127);
     }
@@ -169,7 +169,7 @@
     return received;
 }
 
-// ---- shapes ----
+// ---- options ----
 
 static std::vector<GroupOptions> makeGroups(const std::string& prefix, unsigned connections, unsigned slots, unsigned connectMs)
 {
@@ -219,8 +219,7 @@
     return isFree;
 }
 
-// Free ports below the ephemeral range: a port in that range can be taken by an outgoing connection of a process that was
-// started before the one that is to listen on it.
+// Avoids the ephemeral range, where outgoing connections may occupy a port before its process listens on it.
 std::vector<unsigned short> findFreePorts(size_t count)
 {
     constexpr unsigned kFirst = 12000;
@@ -368,7 +367,7 @@
 {
     auto answer = Client(address).post(path, body);
     if (answer.status != 200)
-        throw std::runtime_error("stand-in at " + address + " refused " + path);
+        throw std::runtime_error("stand-in at " + address + " did not accept " + path);
     return answer.body;
 }
 
@@ -470,7 +469,7 @@
 {
     std::vector<std::string> all { m_binaries + "/alderctl", "--platform", getPlatformAddress() };
     all.insert(all.end(), arguments.begin(), arguments.end());
-    static std::atomic<int> number { 0 }; // tests run two tools at once
+    static std::atomic<int> number { 0 }; // tests run the tool concurrently
     auto log = fmt::format("{}/tool-{}.log", m_folder, ++number);
     Process process(all, log);
     ToolResult run;
@@ -512,7 +511,7 @@
 {
     if (!body.contains("session"))
         body["session"] = m_session;
-    // A frozen host never answers: a caller's own patience ends a little after its deadline.
+    // A frozen host never answers, so the client times out shortly after the deadline.
     auto* deadline = body.if_contains("deadlineMs");
     auto limit = milliseconds(1500 + (deadline ? deadline->to_number<int>() : 5000));
     auto answer = m_client->post(path, body, limit);
--- a/tests/harness/harness.h
+++ b/tests/harness/harness.h
@@ -1,5 +1,5 @@
-// Starts stand-ins and hosts as separate processes and talks to them, for process tests, measurements and the demo.
-// Everything that it started it also ends, by process id.
+// Starts stand-ins and hosts as separate processes and sends requests to them, for process tests, benchmarks and the demo.
+// Ends every process that it started.
 #pragma once
 #include <boost/json.hpp>
 #include <chrono>
@@ -16,7 +16,7 @@
 namespace json = boost::json;
 using std::chrono::milliseconds;
 
-// One child process. Ends it (SIGKILL) when destroyed.
+// A child process; killed on destruction.
 class Process {
 public:
     Process(std::vector<std::string> arguments, std::string logPath);
@@ -24,7 +24,7 @@
     ~Process();
     void signal(int number);
     void kill(); // SIGKILL and wait
-    std::optional<int> wait(milliseconds limit); // exit code, or nothing if it still runs
+    std::optional<int> wait(milliseconds limit); // exit code, 128 + signal if killed; empty on timeout
     bool isRunning();
     pid_t getId() const { return m_id; }
 
@@ -33,12 +33,12 @@
 };
 
 struct Answer {
-    unsigned status { 0 }; // 0: the connection failed before or during the exchange
-    bool mayHaveArrived { false }; // for status 0
+    unsigned status { 0 }; // HTTP status; 0: the connection failed
+    bool mayHaveArrived { false }; // the server may have received the request; for status 0
     json::object body {};
 };
 
-// A keep-alive HTTP connection that blocks. Reconnects when the server closed it.
+// A blocking keep-alive HTTP client. Reconnects after the server closed the connection.
 class Client {
 public:
     explicit Client(std::string address);
@@ -46,7 +46,7 @@
     Answer post(const std::string& path, const json::object& body, milliseconds limit = milliseconds(10000));
     Answer get(const std::string& path, milliseconds limit = milliseconds(5000));
     std::string getText(const std::string& path);
-    // Sends bytes as they are and returns what comes back until the server closes or the time is up.
+    // Sends raw bytes and returns everything received until the server closes or the limit passes.
     std::string sendRaw(const std::string& bytes, milliseconds limit);
 
 private:
@@ -56,7 +56,7 @@
 
 struct GroupOptions {
     std::string name;
-    std::vector<std::string> members; // name; data centre by index
+    std::vector<std::string> members; // names; the index selects the data centre
     unsigned connections { 16 };
     unsigned slots { 2 };
     unsigned connectMs { 10 };
@@ -70,20 +70,20 @@
     std::vector<GroupOptions> groups;
     unsigned hosts { 3 };
     unsigned threads { 2 }; // request threads of each host
-    std::string extraSettings {}; // lines appended to each host's INI, by section
+    std::string extraSettings {}; // appended to each host's settings file; begins in section [debug]
 };
 
 ClusterOptions makeSahyogOptions(unsigned hosts = 7);
 ClusterOptions makeBatbayarOptions(unsigned hosts = 9);
 ClusterOptions makeSmallOptions(); // one group of three members, three hosts
 
-// A running system.
+// A system of hosts, members and a platform, each a process of its own.
 class Cluster {
 public:
     explicit Cluster(ClusterOptions options);
     ~Cluster();
 
-    void startAll(); // stand-ins, records, hosts; returns when every host serves every group
+    void startAll(); // returns when all groups have a primary and all hosts know each other; throws on timeout
     void startHost(size_t index);
     Process& getHost(size_t index) { return *m_hosts.at(index); }
     Process& getMember(const std::string& name) { return *m_members.at(name); }
@@ -98,32 +98,32 @@
     const ClusterOptions& getOptions() const { return m_options; }
     const std::string& getFolder() const { return m_folder; }
 
-    // ---- commands to stand-ins and hosts ----
+    // ---- test commands of stand-ins and hosts ----
     json::object setMember(const std::string& name, const json::object& body); // /admin/set
     json::object getMemberStats(const std::string& name);
     json::object setPlatform(const json::object& body);
     json::object getPlatformStats();
     void blockPeers(size_t index, const std::vector<std::string>& names);
-    // Tells the platform's list about a host or target.
+    // Writes the host's entry of the platform's host list after `lag`.
     void registerHost(const std::string& name, const json::object& value, milliseconds lag = milliseconds(0));
     void setHostLeaving(const std::string& name, bool isLeaving);
 
-    // ---- views ----
+    // ---- state of hosts ----
     json::object getStatus(size_t index);
-    std::string getPrimary(const std::string& group, size_t viewer); // as that host sees it; empty: none or not a home
+    std::string getPrimary(const std::string& group, size_t viewer); // as known to host `viewer`; empty: none known, or not a home
     std::vector<size_t> getHomes(const std::string& group);
     uint64_t getMetric(size_t index, const std::string& name);
     uint64_t sumMetric(const std::string& name);
     std::vector<json::object> getEvents(size_t index);
     bool hasEvent(size_t index, const std::string& kind, const std::string& group);
 
-    // ---- operators' tool ----
+    // ---- alderctl ----
     struct ToolResult {
         int code { -1 };
         std::string output {};
     };
     ToolResult runTool(const std::vector<std::string>& arguments);
-    std::string writeRecord(const GroupOptions& group, const std::function<void(json::object&)>& change = {}); // returns the path
+    std::string writeRecord(const GroupOptions& group, const std::function<void(json::object&)>& change = {}); // returns the file's path
     void applyRecord(const GroupOptions& group, const std::function<void(json::object&)>& change = {});
 
 private:
@@ -143,7 +143,7 @@
     std::vector<std::unique_ptr<Process>> m_hosts;
 };
 
-// A caller with a session of its own: keeps the token of the last answer.
+// A caller with a session: sends the session token of the previous answer.
 class Caller {
 public:
     explicit Caller(std::string address)
@@ -166,14 +166,14 @@
 std::string getRanField(const Answer& answer);
 std::string getResult(const Answer& answer);
 
-// Free ports on loopback, different ones.
+// Finds distinct free ports on loopback; throws if there are too few.
 std::vector<unsigned short> findFreePorts(size_t count);
-// A number from the environment, for runs by hand.
+// Value of an environment variable, or `fallback` if it is not set.
 int getEnvironmentNumber(const char* name, int fallback);
-// Memory of a process that is in use now, in KB; 0 if it does not run.
+// Resident memory of a process in KB; 0 if it is not running.
 size_t getResidentKb(pid_t id);
 
-// Polls until `condition` holds; returns whether it did within the limit.
+// Polls `condition`; returns whether it became true within the limit.
 bool waitUntil(milliseconds limit, const std::function<bool()>& condition);
 
 }
