--- a/tests/process/at_most_once_test.cpp
+++ b/tests/process/at_most_once_test.cpp
@@ -1,4 +1,4 @@
-// At most once: a request key lives in the database with its write, whatever dies on the way.
+// Writes with a request key run at most once, whichever process fails.
 #include "harness/harness.h"
 #include <boost/test/unit_test.hpp>
 #include <csignal>
@@ -8,7 +8,7 @@
 
 namespace {
 
-std::string countRuns(Cluster& cluster, size_t host, const std::string& key)
+std::string readAppendedValue(Cluster& cluster, size_t host, const std::string& key)
 {
     return getResult(Caller(cluster.getCallerAddress(host)).read("orders", "GET " + key));
 }
@@ -22,7 +22,7 @@
 
 BOOST_AUTO_TEST_SUITE(at_most_once)
 
-BOOST_AUTO_TEST_CASE(same_key_through_another_host_runs_once_and_answers_the_same)
+BOOST_AUTO_TEST_CASE(repeated_key_through_another_host_replays_the_first_answer)
 {
     Cluster cluster(makeSmallOptions());
     cluster.startAll();
@@ -32,10 +32,10 @@
     BOOST_TEST(second.status == 200u);
     BOOST_TEST(getResult(first) == getResult(second));
     BOOST_TEST(second.body.contains("replayed"));
-    BOOST_TEST(countRuns(cluster, 2, "sanctions") == "x");
+    BOOST_TEST(readAppendedValue(cluster, 2, "sanctions") == "x");
 }
 
-BOOST_AUTO_TEST_CASE(answer_lost_after_the_write_is_unknown_and_the_key_settles_it)
+BOOST_AUTO_TEST_CASE(write_with_a_lost_answer_is_unknown_until_the_key_is_settled)
 {
     Cluster cluster(makeSmallOptions());
     cluster.startAll();
@@ -45,13 +45,13 @@
     BOOST_TEST(getRanField(lost) == "unknown");
     auto again = Caller(cluster.getCallerAddress(1)).write("orders", "APPEND sanctions x", "s1");
     BOOST_TEST(again.status == 200u);
-    BOOST_TEST(countRuns(cluster, 0, "sanctions") == "x");
+    BOOST_TEST(readAppendedValue(cluster, 0, "sanctions") == "x");
     auto settled = settle(cluster, 2, "s1");
     BOOST_TEST(settled.status == 200u);
     BOOST_TEST(settled.body.at("ran").get_string() == "yes");
 }
 
-BOOST_AUTO_TEST_CASE(settling_as_not_run_closes_the_key_against_a_late_arrival)
+BOOST_AUTO_TEST_CASE(key_settled_as_not_run_rejects_a_late_write)
 {
     Cluster cluster(makeSmallOptions());
     cluster.startAll();
@@ -61,15 +61,15 @@
     auto late = Caller(cluster.getCallerAddress(1)).write("orders", "APPEND sanctions x", "late");
     BOOST_TEST(getErrorKind(late) == "key-closed");
     BOOST_TEST(getRanField(late) == "no");
-    BOOST_TEST(countRuns(cluster, 2, "sanctions") == "");
-    // It also holds after a change of primary.
+    BOOST_TEST(readAppendedValue(cluster, 2, "sanctions") == "");
+    // The key stays closed after a change of primary.
     cluster.getMember("orders-a").kill();
     auto after = Caller(cluster.getCallerAddress(1)).write("orders", "APPEND sanctions x", "late");
     BOOST_TEST(getErrorKind(after) == "key-closed", json::serialize(after.body));
 }
 
-// The host dies, or freezes, at many points of a write's way; the caller goes to another host with the same key.
-static void killOnTheWay(int signalNumber)
+// Kills or freezes a host at different points of a write; the caller retries the same key on another host.
+static void failHostsDuringWrites(int signalNumber)
 {
     auto options = makeSmallOptions();
     options.hosts = 7;
@@ -81,19 +81,19 @@
     for (int i = 0; i < 6; ++i) {
         auto victim = homes.at(static_cast<size_t>(i) % homes.size());
         auto key = "step-" + std::to_string(i);
-        std::thread hit([&] {
+        std::thread faultThread([&] {
             std::this_thread::sleep_for(milliseconds(2 * i + 1));
             cluster.getHost(victim).signal(signalNumber);
         });
         Caller(cluster.getCallerAddress(victim)).write("orders", "APPEND sanctions " + std::to_string(i), key, 700);
-        hit.join();
+        faultThread.join();
         size_t other = (victim + 1) % 7;
         auto again = Caller(cluster.getCallerAddress(other)).write("orders", "APPEND sanctions " + std::to_string(i), key, 5000);
         for (int n = 0; again.status != 200 && n < 5; ++n)
             again = Caller(cluster.getCallerAddress(other)).write("orders", "APPEND sanctions " + std::to_string(i), key, 5000);
         BOOST_TEST(again.status == 200u, json::serialize(again.body));
         expected += std::to_string(i);
-        BOOST_TEST(countRuns(cluster, other, "sanctions") == expected);
+        BOOST_TEST(readAppendedValue(cluster, other, "sanctions") == expected);
         if (signalNumber == SIGSTOP)
             cluster.getHost(victim).signal(SIGCONT);
         else {
@@ -102,19 +102,19 @@
         }
         BOOST_TEST(waitUntil(milliseconds(8000), [&] { return !cluster.getPrimary("orders", victim).empty() || Client(cluster.getOperatorAddress(victim)).get("/healthz", milliseconds(1000)).status == 200; }));
     }
-    // What the frozen hosts still had in hand changed nothing.
-    BOOST_TEST(countRuns(cluster, 0, "sanctions") == expected);
+    // Statements that the frozen hosts still held must not run again.
+    BOOST_TEST(readAppendedValue(cluster, 0, "sanctions") == expected);
     BOOST_TEST(cluster.sumMetric("invariant_violations") == 0u);
 }
 
-BOOST_AUTO_TEST_CASE(host_killed_on_the_way_of_a_write)
+BOOST_AUTO_TEST_CASE(write_runs_once_when_a_host_is_killed)
 {
-    killOnTheWay(SIGKILL);
+    failHostsDuringWrites(SIGKILL);
 }
 
-BOOST_AUTO_TEST_CASE(host_frozen_on_the_way_of_a_write)
+BOOST_AUTO_TEST_CASE(write_runs_once_when_a_host_is_frozen)
 {
-    killOnTheWay(SIGSTOP);
+    failHostsDuringWrites(SIGSTOP);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/process/random_run_test.cpp
+++ b/tests/process/random_run_test.cpp
@@ -1,6 +1,5 @@
-// A randomised run by seed: faults of all kinds, also together and twice, under load; a checker over the callers'
-// histories and the members' logs. The verdict rests on what was answered, never on how fast. CI runs one short seed for each
-// user; scripts/long-run runs longer ones (ALDERWARD_SEED, ALDERWARD_SECONDS).
+// Random faults under load, by seed; afterwards the callers' histories and the members' logs must be consistent. Response times
+// are not checked. ALDERWARD_SEED and ALDERWARD_SECONDS select other runs, as scripts/long-run does.
 #include "harness/harness.h"
 #include "links/json_fields.h"
 #include <atomic>
@@ -18,39 +17,39 @@
 
 namespace {
 
-// One write that a caller asked for: a mark appended to the caller's own key.
+// A write of a caller, which appends a unique marker to the caller's key.
 struct Attempt {
-    std::string mark;
+    std::string marker;
     bool wasAcknowledged { false };
-    bool isFinallyNotRun { false }; // settled, or answered "no" at its only try
+    bool isKnownNotRun { false }; // settled as not run, or answered so at its only attempt
 };
 
-// What one caller saw of its own key; appends by itself only, so the key's value is a list of its marks in order.
+// What a caller observed of its key. Only this caller appends, so the value is the list of its markers in order.
 struct History {
     std::string group;
     std::string key;
     std::vector<Attempt> attempts;
-    std::vector<std::string> complaints;
+    std::vector<std::string> violations;
 };
 
-std::string takeMark(const std::string& value, size_t index)
+std::string getMarker(const std::string& value, size_t index)
 {
     return value.substr(index * 6, 6);
 }
 
-// Each acknowledged mark must be in the value, once, in order; nothing that was told "not run" may be.
+// Each acknowledged marker must be in the value exactly once, and none that was answered as not run.
 void checkValue(History& history, const std::string& value, const std::string& when)
 {
     std::set<std::string> seen;
     for (size_t i = 0; i * 6 < value.size(); ++i) {
-        if (!seen.insert(takeMark(value, i)).second)
-            history.complaints.push_back(fmt::format("{}: {} ran twice", when, takeMark(value, i)));
+        if (!seen.insert(getMarker(value, i)).second)
+            history.violations.push_back(fmt::format("{}: {} ran twice", when, getMarker(value, i)));
     }
     for (auto& it : history.attempts) {
-        if (it.wasAcknowledged && !seen.contains(it.mark))
-            history.complaints.push_back(fmt::format("{}: {} was acknowledged and is gone", when, it.mark));
-        if (it.isFinallyNotRun && seen.contains(it.mark))
-            history.complaints.push_back(fmt::format("{}: {} was answered as not run and ran", when, it.mark));
+        if (it.wasAcknowledged && !seen.contains(it.marker))
+            history.violations.push_back(fmt::format("{}: {} was acknowledged but is missing", when, it.marker));
+        if (it.isKnownNotRun && seen.contains(it.marker))
+            history.violations.push_back(fmt::format("{}: {} was answered as not run but ran", when, it.marker));
     }
 }
 
@@ -89,22 +88,22 @@
     void write(size_t index)
     {
         Attempt attempt { fmt::format("{:06}", index) };
-        auto requestKey = m_history.key + attempt.mark;
-        bool wasEverUnknown = false;
+        auto requestKey = m_history.key + attempt.marker;
+        bool wasUnknownBefore = false;
         for (int n = 0; n < 6; ++n) {
-            auto answer = m_caller.write(m_history.group, "APPEND " + m_history.key + " " + attempt.mark, requestKey, 1500);
+            auto answer = m_caller.write(m_history.group, "APPEND " + m_history.key + " " + attempt.marker, requestKey, 1500);
             if (answer.status == 200) {
                 attempt.wasAcknowledged = true;
                 auto value = getResult(answer);
-                // The first run's answer ends with this mark, replayed or not.
-                if (value.size() < 6 || value.substr(value.size() - 6) != attempt.mark)
-                    m_history.complaints.push_back(fmt::format("{} was answered with another's result {}", attempt.mark, value));
+                // A replayed answer ends with this marker too.
+                if (value.size() < 6 || value.substr(value.size() - 6) != attempt.marker)
+                    m_history.violations.push_back(fmt::format("{} was answered with the result of another write: {}", attempt.marker, value));
                 break;
             }
             bool isNotRun = getRanField(answer) == "no" || (answer.status == 0 && !answer.mayHaveArrived);
-            wasEverUnknown = wasEverUnknown || !isNotRun;
-            if (isNotRun && !wasEverUnknown && m_random() % 4 == 0) {
-                attempt.isFinallyNotRun = true;
+            wasUnknownBefore = wasUnknownBefore || !isNotRun;
+            if (isNotRun && !wasUnknownBefore && m_random() % 4 == 0) {
+                attempt.isKnownNotRun = true;
                 break;
             }
             if (m_random() % 5 == 0 && settle(attempt, requestKey))
@@ -121,7 +120,7 @@
             return false;
         auto ran = getString(answer.body, "ran");
         attempt.wasAcknowledged = ran == "yes";
-        attempt.isFinallyNotRun = ran == "no";
+        attempt.isKnownNotRun = ran == "no";
         return true;
     }
 
@@ -131,7 +130,7 @@
     Caller m_caller;
 };
 
-// Brings faults about, and ends each after a while.
+// Injects random faults and ends each after a while.
 class FaultLoop {
 public:
     FaultLoop(Cluster& cluster, unsigned seed)
@@ -153,7 +152,7 @@
             m_cluster.getMember(member).signal(SIGCONT);
             break;
         case 1:
-            cutMember(group, member);
+            isolateMember(group, member);
             pause(1500);
             for (auto& it : group.members)
                 m_cluster.setMember(it, { { "cut", json::array() } });
@@ -179,7 +178,7 @@
         case 6:
             m_cluster.setMember(member, { { "lagMs", m_random() % 300 } });
             break;
-        default: // two at once: the primary freezes while a host dies
+        default: // two at once: a member freezes while a host is killed
             m_cluster.getMember(member).signal(SIGSTOP);
             m_cluster.getHost(host).kill();
             pause(1000);
@@ -193,11 +192,11 @@
 private:
     void pause(int most) { std::this_thread::sleep_for(milliseconds(most / 2 + static_cast<int>(m_random() % static_cast<unsigned>(most)))); }
 
-    void cutMember(const GroupOptions& group, const std::string& member)
+    void isolateMember(const GroupOptions& group, const std::string& member)
     {
         json::array all;
         for (unsigned i = 0; i < m_cluster.getOptions().hosts; ++i) {
-            if (m_random() % 3 != 0) // some hosts stay on its side
+            if (m_random() % 3 != 0) // some hosts can still reach the member
                 all.emplace_back(m_cluster.getHostName(i));
         }
         for (auto& it : group.members) {
@@ -213,7 +212,7 @@
     std::mt19937 m_random;
 };
 
-std::string readWhenCalm(Cluster& cluster, const History& history)
+std::string readAfterRecovery(Cluster& cluster, const History& history)
 {
     std::string value;
     bool isRead = waitUntil(milliseconds(30000), [&] {
@@ -225,7 +224,7 @@
     return value;
 }
 
-// The primary's log itself: each request key at most once.
+// The primary's log must contain each request key at most once, with terms that never decrease.
 void checkLog(Cluster& cluster, const GroupOptions& group)
 {
     std::string primary;
@@ -242,7 +241,7 @@
         auto& entry = it.get_object();
         auto key = getString(entry, "k");
         if (!key.empty())
-            BOOST_TEST(keys.insert(key).second, key + " stands twice in the log of " + primary);
+            BOOST_TEST(keys.insert(key).second, key + " appears twice in the log of " + primary);
         auto entryTerm = alderward::links::getNumber(entry, "t");
         BOOST_TEST(entryTerm >= term);
         term = entryTerm;
@@ -278,16 +277,16 @@
         it.join();
     size_t acknowledged = 0;
     for (auto& it : histories) {
-        checkValue(it, readWhenCalm(cluster, it), "end");
+        checkValue(it, readAfterRecovery(cluster, it), "end");
         for (auto& attempt : it.attempts)
             acknowledged += attempt.wasAcknowledged ? 1 : 0;
-        BOOST_TEST(it.complaints.empty(), (it.complaints.empty() ? "" : it.complaints.front()));
+        BOOST_TEST(it.violations.empty(), (it.violations.empty() ? "" : it.violations.front()));
     }
     for (auto& it : options.groups)
         checkLog(cluster, it);
     BOOST_TEST(cluster.sumMetric("invariant_violations") == 0u);
     BOOST_TEST(acknowledged > 0u);
-    BOOST_TEST_MESSAGE(fmt::format("seed {}: {} s, {} faults, {} writes acknowledged, {} promotions seen by living hosts", seed, seconds, count, acknowledged, cluster.sumMetric("promotions")));
+    BOOST_TEST_MESSAGE(fmt::format("seed {}: {} s, {} faults, {} writes acknowledged, {} promotions counted by running hosts", seed, seconds, count, acknowledged, cluster.sumMetric("promotions")));
 }
 
 }
--- a/tests/process/thin_path_test.cpp
+++ b/tests/process/thin_path_test.cpp
@@ -1,4 +1,4 @@
-// The thin path: a session's statement goes end to end through separate processes, also after roaming.
+// Statements of a session pass through separate processes, also after the caller switches hosts.
 #include "harness/harness.h"
 #include <boost/test/unit_test.hpp>
 
@@ -10,7 +10,7 @@
 {
     Cluster cluster(makeSmallOptions());
     cluster.startAll();
-    // One replica is quick, so that writes are acknowledged; the other is far behind.
+    // One replica acknowledges writes quickly; the other lags.
     cluster.setMember("orders-c", { { "lagMs", 3000 } });
     Caller caller(cluster.getCallerAddress(0));
     for (int i = 0; i < 20; ++i) {
--- a/tests/process/traces_test.cpp
+++ b/tests/process/traces_test.cpp
@@ -1,5 +1,5 @@
-// Traces of live runs, replayed at once: the decisions must come out as they did, on every home.
-// ALDERWARD_SAVE_TRACES=FOLDER keeps the first home's traces; tests/traces holds such files, replayed by unit/trace_test.cpp.
+// Replaying the trace of a live run must give the same decisions on every home. ALDERWARD_SAVE_TRACES=FOLDER saves the first
+// home's traces; unit/trace_test.cpp replays those in tests/traces.
 #include "decisions/trace.h"
 #include "harness/harness.h"
 #include <algorithm>
@@ -17,7 +17,7 @@
 ClusterOptions makeTracedOptions()
 {
     auto options = makeSmallOptions();
-    options.extraSettings = "trace_events = 20000\n"; // goes into [debug]
+    options.extraSettings = "trace_events = 20000\n"; // in section [debug]
     return options;
 }
 
@@ -57,7 +57,7 @@
 
 BOOST_AUTO_TEST_SUITE(traces)
 
-BOOST_AUTO_TEST_CASE(killed_primary)
+BOOST_AUTO_TEST_CASE(killed_primary_trace_replays_identically)
 {
     Cluster cluster(makeTracedOptions());
     cluster.startAll();
@@ -67,7 +67,7 @@
     BOOST_TEST(replayAll(cluster, "killed") >= 1u);
 }
 
-BOOST_AUTO_TEST_CASE(frozen_primary_that_wakes)
+BOOST_AUTO_TEST_CASE(frozen_and_resumed_primary_trace_replays_identically)
 {
     Cluster cluster(makeTracedOptions());
     cluster.startAll();
@@ -75,7 +75,7 @@
     cluster.getMember("orders-a").signal(SIGSTOP);
     write(cluster, "after");
     cluster.getMember("orders-a").signal(SIGCONT);
-    // Whichever home sees it first tells it; the others find that it follows already.
+    // One home is enough: after its order the others see a member that already follows.
     auto homes = cluster.getHomes("orders");
     BOOST_TEST(waitUntil(milliseconds(10000), [&] {
         return std::ranges::any_of(homes, [&](size_t it) { return cluster.hasEvent(it, "follow-sent", "orders"); });
@@ -83,7 +83,7 @@
     BOOST_TEST(replayAll(cluster, "frozen") >= 1u);
 }
 
-BOOST_AUTO_TEST_CASE(leaving_primary)
+BOOST_AUTO_TEST_CASE(leaving_primary_trace_replays_identically)
 {
     Cluster cluster(makeTracedOptions());
     cluster.startAll();
@@ -98,7 +98,7 @@
     BOOST_TEST(replayAll(cluster, "leaving") >= 1u);
 }
 
-BOOST_AUTO_TEST_CASE(slow_and_lagging_members)
+BOOST_AUTO_TEST_CASE(slow_and_lagging_members_trace_replays_identically)
 {
     Cluster cluster(makeTracedOptions());
     cluster.startAll();
