--- a/tests/gateway/accounts_test.cpp
+++ b/tests/gateway/accounts_test.cpp
@@ -160,7 +160,7 @@
         }
     }
     auto primary = rig.call([&] { return rig.getGroup().getPrimary(); });
-    BOOST_TEST(rig.call([&] { return rig.getGroup().getMaxConnections(primary); }) <= 12u);
+    BOOST_TEST(rig.call([&] { return rig.getGroup().getPeakConnections(primary); }) <= 12u);
 }
 
 // Callers without an account come in between: each still gets its connection at once, as those of accounts do.
--- a/tests/gateway/path_test.cpp
+++ b/tests/gateway/path_test.cpp
@@ -277,7 +277,7 @@
             BOOST_TEST(it->receive().isOk());
     }
     for (auto& id : rig.getGroup().getIds())
-        BOOST_TEST(rig.call([&] { return rig.getGroup().getMaxConnections(id); }) <= 10u);
+        BOOST_TEST(rig.call([&] { return rig.getGroup().getPeakConnections(id); }) <= 10u);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/standins/kv_store.cpp
+++ b/tests/standins/kv_store.cpp
@@ -51,7 +51,7 @@
     return text;
 }
 
-static HttpResponse makeAnswer(unsigned status, const json::value& body)
+static HttpResponse makeResponse(unsigned status, const json::value& body)
 {
     HttpResponse answer;
     answer.status = status;
@@ -94,9 +94,9 @@
 void KvStore::setLeaving(const std::string& member, bool isLeaving)
 {
     if (isLeaving)
-        m_leaving.insert(member);
+        m_leavingMembers.insert(member);
     else
-        m_leaving.erase(member);
+        m_leavingMembers.erase(member);
     registerMembers();
 }
 
@@ -104,7 +104,7 @@
 {
     for (auto* group : m_groups) {
         for (auto& id : group->getIds()) {
-            json::object entry { { "Service", group->getName() }, { "Address", group->getAddress(id) }, { "Zone", "dc-" + id.substr(id.size() - 1) }, { "Version", "v1" }, { "Slots", 4 }, { "State", m_leaving.contains(id) ? "draining" : "ready" }, { "ColdLeftMs", 0 }, { "DbRole", group->getPrimary() == id ? "primary" : "replica" }, { "Sequence", 1 }, { "born", kFirstStartMs + group->getStartCount(id) } };
+            json::object entry { { "Service", group->getName() }, { "Address", group->getAddress(id) }, { "Zone", "dc-" + id.substr(id.size() - 1) }, { "Version", "v1" }, { "Slots", 4 }, { "State", m_leavingMembers.contains(id) ? "draining" : "ready" }, { "ColdLeftMs", 0 }, { "DbRole", group->getPrimary() == id ? "primary" : "replica" }, { "Sequence", 1 }, { "born", kFirstStartMs + group->getStartCount(id) } };
             auto address = advertisedAddresses.find(group->getAddress(id));
             if (address != advertisedAddresses.end())
                 entry["Address"] = address->second;
@@ -147,7 +147,7 @@
         if (key.starts_with(prefix))
             items.push_back({ { "Key", key }, { "Value", encode(item.value) }, { "Revision", item.revision }, { "CreateRev", item.createRevision }, { "Lease", item.lease } });
     }
-    return makeAnswer(200, json::object { { "items", items }, { "HasMore", false }, { "CurrentRev", m_revision } });
+    return makeResponse(200, json::object { { "items", items }, { "HasMore", false }, { "CurrentRev", m_revision } });
 }
 
 asio::awaitable<HttpResponse> KvStore::watch(std::string prefix, uint64_t after, int waitMs)
@@ -155,7 +155,7 @@
     auto until = Clock::now() + milliseconds(waitMs);
     for (;;) {
         if (after < m_compactedRevision)
-            co_return makeAnswer(410, json::object {});
+            co_return makeResponse(410, json::object {});
         json::array events;
         for (auto& it : m_changes) {
             if (it.revision <= after || !it.key.starts_with(prefix))
@@ -167,7 +167,7 @@
         }
         bool isOver = Clock::now() >= until;
         if (!faults.hasSilentWatches && (!events.empty() || isOver))
-            co_return makeAnswer(200, json::object { { "events", events }, { "CurrentRev", m_revision } });
+            co_return makeResponse(200, json::object { { "events", events }, { "CurrentRev", m_revision } });
         co_await base::sleepFor(milliseconds(5));
     }
 }
@@ -187,11 +187,11 @@
             conflicts.push_back({ { "Key", key }, { "Value", encode(found->second.value) }, { "Revision", revision } });
     }
     if (!holds)
-        return makeAnswer(412, json::object { { "items", conflicts } });
+        return makeResponse(412, json::object { { "items", conflicts } });
     for (auto& it : request["Puts"].as_array()) {
         auto lease = it.as_object()["Lease"].to_number<uint64_t>();
         if (lease != 0 && !m_leases.contains(lease))
-            return makeAnswer(404, json::object {});
+            return makeResponse(404, json::object {});
     }
     for (auto& it : request["Puts"].as_array()) {
         auto& row = it.as_object();
@@ -199,7 +199,7 @@
     }
     for (auto& it : request["Deletes"].as_array())
         remove(std::string(it.as_string()));
-    return makeAnswer(200, json::object { { "Revision", m_revision } });
+    return makeResponse(200, json::object { { "Revision", m_revision } });
 }
 
 static std::string getHeader(const links::HttpRequest& request, const std::string& name)
@@ -236,7 +236,7 @@
     auto body = json::parse(request.body).as_object();
     promotion.group = body["Service"].as_string();
     promotion.member = body["Id"].as_string();
-    auto& highest = m_tokens[promotion.group];
+    auto& highest = m_highestTokens[promotion.group];
     promotion.status = promotion.token < highest ? 409 : 200;
     highest = std::max(highest, promotion.token);
     for (auto* group : m_groups) {
@@ -245,7 +245,7 @@
     }
     m_promotions.push_back(promotion);
     registerMembers();
-    return makeAnswer(promotion.status, json::object { { "Error", promotion.status == 409 ? "refused" : "" } });
+    return makeResponse(promotion.status, json::object { { "Error", promotion.status == 409 ? "refused" : "" } });
 }
 
 asio::awaitable<HttpResponse> KvStore::serve(links::HttpRequest request)
@@ -257,7 +257,7 @@
     auto& path = request.path;
     if (path == "/promote") {
         if (faults.refusesPromotions)
-            co_return makeAnswer(503, json::object {});
+            co_return makeResponse(503, json::object {});
         if (faults.ignoredHosts.contains(getOrderingHost(request)))
             co_return dropped;
         auto answer = promote(request);
@@ -268,15 +268,15 @@
     if (faults.isSilent)
         co_return dropped;
     if (faults.status != 0)
-        co_return makeAnswer(faults.status, json::object {});
+        co_return makeResponse(faults.status, json::object {});
     if (path.starts_with("/-/kv-key")) {
         auto key = getQueryParameter(path, "Key");
         if (faults.refusedKeys.contains(key))
-            co_return makeAnswer(503, json::object {});
+            co_return makeResponse(503, json::object {});
         auto it = m_items.find(key);
         if (it == m_items.end())
-            co_return makeAnswer(404, json::object {});
-        co_return makeAnswer(200, json::object { { "Key", key }, { "Value", encode(it->second.value) }, { "Revision", it->second.revision }, { "Lease", it->second.lease }, { "CurrentRev", m_revision } });
+            co_return makeResponse(404, json::object {});
+        co_return makeResponse(200, json::object { { "Key", key }, { "Value", encode(it->second.value) }, { "Revision", it->second.revision }, { "Lease", it->second.lease }, { "CurrentRev", m_revision } });
     }
     if (path.starts_with("/-/kv-range"))
         co_return list(getQueryParameter(path, "Prefix"));
@@ -294,16 +294,16 @@
     if (path == "/-/kv-lease") {
         milliseconds ttl(json::parse(request.body).as_object()["TtlMs"].to_number<int64_t>());
         m_leases[++m_lastLease] = { Clock::now() + ttl, ttl };
-        co_return makeAnswer(200, json::object { { "Lease", m_lastLease }, { "TtlMs", ttl.count() } });
+        co_return makeResponse(200, json::object { { "Lease", m_lastLease }, { "TtlMs", ttl.count() } });
     }
     if (path.starts_with("/-/kv-keep/")) {
         auto it = m_leases.find(std::stoull(path.substr(11)));
         if (it == m_leases.end())
-            co_return makeAnswer(404, json::object {});
+            co_return makeResponse(404, json::object {});
         it->second.first = Clock::now() + it->second.second;
-        co_return makeAnswer(200, json::object { { "TtlMs", it->second.second.count() } });
+        co_return makeResponse(200, json::object { { "TtlMs", it->second.second.count() } });
     }
-    co_return makeAnswer(404, json::object {});
+    co_return makeResponse(404, json::object {});
 }
 
 }
--- a/tests/standins/kv_store.h
+++ b/tests/standins/kv_store.h
@@ -77,8 +77,8 @@
     std::map<std::string, Item> m_items;
     std::vector<Change> m_changes;
     std::map<uint64_t, std::pair<std::chrono::steady_clock::time_point, milliseconds>> m_leases; // expiry and time to live
-    std::map<std::string, uint64_t> m_tokens; // highest fencing token seen, by group
-    std::set<std::string> m_leaving;
+    std::map<std::string, uint64_t> m_highestTokens; // fencing tokens, by group
+    std::set<std::string> m_leavingMembers;
     std::vector<PromotionRequest> m_promotions;
     uint64_t m_revision { 0 };
     uint64_t m_compactedRevision { 0 };
--- a/tests/standins/line_group.cpp
+++ b/tests/standins/line_group.cpp
@@ -34,7 +34,7 @@
     size_t appliedEntries { 0 };
     unsigned startCount { 0 };
     std::set<std::shared_ptr<Connection>> connections;
-    size_t maxConnections { 0 };
+    size_t peakConnections { 0 };
     unsigned busySlots { 0 };
     std::deque<std::function<void()>> queue;
     bool isRunning { false };
@@ -412,7 +412,7 @@
             return;
         auto connection = std::make_shared<Connection>(std::move(socket), *this, member);
         member.connections.insert(connection);
-        member.maxConnections = std::max(member.maxConnections, member.connections.size());
+        member.peakConnections = std::max(member.peakConnections, member.connections.size());
         connection->start();
         accept(member);
     });
@@ -442,7 +442,7 @@
 uint64_t LineGroup::getTerm() const { return m_impl->term; }
 MemberFaults& LineGroup::getFaults(const std::string& id) { return m_impl->members.at(id).faults; }
 size_t LineGroup::getConnectionCount(const std::string& id) const { return m_impl->members.at(id).connections.size(); }
-size_t LineGroup::getMaxConnections(const std::string& id) const { return m_impl->members.at(id).maxConnections; }
+size_t LineGroup::getPeakConnections(const std::string& id) const { return m_impl->members.at(id).peakConnections; }
 const std::vector<ExecutedStatement>& LineGroup::getExecutedStatements() const { return m_impl->executedStatements; }
 const std::map<std::string, std::string>& LineGroup::getItems() const { return m_impl->items; }
 uint64_t LineGroup::getCommitCount() const { return m_impl->commits; }
--- a/tests/standins/platform.cpp
+++ b/tests/standins/platform.cpp
@@ -28,7 +28,7 @@
 
 namespace {
 
-constexpr size_t kMaxValueBytes = 1 << 20; // bytes
+constexpr size_t kMaxValueBytes = 1 << 20;
 
 struct StoredValue {
     std::string value;
