--- a/tests/bench/bench.cpp
+++ b/tests/bench/bench.cpp
@@ -16,11 +16,11 @@
     else if (what == "reads")
         measureReadShare();
     else if (what == "gap")
-        measureGap(n ? n : 20, argc > 3 ? argv[3] : "");
+        measureFailoverGap(n ? n : 20, argc > 3 ? argv[3] : "");
     else if (what == "records")
-        measureRecords(n ? n : 100, argc > 3 ? std::atoi(argv[3]) : 0);
+        measureRecordPropagation(n ? n : 100, argc > 3 ? std::atoi(argv[3]) : 0);
     else if (what == "control")
-        measureControl(n ? std::vector<unsigned> { static_cast<unsigned>(n) } : std::vector<unsigned> { 9, 30, 60, 100 });
+        measureControlTraffic(n ? std::vector<unsigned> { static_cast<unsigned>(n) } : std::vector<unsigned> { 9, 30, 60, 100 });
     else if (what == "groups")
         measureGroups();
     else if (what == "placement")
@@ -30,15 +30,15 @@
     else if (what == "membership")
         measureMembership();
     else if (what == "sync")
-        measureSync();
+        measureResynchronization();
     else if (what == "storm")
-        measureStorm();
+        measureOutageWithoutPromotion();
     else if (what == "fairness")
         measureFairness();
     else if (what == "homes")
         measureHomes();
     else if (what == "quiet")
-        measureQuiet(n ? n : 600);
+        measureUnneededPromotions(n ? n : 600);
     else {
         fmt::print(stderr, "usage: bench throughput [threads]|memory|reads|gap [runs] [fault]|records [changes] [delay ms]|control [hosts]|groups|placement|membership|overload|sync|storm|fairness|homes|quiet [seconds]\n");
         return 2;
--- a/tests/bench/control.cpp
+++ b/tests/bench/control.cpp
@@ -21,7 +21,7 @@
 
 // ---- propagation of records ----
 
-void measureRecords(int changes, int delayMs)
+void measureRecordPropagation(int changes, int delayMs)
 {
     auto options = makeBatbayarOptions(9);
     Cluster cluster(options);
@@ -91,14 +91,14 @@
 }
 
 // Changes the first group's record with alderctl; returns the new version.
-uint64_t applyChange(Cluster& cluster, int slots)
+uint64_t applySlotsChange(Cluster& cluster, int slots)
 {
     auto path = cluster.writeRecord(cluster.getOptions().groups.front(), [slots](json::object& record) { record["slots"] = slots; });
     auto run = cluster.runTool({ "config", "apply", path });
     return std::stoull(run.output.substr(run.output.find("version ") + 8));
 }
 
-void measureControl(const std::vector<unsigned>& sizes)
+void measureControlTraffic(const std::vector<unsigned>& sizes)
 {
     fmt::print("{:>6} {:>7} {:>12} {:>12} {:>8} {:>10} {:>9} {:>10} {:>9} {:>13} {:>15} {:>11} {:>10}\n", "hosts", "cpu %", "resident MB", "exchange B/s", "of hosts", "of records", "of groups", "probe B/s", "confirm", "platform B/s", "platform calls/s", "spread ms", "agree ms");
     for (unsigned hosts : sizes) {
@@ -117,7 +117,7 @@
         double resident = 0;
         for (unsigned i = 0; i < hosts; ++i)
             resident = std::max(resident, getProcessUsage(cluster.getHost(i).getId()).residentMb);
-        auto spread = waitForVersion(cluster, applyChange(cluster, 3));
+        auto spread = waitForVersion(cluster, applySlotsChange(cluster, 3));
         fmt::print("{:>6} {:>7.2f} {:>12.1f} {:>12.0f} {:>8.0f} {:>10.0f} {:>9.0f} {:>10.0f} {:>9.0f} {:>13.0f} {:>15.2f} {:>11.0f} {:>10.0f}\n", hosts, 100 * (after.cpuSeconds - before.cpuSeconds) / seconds / hosts, resident, perHost("exchange_bytes"), perHost("exchange_host_bytes"), perHost("exchange_record_bytes"), perHost("exchange_group_bytes"), perHost("probe_bytes"), perHost("confirmation_bytes"), perHost("platform_bytes"), static_cast<double>(after.platformCalls - before.platformCalls) / seconds, spread, agree);
         std::fflush(stdout);
     }
@@ -126,7 +126,7 @@
 // ---- control traffic by number of groups ----
 
 // A third of the statements are writes; all hosts receive statements of all groups.
-static LoadResult loadGroups(Cluster& cluster, unsigned groups, milliseconds time)
+static LoadResult runGroupLoad(Cluster& cluster, unsigned groups, milliseconds time)
 {
     LoadOptions load;
     for (unsigned i = 0; i < 3; ++i)
@@ -162,7 +162,7 @@
             auto before = readControlCounts(cluster);
             double served = 0;
             if (isBusy)
-                served = loadGroups(cluster, count, milliseconds(8000)).getRate();
+                served = runGroupLoad(cluster, count, milliseconds(8000)).getRate();
             else
                 std::this_thread::sleep_for(milliseconds(8000));
             auto after = readControlCounts(cluster);
@@ -269,7 +269,7 @@
 }
 
 // Bytes exchanged by all hosts until a host that was isolated during a change has received it.
-void measureSync()
+void measureResynchronization()
 {
     fmt::print("9 hosts; one is isolated for 1.5 s while one of many records changes; bytes of all exchanges in the following 6 s\n");
     fmt::print("{:>8} {:>12} {:>12} {:>12} {:>10}\n", "records", "of records", "of hosts", "in total", "idle");
--- a/tests/bench/faults.cpp
+++ b/tests/bench/faults.cpp
@@ -19,7 +19,7 @@
 
 namespace {
 
-struct Gap {
+struct FailoverGap {
     double total { 0 };
     double detection { 0 };
     double fencing { 0 };
@@ -29,7 +29,7 @@
 }
 
 // Reads the phases of the promotion after `faultAtMs` from the timelines of all hosts.
-static void readGapPhases(Cluster& cluster, uint64_t faultAtMs, Gap& gap)
+static void readGapPhases(Cluster& cluster, uint64_t faultAtMs, FailoverGap& gap)
 {
     double began = 0;
     double promoted = 0;
@@ -50,7 +50,7 @@
     gap.promotion = gap.total - promoted;
 }
 
-static Gap measureSingleGap(ClusterOptions options, const std::string& fault, bool isPlatformUp)
+static FailoverGap measureSingleGap(ClusterOptions options, const std::string& fault, bool isPlatformUp)
 {
     options.groups.resize(1);
     auto group = options.groups.front();
@@ -102,7 +102,7 @@
     std::this_thread::sleep_for(milliseconds(200));
     mustStop = true;
     writers.clear();
-    Gap gap;
+    FailoverGap gap;
     auto first = Clock::time_point::max();
     for (auto& [sent, answered] : acknowledgedWrites) {
         if (answered > faultAt + milliseconds(30))
@@ -113,7 +113,7 @@
     return gap;
 }
 
-void measureGap(int runs, const std::string& onlyFault)
+void measureFailoverGap(int runs, const std::string& onlyFault)
 {
     fmt::print("{:<8} {:<10} {:>6} {:>5} {:>10} {:>10} {:>11} {:>10} {:>10}\n", "fault", "platform", "hosts", "runs", "median ms", "worst ms", "detection", "fencing", "promotion");
     for (unsigned hosts : { 7U, 9U }) {
@@ -139,7 +139,7 @@
 // ---- outage of a primary without promotion ----
 
 // Prints the counters of all hosts once a second while the primary is frozen and resumed, with promotions off.
-void measureStorm()
+void measureOutageWithoutPromotion()
 {
     auto options = makeSmallOptions();
     options.groups.front().promotion = R"({"mode":"off"})";
@@ -183,7 +183,7 @@
 
 // ---- no unnecessary promotion ----
 
-void measureQuiet(int seconds)
+void measureUnneededPromotions(int seconds)
 {
     auto options = makeSahyogOptions(7);
     Cluster cluster(options);
--- a/tests/bench/measure.h
+++ b/tests/bench/measure.h
@@ -18,21 +18,21 @@
 void measureHomes();
 
 // ---- faults.cpp: failed, slow and lagging members ----
-void measureGap(int runs, const std::string& onlyFault); // onlyFault: killed, frozen or cut; empty: all
-void measureStorm();
-void measureQuiet(int seconds);
+void measureFailoverGap(int runs, const std::string& onlyFault); // onlyFault: killed, frozen or cut; empty: all
+void measureOutageWithoutPromotion();
+void measureUnneededPromotions(int seconds);
 
 // ---- limits.cpp: more callers than slots ----
 void measureOverload();
 void measureFairness();
 
 // ---- control.cpp: cost of exchanges, probes, configuration and platform calls ----
-void measureRecords(int changes, int delayMs); // delayMs: before each reply of the platform
-void measureControl(const std::vector<unsigned>& sizes); // sizes: numbers of hosts
+void measureRecordPropagation(int changes, int delayMs); // delayMs: before each reply of the platform
+void measureControlTraffic(const std::vector<unsigned>& sizes); // sizes: numbers of hosts
 void measureGroups();
 void measurePlacement();
 void measureMembership();
-void measureSync();
+void measureResynchronization();
 
 // ---- shared ----
 
--- a/tests/harness/harness.cpp
+++ b/tests/harness/harness.cpp
@@ -252,7 +252,7 @@
     return 0;
 }
 
-static std::string findBinaries()
+static std::string findBinaryFolder()
 {
     if (auto* path = std::getenv("ALDERWARD_BINARIES"))
         return path;
@@ -261,7 +261,7 @@
 
 Cluster::Cluster(ClusterOptions options)
     : m_options(std::move(options))
-    , m_binaries(findBinaries())
+    , m_binaryFolder(findBinaryFolder())
 {
     static int number = 0;
     m_folder = fmt::format("{}/alderward-{}-{}", std::filesystem::temp_directory_path().string(), getpid(), ++number);
@@ -296,11 +296,11 @@
 
 void Cluster::startStandIns()
 {
-    m_platform = std::make_unique<Process>(std::vector<std::string> { m_binaries + "/tests/standin-platform", "--address", getPlatformAddress() }, m_folder + "/platform.log");
+    m_platform = std::make_unique<Process>(std::vector<std::string> { m_binaryFolder + "/tests/standin-platform", "--address", getPlatformAddress() }, m_folder + "/platform.log");
     for (auto& group : m_options.groups) {
         for (auto& it : group.members) {
             auto& primary = group.members.front();
-            std::vector<std::string> arguments { m_binaries + "/tests/standin-member", "--name", it, "--address", getMemberAddress(it), "--primary", primary, "--primary-address", getMemberAddress(primary), "--connections", std::to_string(group.connections), "--slots", std::to_string(group.slots), "--connect-ms", std::to_string(group.connectMs) };
+            std::vector<std::string> arguments { m_binaryFolder + "/tests/standin-member", "--name", it, "--address", getMemberAddress(it), "--primary", primary, "--primary-address", getMemberAddress(primary), "--connections", std::to_string(group.connections), "--slots", std::to_string(group.slots), "--connect-ms", std::to_string(group.connectMs) };
             if (!group.canFence)
                 arguments.emplace_back("--no-fence");
             m_members[it] = std::make_unique<Process>(arguments, m_folder + "/" + it + ".log");
@@ -330,7 +330,7 @@
 void Cluster::startHost(size_t index)
 {
     writeSettings(index);
-    m_hosts[index] = std::make_unique<Process>(std::vector<std::string> { m_binaries + "/alderward", "--settings", getSettingsPath(index) }, m_folder + "/" + getHostName(index) + ".log");
+    m_hosts[index] = std::make_unique<Process>(std::vector<std::string> { m_binaryFolder + "/alderward", "--settings", getSettingsPath(index) }, m_folder + "/" + getHostName(index) + ".log");
 }
 
 void Cluster::startAll()
@@ -467,7 +467,7 @@
 
 Cluster::ToolResult Cluster::runTool(const std::vector<std::string>& arguments)
 {
-    std::vector<std::string> all { m_binaries + "/alderctl", "--platform", getPlatformAddress() };
+    std::vector<std::string> all { m_binaryFolder + "/alderctl", "--platform", getPlatformAddress() };
     all.insert(all.end(), arguments.begin(), arguments.end());
     static std::atomic<int> number { 0 }; // tests run the tool concurrently
     auto log = fmt::format("{}/tool-{}.log", m_folder, ++number);
--- a/tests/harness/harness.h
+++ b/tests/harness/harness.h
@@ -134,7 +134,7 @@
 
     ClusterOptions m_options;
     std::string m_folder;
-    std::string m_binaries;
+    std::string m_binaryFolder;
     unsigned short m_platformPort { 0 };
     std::map<std::string, unsigned short> m_memberPorts;
     std::vector<unsigned short> m_callerPorts, m_peerPorts, m_operatorPorts;
