--- a/tests/bench/control.cpp
+++ b/tests/bench/control.cpp
@@ -278,9 +278,9 @@
         cluster.startAll();
         writeRetiredRecords(cluster, count, 1);
         std::this_thread::sleep_for(milliseconds(12000));
-        auto quietBefore = readControlCounts(cluster);
+        auto idleBefore = readControlCounts(cluster);
         std::this_thread::sleep_for(milliseconds(6000));
-        auto quietAfter = readControlCounts(cluster);
+        auto idleAfter = readControlCounts(cluster);
         unsigned host = 0;
         while (cluster.getStatus(host)["isWatcher"].as_bool())
             ++host;
@@ -295,7 +295,7 @@
         std::this_thread::sleep_for(milliseconds(6000));
         auto after = readControlCounts(cluster);
         auto n = [&](const char* name) { return after.counts[name] - before.counts[name]; };
-        fmt::print("{:>8} {:>12} {:>12} {:>12} {:>10}\n", count, n("exchange_record_bytes"), n("exchange_host_bytes"), n("exchange_bytes"), quietAfter.counts["exchange_bytes"] - quietBefore.counts["exchange_bytes"]);
+        fmt::print("{:>8} {:>12} {:>12} {:>12} {:>10}\n", count, n("exchange_record_bytes"), n("exchange_host_bytes"), n("exchange_bytes"), idleAfter.counts["exchange_bytes"] - idleBefore.counts["exchange_bytes"]);
         std::fflush(stdout);
     }
 }
--- a/tests/bench/limits.cpp
+++ b/tests/bench/limits.cpp
@@ -90,13 +90,13 @@
     fmt::print("{:<44} {:>9} {:>8} {:>8} {:>10}\n", "callers", "served/s", "p50 ms", "p99 ms", "refused/s");
     printShare("4 writers of bills, alone", runLoad(makeLoad("bills", true, 4)));
     auto [foreground, background] = runConcurrently(makeLoad("bills", true, 4), makeLoad("orders", true, 200));
-    printShare("4 writers of bills, at the same time", foreground);
+    printShare("4 writers of bills, with next line", foreground);
     printShare("200 writers of orders", background);
     auto [writers, readers] = runConcurrently(makeLoad("orders", true, 4), makeLoad("orders", false, 200));
-    printShare("4 writers of orders, at the same time", writers);
+    printShare("4 writers of orders, with next line", writers);
     printShare("200 readers of orders' primary", readers);
     auto [fewReaders, manyWriters] = runConcurrently(makeLoad("orders", false, 4), makeLoad("orders", true, 200));
-    printShare("4 readers of orders' primary, at the same time", fewReaders);
+    printShare("4 readers of orders' primary, with next line", fewReaders);
     printShare("200 writers of orders", manyWriters);
 }
 
--- a/tests/process/at_most_once_test.cpp
+++ b/tests/process/at_most_once_test.cpp
@@ -35,7 +35,7 @@
     BOOST_TEST(readAppendedValue(cluster, 2, "sanctions") == "x");
 }
 
-BOOST_AUTO_TEST_CASE(write_with_a_lost_answer_is_unknown_until_the_key_is_settled)
+BOOST_AUTO_TEST_CASE(write_with_a_lost_answer_is_unknown_and_resolved_by_its_key)
 {
     Cluster cluster(makeSmallOptions());
     cluster.startAll();
--- a/tests/process/traces_test.cpp
+++ b/tests/process/traces_test.cpp
@@ -36,7 +36,7 @@
 size_t replayAll(Cluster& cluster, const std::string& name)
 {
     size_t promotions = 0;
-    bool isSaved = false;
+    bool wasSaved = false;
     for (auto home : cluster.getHomes("orders")) {
         auto text = Client(cluster.getOperatorAddress(home)).getText("/debug/trace?group=orders");
         auto trace = decisions::parseTrace(text);
@@ -46,9 +46,9 @@
         BOOST_TEST(replay.firstDifference == "");
         auto ordered = std::ranges::count_if(replay.actions, [](const std::string& it) { return it.starts_with("promote "); });
         promotions += static_cast<size_t>(ordered);
-        if (!isSaved && (ordered > 0 || name == "slow"))
+        if (!wasSaved && (ordered > 0 || name == "slow"))
             save(name, text);
-        isSaved = isSaved || ordered > 0 || name == "slow";
+        wasSaved = wasSaved || ordered > 0 || name == "slow";
     }
     return promotions;
 }
