--- a/src/controllers/group_statements.cpp
+++ b/src/controllers/group_statements.cpp
@@ -149,7 +149,7 @@
     if (index >= m_members.size() || m_members[index].record.name != member)
         co_return fail(ErrorKind::OutcomeUnknown, "the record changed during the read");
     updateKnownPosition(index, answer->mark);
-    handlePiggybackedStatus(index, answer->glimpse, sentAt);
+    handlePiggybackedStatus(index, answer->piggybackedStatus, sentAt);
     base::checkInvariant(answer->mark.term >= request.mark.term, "a read was answered from an older term than its session has seen", m_name);
     Outcome outcome;
     outcome.result = std::move(answer->result);
@@ -272,7 +272,7 @@
     lease->release();
     pool->recordLatency(ranAt - sentAt);
     if (index < m_members.size() && m_members[index].record.name == member)
-        handlePiggybackedStatus(index, answer->glimpse, sentAt);
+        handlePiggybackedStatus(index, answer->piggybackedStatus, sentAt);
     Outcome outcome;
     outcome.result = std::move(answer->result);
     outcome.mark = answer->mark;
--- a/src/links/target.cpp
+++ b/src/links/target.cpp
@@ -85,7 +85,7 @@
     answer.mark = { getNumber(*object, "term"), getNumber(*object, "position") };
     answer.wasReplayed = getBool(*object, "replayed");
     answer.didRun = getBool(*object, "ran", true);
-    answer.glimpse = { getNumber(*object, "memberTerm"), getNumber(*object, "fencedTerm"), answer.mark };
+    answer.piggybackedStatus = { getNumber(*object, "memberTerm"), getNumber(*object, "fencedTerm"), answer.mark };
     return answer;
 }
 
--- a/src/links/target.h
+++ b/src/links/target.h
@@ -57,7 +57,7 @@
     Mark mark {}; // last entry of the member's log when it answered
     bool wasReplayed { false }; // the request key was known: this is the stored result of the first run
     bool didRun { true }; // settleKey() only; false: the write did not run, and the key is now closed
-    decisions::PiggybackedStatus glimpse {}; // term 0: the target does not report its term
+    decisions::PiggybackedStatus piggybackedStatus {}; // term 0: the target does not report its term
 };
 
 struct AwaitPositionResult {
