--- a/src/decisions/quota.cpp
+++ b/src/decisions/quota.cpp
@@ -27,36 +27,36 @@
 // [SECTION] Usage
 //-----------------------------------------------------------------------------
 
-void addUsage(UsageHistory& uses, TimePoint now)
+void addUsage(UsageHistory& history, TimePoint now)
 {
     // A bucket carries the time of its last operation, so it expires slightly late rather than early.
     auto getStep = [](TimePoint at) { return at.time_since_epoch() / kUsageBucketWidth; };
-    if (uses.empty() || getStep(uses.back().at) != getStep(now)) {
-        uses.push_back({ now, 1 });
+    if (history.empty() || getStep(history.back().at) != getStep(now)) {
+        history.push_back({ now, 1 });
         return;
     }
-    uses.back().at = now;
-    ++uses.back().count;
+    history.back().at = now;
+    ++history.back().count;
 }
 
-void removeLatestUsage(UsageHistory& uses)
+void removeLatestUsage(UsageHistory& history)
 {
-    if (uses.empty())
+    if (history.empty())
         return;
-    if (--uses.back().count == 0)
-        uses.pop_back();
+    if (--history.back().count == 0)
+        history.pop_back();
 }
 
-void pruneUsage(UsageHistory& uses, TimePoint before)
+void pruneUsage(UsageHistory& history, TimePoint before)
 {
-    while (!uses.empty() && uses.front().at < before)
-        uses.pop_front();
+    while (!history.empty() && history.front().at < before)
+        history.pop_front();
 }
 
-unsigned countUsage(const UsageHistory& uses, TimePoint after, TimePoint until)
+unsigned countUsage(const UsageHistory& history, TimePoint after, TimePoint until)
 {
     unsigned n = 0;
-    for (auto& it : uses)
+    for (auto& it : history)
         n += it.at > after && it.at <= until ? it.count : 0;
     return n;
 }
@@ -82,7 +82,7 @@
 static double countReported(const HostUsage& usage, const QuotaRule& rule, TimePoint until, TimePoint now)
 {
     auto grants = std::ranges::count_if(usage.grants, [&](auto& it) { return it.second > until - rule.window; });
-    return countUsage(usage.uses, until - rule.window, now) + static_cast<double>(grants);
+    return countUsage(usage.history, until - rule.window, now) + static_cast<double>(grants);
 }
 
 size_t countReportingHosts(const QuotaServer& server, TimePoint now)
@@ -122,18 +122,18 @@
             continue;
         bool isSilent = status == ReportingStatus::Silent;
         auto until = isSilent ? host.lastReportAt : now; // a silent host keeps the usage it had reported
-        double uses = 0;
+        double reportedCount = 0;
         if (tracked != server.accounts.end()) {
             auto usage = tracked->second.hosts.find(name);
-            uses = usage == tracked->second.hosts.end() ? 0 : countReported(usage->second, configuration.rule, until, now);
+            reportedCount = usage == tracked->second.hosts.end() ? 0 : countReported(usage->second, configuration.rule, until, now);
         }
         if (isSilent) {
-            budget.limit -= std::max(0.0, uses - share);
+            budget.limit -= std::max(0.0, reportedCount - share);
             continue;
         }
         budget.limit += share;
         auto estimated = estimateUnknown(host, configuration.rule, wasNearQuota, share, now);
-        budget.used += uses + estimated;
+        budget.used += reportedCount + estimated;
         budget.estimated += estimated;
     }
     return budget;
@@ -159,8 +159,8 @@
 // Replaces the usage that the report covers. Earlier usage stays: a previous process of the host reported it before a restart.
 static void applyUsage(HostUsage& usage, const ReportedUsage& reported, TimePoint historyStartsAt)
 {
-    std::erase_if(usage.uses, [&](const UsageBucket& it) { return it.at >= historyStartsAt; });
-    usage.uses.insert(usage.uses.end(), reported.uses.begin(), reported.uses.end());
+    std::erase_if(usage.history, [&](const UsageBucket& it) { return it.at >= historyStartsAt; });
+    usage.history.insert(usage.history.end(), reported.history.begin(), reported.history.end());
     std::erase_if(usage.grants, [&](auto& it) { return it.first <= reported.grantsTaken; });
 }
 
@@ -189,10 +189,10 @@
             auto known = server.hosts.find(host);
             bool isSilent = known != server.hosts.end() && getReportingStatus(known->second, now) == ReportingStatus::Silent;
             auto windowStart = (isSilent ? known->second.lastReportAt : now) - configuration.rule.window;
-            pruneUsage(usage.uses, windowStart);
+            pruneUsage(usage.history, windowStart);
             std::erase_if(usage.grants, [&](auto& it) { return it.second < windowStart; });
         }
-        std::erase_if(tracked.hosts, [](auto& it) { return it.second.uses.empty() && it.second.grants.empty(); });
+        std::erase_if(tracked.hosts, [](auto& it) { return it.second.history.empty() && it.second.grants.empty(); });
     }
     std::erase_if(server.accounts, [&](auto& it) { return it.second.hosts.empty() && !it.second.isStrict && !isNearQuota(it.second, kNearQuotaRetention, now); });
     for (auto& [name, tracked] : server.accounts) // all accounts, because silent hosts reduce the budget of each
@@ -225,7 +225,7 @@
 {
     auto first = now;
     for (auto& [name, usage] : tracked.hosts) {
-        for (auto& it : usage.uses) {
+        for (auto& it : usage.history) {
             if (it.at > now - rule.window) {
                 first = std::min(first, it.at);
                 break;
@@ -270,7 +270,7 @@
         return Admission::RequestGrant;
     // The quota server may have failed since the lease was renewed, so unreported operations of all hosts together must fit into the rest of the budget.
     auto maxUnreported = std::max(1.0, kMaxUnreportedRatio * getQuotaLimits(quota, rule).admissionLimit / static_cast<double>(std::max<size_t>(1, hostCount)));
-    auto unreported = it == host.accounts.end() ? 0 : countUsage(it->second.uses, host.leaseStartedAt, now);
+    auto unreported = it == host.accounts.end() ? 0 : countUsage(it->second.history, host.leaseStartedAt, now);
     return unreported < maxUnreported ? Admission::Begin : Admission::RequestGrant;
 }
 
@@ -283,16 +283,16 @@
     auto share = static_cast<unsigned>(limits.admissionLimit / static_cast<double>(std::max<size_t>(1, hostCount)));
     if (it == host.accounts.end())
         return share > 0;
-    auto& uses = it->second.uses;
+    auto& history = it->second.history;
     bool isUsageReserved = host.leaseStartedAt != TimePoint {} && now - host.leaseStartedAt < kQuotaSilentHostTimeout;
-    auto lastReported = !isUsageReserved ? 0 : countUsage(uses, host.leaseStartedAt - rule.window, host.leaseStartedAt);
-    return countUsage(uses, now - rule.window, now) < std::max(lastReported, share);
+    auto lastReported = !isUsageReserved ? 0 : countUsage(history, host.leaseStartedAt - rule.window, host.leaseStartedAt);
+    return countUsage(history, now - rule.window, now) < std::max(lastReported, share);
 }
 
 void recordOperation(QuotaHost& host, const std::string& account, TimePoint now)
 {
     auto& used = host.accounts[account];
-    addUsage(used.uses, now);
+    addUsage(used.history, now);
     used.isUnreported = true;
 }
 
@@ -301,7 +301,7 @@
     auto it = host.accounts.find(account);
     if (it == host.accounts.end())
         return;
-    removeLatestUsage(it->second.uses);
+    removeLatestUsage(it->second.history);
     it->second.isUnreported = true;
 }
 
@@ -314,8 +314,8 @@
 {
     auto retention = hasLease(host, now) ? rule.window : std::max(kUnleasedUsageRetention, rule.window);
     for (auto& [account, used] : host.accounts)
-        pruneUsage(used.uses, now - retention);
-    std::erase_if(host.accounts, [&](auto& it) { return it.second.uses.empty() && now >= it.second.blockedUntil && !it.second.isUnreported; });
+        pruneUsage(used.history, now - retention);
+    std::erase_if(host.accounts, [&](auto& it) { return it.second.history.empty() && now >= it.second.blockedUntil && !it.second.isUnreported; });
 }
 
 }
--- a/src/decisions/quota.h
+++ b/src/decisions/quota.h
@@ -55,12 +55,12 @@
 
 using UsageHistory = std::deque<UsageBucket>; // oldest first
 
-void addUsage(UsageHistory& uses, TimePoint now);
+void addUsage(UsageHistory& history, TimePoint now);
 // Removes the latest operation, which was counted but did not begin.
-void removeLatestUsage(UsageHistory& uses);
-void pruneUsage(UsageHistory& uses, TimePoint before);
+void removeLatestUsage(UsageHistory& history);
+void pruneUsage(UsageHistory& history, TimePoint before);
 // Counts the operations in (after, until].
-unsigned countUsage(const UsageHistory& uses, TimePoint after, TimePoint until);
+unsigned countUsage(const UsageHistory& history, TimePoint after, TimePoint until);
 
 //-----------------------------------------------------------------------------
 // [SECTION] Server
@@ -73,8 +73,8 @@
 
 // The usage of one account by one host, as known to a quota server.
 struct HostUsage {
-    UsageHistory uses {};
-    std::map<uint64_t, TimePoint> grants {}; // by number: granted and not yet reported in `uses`
+    UsageHistory history {};
+    std::map<uint64_t, TimePoint> grants {}; // by number: granted and not yet reported in `history`
 };
 
 struct TrackedAccount {
@@ -98,8 +98,8 @@
 // The operations of one account that a host has begun within the window, in the quota server's time.
 struct ReportedUsage {
     std::string account {};
-    UsageHistory uses {};
-    uint64_t grantsTaken { 0 }; // grants up to this number are included in `uses` or were returned
+    UsageHistory history {};
+    uint64_t grantsTaken { 0 }; // grants up to this number are included in `history` or were returned
 };
 
 struct QuotaReport {
@@ -161,7 +161,7 @@
 };
 
 struct AccountUsage {
-    UsageHistory uses {};
+    UsageHistory history {};
     TimePoint blockedUntil {}; // as the quota server requested
     bool isUnreported { false }; // changed since the last report
 };
--- a/src/gateway/quota_exchange.cpp
+++ b/src/gateway/quota_exchange.cpp
@@ -182,7 +182,7 @@
             continue;
         auto& reported = *wire.add_uses();
         reported.set_account(account);
-        for (auto& bucket : usage.uses) {
+        for (auto& bucket : usage.history) {
             if (now - bucket.at > m_context.rule.window)
                 continue;
             reported.add_age_ms(static_cast<uint32_t>(duration_cast<milliseconds>(now - bucket.at).count()));
@@ -239,7 +239,7 @@
     for (auto& it : wire.uses()) {
         decisions::ReportedUsage usage { it.account(), {}, it.grants_taken() };
         for (int i = 0; i < std::min(it.age_ms_size(), it.count_size()); ++i)
-            usage.uses.push_back({ now - milliseconds(it.age_ms(i)), it.count(i) });
+            usage.history.push_back({ now - milliseconds(it.age_ms(i)), it.count(i) });
         report.accounts.push_back(std::move(usage));
     }
     auto result = decisions::applyReport(m_shards[shard].server, makeConfiguration(), report, now);
--- a/tests/unit/quota_test.cpp
+++ b/tests/unit/quota_test.cpp
@@ -28,7 +28,7 @@
 {
     QuotaReport report { host, now - covered, true, { { kAccount, {}, grantsTaken } } };
     for (auto& [ageMs, count] : buckets)
-        report.accounts[0].uses.push_back({ now - milliseconds(ageMs), count });
+        report.accounts[0].history.push_back({ now - milliseconds(ageMs), count });
     return report;
 }
 
@@ -281,9 +281,9 @@
         QuotaReport report { host.name, std::max(host.beganAt, m_now - rule.window), isWhole, {} };
         if (used != host.own.accounts.end() && (used->second.isUnreported || isWhole)) {
             report.accounts.push_back({ kAccount, {}, host.grantsTaken[k] });
-            for (auto& it : used->second.uses) {
+            for (auto& it : used->second.history) {
                 if (m_now - it.at <= rule.window)
-                    report.accounts[0].uses.push_back(it);
+                    report.accounts[0].history.push_back(it);
             }
         }
         host.sentWholeReport.insert(k);
@@ -368,18 +368,18 @@
 
 BOOST_AUTO_TEST_CASE(usage_is_kept_in_buckets_and_expires_slightly_late_at_most)
 {
-    UsageHistory uses;
+    UsageHistory history;
     for (int ms = 0; ms < 1000; ++ms)
-        addUsage(uses, kStart + milliseconds(ms));
-    BOOST_TEST(uses.size() <= 20u);
-    BOOST_TEST(countUsage(uses, kStart - milliseconds(1), kStart + milliseconds(1000)) == 1000u);
+        addUsage(history, kStart + milliseconds(ms));
+    BOOST_TEST(history.size() <= 20u);
+    BOOST_TEST(countUsage(history, kStart - milliseconds(1), kStart + milliseconds(1000)) == 1000u);
     for (int ms = 0; ms < 1000; ms += 37) {
-        auto counted = countUsage(uses, kStart + milliseconds(ms), kStart + milliseconds(1000));
+        auto counted = countUsage(history, kStart + milliseconds(ms), kStart + milliseconds(1000));
         BOOST_TEST(counted >= 1000u - static_cast<unsigned>(ms) - 1);
         BOOST_TEST(counted <= 1000u - static_cast<unsigned>(ms) + 200);
     }
-    removeLatestUsage(uses);
-    BOOST_TEST(countUsage(uses, kStart - milliseconds(1), kStart + milliseconds(1000)) == 999u);
+    removeLatestUsage(history);
+    BOOST_TEST(countUsage(history, kStart - milliseconds(1), kStart + milliseconds(1000)) == 999u);
 }
 
 BOOST_AUTO_TEST_CASE(an_account_is_strict_while_near_its_quota)
