--- a/src/decisions/succession.h
+++ b/src/decisions/succession.h
@@ -6,7 +6,7 @@
 //   - Reusing a fencing token to order another member: the platform may carry out the first order after the second.
 //
 // [SECTION] Coordinators   the record in the store
-// [SECTION] Turns          which coordinator acts, and when
+// [SECTION] Takeover       which coordinator acts, and when
 // [SECTION] Evidence       whether the primary is dead, and which member succeeds it
 #pragma once
 #include "decisions/freshness.h"
@@ -60,7 +60,7 @@
 std::optional<CoordinatorRecord> parseCoordinatorRecord(const std::string& text);
 
 //-----------------------------------------------------------------------------
-// [SECTION] Turns
+// [SECTION] Takeover
 //-----------------------------------------------------------------------------
 
 // What a coordinator has to do.
--- a/src/decisions/turns.cpp
+++ b/src/decisions/turns.cpp
@@ -18,9 +18,9 @@
     return std::chrono::duration<double, std::milli>(until - now).count();
 }
 
-TimePoint getObjectiveEnd(TimePoint now, milliseconds objective, TimePoint::duration spent)
+TimePoint getObjectiveEnd(TimePoint now, milliseconds objective, TimePoint::duration timeUsed)
 {
-    return now + objective - spent;
+    return now + objective - timeUsed;
 }
 
 bool canMeetObjective(const SchedulingParameters& statement, TimePoint now, double workMs)
--- a/src/decisions/turns.h
+++ b/src/decisions/turns.h
@@ -14,9 +14,9 @@
     TimePoint deadline {}; // later answers are of no use to the caller
 };
 
-// Returns when the next statement of an operation must be answered. The objective covers the whole operation: `spent` is the time that its
+// Returns when the next statement of an operation must be answered. The objective covers the whole operation: `timeUsed` is the time that its
 // earlier statements took, without the caller's pauses between them.
-TimePoint getObjectiveEnd(TimePoint now, milliseconds objective, TimePoint::duration spent);
+TimePoint getObjectiveEnd(TimePoint now, milliseconds objective, TimePoint::duration timeUsed);
 // Whether a statement sent now is likely to meet its objective. `workMs` is the typical time of one statement at the member.
 bool canMeetObjective(const SchedulingParameters& statement, TimePoint now, double workMs);
 // Returns the updated typical time after a statement took `tookMs`. Tracks the median, so that a minority of hanging statements does not
--- a/src/gateway/promoter.cpp
+++ b/src/gateway/promoter.cpp
@@ -192,7 +192,7 @@
     return states;
 }
 
-std::optional<size_t> Promoter::getTurnIndex(const GroupState& state, decisions::PromotionTask task) const
+std::optional<size_t> Promoter::findActingRank(const GroupState& state, decisions::PromotionTask task) const
 {
     auto rank = decisions::findRank(state.record, m_context.self);
     if (!rank)
@@ -253,10 +253,10 @@
 }
 
 // The first usable coordinator acts at once, each standby one takeover delay later.
-bool Promoter::isMyTurn(const GroupState& state, const DueTask& due, TimePoint now) const
+bool Promoter::mustActNow(const GroupState& state, const DueTask& due, TimePoint now) const
 {
-    auto turn = getTurnIndex(state, due.task);
-    return turn && now >= due.at + *turn * decisions::getTakeoverDelay(due.task); // no subtraction, as the product is unsigned
+    auto actingRank = findActingRank(state, due.task);
+    return actingRank && now >= due.at + *actingRank * decisions::getTakeoverDelay(due.task); // no subtraction, as the product is unsigned
 }
 
 // Hosts that are not coordinators only check at intervals whether a record is due.
@@ -275,7 +275,7 @@
         maintainCoordinatorRecord(group, state, now);
         logActingCoordinator(group, state);
         auto due = findDueTask(belief, state, now);
-        if (!due || state.isPromoting || now < state.nextAttemptAt || !isMyTurn(state, *due, now))
+        if (!due || state.isPromoting || now < state.nextAttemptAt || !mustActNow(state, *due, now))
             continue;
         state.isPromoting = true;
         asio::co_spawn(m_context.context, replacePrimary(group, due->task == decisions::PromotionTask::HandOver, due->cause), asio::detached);
--- a/src/gateway/promoter.h
+++ b/src/gateway/promoter.h
@@ -67,7 +67,7 @@
     };
 
     struct DueTask;
-    // A replacement of a primary that is under way.
+    // A replacement of a primary in progress.
     struct PromotionAttempt {
         decisions::KnownPrimary primary {}; // the believed primary when the attempt began
         bool isPlanned { false };
@@ -80,11 +80,11 @@
     std::vector<decisions::LiveCandidate> getLiveCandidates(const std::string& group, const GroupState& state) const;
     std::vector<decisions::RankedCandidate> rankLiveHosts(const std::string& group) const;
     std::vector<decisions::CoordinatorState> getCoordinatorStates(const GroupState& state, decisions::PromotionTask task) const;
-    // How many coordinators act before this host; empty: this host does not act.
-    std::optional<size_t> getTurnIndex(const GroupState& state, decisions::PromotionTask task) const;
+    // Number of usable coordinators that act before this host; empty: this host does not act.
+    std::optional<size_t> findActingRank(const GroupState& state, decisions::PromotionTask task) const;
     void logActingCoordinator(const std::string& group, GroupState& state);
     std::optional<DueTask> findDueTask(const GroupView& belief, GroupState& state, TimePoint now) const;
-    bool isMyTurn(const GroupState& state, const DueTask& due, TimePoint now) const;
+    bool mustActNow(const GroupState& state, const DueTask& due, TimePoint now) const;
     bool mustHandOver(const GroupView& belief) const;
     void maintainCoordinatorRecord(const std::string& group, GroupState& state, TimePoint now);
     boost::asio::awaitable<void> writeCoordinatorRecord(std::string group, decisions::CoordinatorRecord record, uint64_t revision);
