--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -283,10 +283,10 @@
         m_directory.applyRelayedChanges(decodeChanges(message, sentAt));
     m_directory.refreshConfiguration(message.configuration());
     m_directory.applyReportedRevision(message.change());
-    auto leadTimes = findEvidenceTimes(message, sentAt);
+    auto evidenceTimes = findEvidenceTimes(message, sentAt);
     for (int i = 0; i < message.leads_size(); ++i) {
         auto& it = message.leads(i);
-        auto& askedAt = leadTimes[static_cast<size_t>(i)];
+        auto& askedAt = evidenceTimes[static_cast<size_t>(i)];
         if (!m_view.members.contains(it.member()))
             continue;
         if (askedAt)
@@ -549,8 +549,8 @@
 void Gateway::sweepPools(TimePoint now)
 {
     sweepUnlistedMembers(now);
-    bool isPlacementDue = m_view.isForwardingUpdateDue || m_forwardingHostsVersion != m_peers.getVersion() || now - m_forwardingUpdatedAt >= kForwardingUpdateInterval;
-    if (isPlacementDue)
+    bool isUpdateDue = m_view.isForwardingUpdateDue || m_forwardingHostsVersion != m_peers.getVersion() || now - m_forwardingUpdatedAt >= kForwardingUpdateInterval;
+    if (isUpdateDue)
         updateForwarding(now);
     for (auto& [id, pool] : m_pools) {
         auto member = m_view.members.find(id);
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -51,7 +51,7 @@
     void queryStatus(const TargetAddress& target, std::function<void(const StatusReport&)> done);
     void holdWrites(const std::string& member, milliseconds time);
     void setKnownPrimary(const std::string& group, const decisions::KnownPrimary& primary, std::string_view source);
-    void handlePrimaryProof(const std::string& group, const std::string& member, uint64_t term, TimePoint askedAt, ProofRecipient shownTo);
+    void handlePrimaryProof(const std::string& group, const std::string& member, uint64_t term, TimePoint askedAt, ProofRecipient recipient);
     void handlePromotionOrder(const std::string& group, const std::string& member, uint64_t term);
     void handleAssumedPrimary(const std::string& group, const std::string& member, uint64_t term);
     // Compares the known primary with the one `before` an update; on a change, logs it and informs the promoter.
--- a/src/gateway/gateway_primaries.cpp
+++ b/src/gateway/gateway_primaries.cpp
@@ -107,13 +107,13 @@
     notifyPrimaryChange(group, before, source);
 }
 
-void Gateway::handlePrimaryProof(const std::string& group, const std::string& member, uint64_t term, TimePoint askedAt, ProofRecipient shownTo)
+void Gateway::handlePrimaryProof(const std::string& group, const std::string& member, uint64_t term, TimePoint askedAt, ProofRecipient recipient)
 {
     auto& belief = m_view.groups[group];
     auto before = belief.primary;
-    applyProvenPrimary(belief, member, term, askedAt, shownTo);
-    notifyPrimaryChange(group, before, shownTo == ProofRecipient::ThisHost ? "proof" : "told");
-    if (shownTo == ProofRecipient::ThisHost)
+    applyProvenPrimary(belief, member, term, askedAt, recipient);
+    notifyPrimaryChange(group, before, recipient == ProofRecipient::ThisHost ? "proof" : "told");
+    if (recipient == ProofRecipient::ThisHost)
         logRejectedProof(group, member, term);
 }
 
--- a/src/gateway/status_exchange.cpp
+++ b/src/gateway/status_exchange.cpp
@@ -39,7 +39,7 @@
     }
 }
 
-// Floors and leads are in the same order, and each lead has a floor.
+// The fields `floors` and `leads` list groups in the same order, and each group in `leads` is also in `floors`.
 std::vector<std::optional<TimePoint>> findEvidenceTimes(const peer::Pong& wire, TimePoint sentAt)
 {
     std::vector<std::optional<TimePoint>> times;
--- a/tests/unit/lead_terms_test.cpp
+++ b/tests/unit/lead_terms_test.cpp
@@ -11,7 +11,7 @@
 
 const TimePoint kStart = TimePoint() + milliseconds(100000);
 
-GroupView makeShown(const std::string& member, uint64_t term)
+GroupView makeProven(const std::string& member, uint64_t term)
 {
     GroupView group;
     applyProvenPrimary(group, member, term, kStart, ProofRecipient::ThisHost);
@@ -24,7 +24,7 @@
 
 BOOST_AUTO_TEST_CASE(an_assumed_term_is_kept_until_its_promotion_order_times_out)
 {
-    auto group = makeShown("a", 1);
+    auto group = makeProven("a", 1);
     applyOrderedPrimary(group, "b", 2, kStart);
     // The old primary, asked before or during its replacement.
     applyProvenPrimary(group, "a", 1, kStart - milliseconds(1), ProofRecipient::ThisHost);
@@ -38,12 +38,12 @@
 
 BOOST_AUTO_TEST_CASE(a_proven_term_is_never_replaced_by_an_older_one)
 {
-    auto group = makeShown("a", 1);
+    auto group = makeProven("a", 1);
     applyOrderedPrimary(group, "b", 2, kStart);
     applyProvenPrimary(group, "b", 2, kStart + milliseconds(300), ProofRecipient::ThisHost);
     BOOST_TEST((group.primary == KnownPrimary { "b", 2, true }));
-    for (auto shownTo : { ProofRecipient::ThisHost, ProofRecipient::AnotherHost })
-        applyProvenPrimary(group, "a", 1, kStart + milliseconds(60000), shownTo);
+    for (auto recipient : { ProofRecipient::ThisHost, ProofRecipient::AnotherHost })
+        applyProvenPrimary(group, "a", 1, kStart + milliseconds(60000), recipient);
     BOOST_TEST((group.primary == KnownPrimary { "b", 2, true }));
     applyProvenTerm(group, 3); // known to members
     applyProvenPrimary(group, "b", 2, kStart + milliseconds(60000), ProofRecipient::ThisHost);
@@ -53,19 +53,19 @@
 // Guards against a primary that is promoted again and denies the assumed term: its proof of the actual term must still count.
 BOOST_AUTO_TEST_CASE(proof_of_a_lower_term_is_accepted_after_denial_of_a_term_that_was_too_high)
 {
-    for (auto shownTo : { ProofRecipient::ThisHost, ProofRecipient::AnotherHost }) {
-        auto group = makeShown("a", 2);
+    for (auto recipient : { ProofRecipient::ThisHost, ProofRecipient::AnotherHost }) {
+        auto group = makeProven("a", 2);
         applyOrderedPrimary(group, "a", 3, kStart);
         group.primary = decisions::applyPrimaryDenial(group.primary, "a");
-        applyProvenPrimary(group, "a", 2, group.promotionPendingUntil + milliseconds(1), shownTo);
-        BOOST_TEST((group.primary == KnownPrimary { "a", 2, shownTo == ProofRecipient::ThisHost }));
+        applyProvenPrimary(group, "a", 2, group.promotionPendingUntil + milliseconds(1), recipient);
+        BOOST_TEST((group.primary == KnownPrimary { "a", 2, recipient == ProofRecipient::ThisHost }));
     }
 }
 
 // Guards against trusting a primary that was replaced without this host's knowledge.
 BOOST_AUTO_TEST_CASE(an_assumed_term_is_not_replaced_by_one_older_than_the_proven_term)
 {
-    auto group = makeShown("b", 2);
+    auto group = makeProven("b", 2);
     applyOrderedPrimary(group, "c", 3, kStart);
     applyProvenPrimary(group, "a", 1, kStart + milliseconds(60000), ProofRecipient::ThisHost);
     BOOST_TEST((group.primary == KnownPrimary { "c", 3, false }));
@@ -74,7 +74,7 @@
 // Guards against two hosts that keep reviving a discarded assumed term in each other.
 BOOST_AUTO_TEST_CASE(a_discarded_assumed_term_is_accepted_again_from_a_new_order_only)
 {
-    auto group = makeShown("a", 2);
+    auto group = makeProven("a", 2);
     applyAssumedPrimary(group, "a", 3, kStart);
     BOOST_TEST((group.primary == KnownPrimary { "a", 3, false }));
     auto now = group.promotionPendingUntil + milliseconds(1);
