--- a/tests/gateway/leaving_test.cpp
+++ b/tests/gateway/leaving_test.cpp
@@ -161,7 +161,7 @@
     rig.call([&] { rig.getStore().remove("servers/g0-c"); });
     rig.startHosts();
     rig.setStoreIsolated(2, true);
-    auto isTold = [&](const std::string& what) {
+    auto isReportedByHost = [&](const std::string& what) {
         return waitUntil(milliseconds(6000), [&] {
             auto log = rig.getLog(2);
             auto at = log.rfind(what);
@@ -169,16 +169,16 @@
         });
     };
     rig.call([&] { rig.getStore().registerMembers(); });
-    BOOST_TEST(isTold("\"event\":\"member\",\"member\":\"g0-c\""));
+    BOOST_TEST(isReportedByHost("\"event\":\"member\",\"member\":\"g0-c\""));
     rig.call([&] {
         rig.getGroup().promote("g0-c");
         rig.getStore().registerMembers();
     });
     BOOST_TEST(waitUntil(milliseconds(4000), [&] { return canWrite(rig, 2); })); // it learned of the member from other hosts
     rig.call([&] { rig.getStore().setLeaving("g0-a", true); });
-    BOOST_TEST(isTold("\"event\":\"member\",\"member\":\"g0-a\""));
+    BOOST_TEST(isReportedByHost("\"event\":\"member\",\"member\":\"g0-a\""));
     rig.call([&] { rig.getStore().remove("servers/g0-a"); });
-    BOOST_TEST(isTold("\"event\":\"member-unlisted\",\"member\":\"g0-a\""));
+    BOOST_TEST(isReportedByHost("\"event\":\"member-unlisted\",\"member\":\"g0-a\""));
     std::this_thread::sleep_for(milliseconds(5000)); // all hosts forget the member
     rig.setStoreIsolated(2, false);
     BOOST_TEST(waitUntil(milliseconds(4000), [&] { return rig.getLog(2).rfind("store-regained") > rig.getLog(2).rfind("store-lost"); }));
--- a/tests/unit/entries_test.cpp
+++ b/tests/unit/entries_test.cpp
@@ -165,7 +165,7 @@
 {
     auto entry = json::serialize(makeEntry());
     auto configuration = json::serialize(makeConfiguration());
-    auto succession = decisions::formatCoordinatorRecord({ { { "h1", 1 }, { "h2", 2 } }, 3001 });
+    auto coordinatorRecord = decisions::formatCoordinatorRecord({ { { "h1", 1 }, { "h2", 2 } }, 3001 });
     int refused = 0;
     for (auto seed : kSeeds) {
         std::mt19937 random(seed);
@@ -175,7 +175,7 @@
             refused += member ? 0 : 1;
             auto read = platform::readConfiguration(change(configuration, random));
             BOOST_REQUIRE((!read || read->version > 0));
-            decisions::parseCoordinatorRecord(change(succession, random));
+            decisions::parseCoordinatorRecord(change(coordinatorRecord, random));
         }
     }
     BOOST_TEST(refused > kChanges); // the majority over all seeds
--- a/tests/unit/failover_test.cpp
+++ b/tests/unit/failover_test.cpp
@@ -310,14 +310,14 @@
         if (auto* claim = std::get_if<WriteClaim>(&message.action))
             decide(message.host, ClaimAnswered { claim->term, ClaimOutcome::Unavailable, 0 });
         else if (auto* fence = std::get_if<SendFence>(&message.action))
-            decide(message.host, FenceAnswered { fence->term, fence->member, takeFence(message.host, *fence) });
+            decide(message.host, FenceAnswered { fence->term, fence->member, handleFence(message.host, *fence) });
         else if (auto* promote = std::get_if<SendPromote>(&message.action))
-            decide(message.host, PromoteAnswered { promote->term, takePromote(message.host, *promote) });
+            decide(message.host, PromoteAnswered { promote->term, handlePromote(message.host, *promote) });
         else if (auto* follow = std::get_if<SendFollow>(&message.action))
-            takeFollow(*follow);
+            handleFollow(*follow);
     }
 
-    std::optional<FenceAnswer> takeFence(size_t host, const SendFence& fence)
+    std::optional<FenceAnswer> handleFence(size_t host, const SendFence& fence)
     {
         auto& it = m_members[fence.member];
         if (it.isDown)
@@ -331,7 +331,7 @@
         return FenceAnswer { isGranted, std::max(it.fenced, it.term), getLog(it) };
     }
 
-    bool takePromote(size_t host, const SendPromote& promote)
+    bool handlePromote(size_t host, const SendPromote& promote)
     {
         auto& it = m_members[promote.member];
         if (it.isDown)
@@ -352,7 +352,7 @@
         return true;
     }
 
-    void takeFollow(const SendFollow& follow)
+    void handleFollow(const SendFollow& follow)
     {
         auto& it = m_members[follow.member];
         if (it.isDown || follow.term < it.term || follow.term < it.fenced || (follow.term == it.term && it.isPrimary))
--- a/tests/unit/hosts_test.cpp
+++ b/tests/unit/hosts_test.cpp
@@ -199,10 +199,10 @@
     for (int i = 0; i < 50; ++i) {
         auto homes = chooseHomes(makeRecord("g" + std::to_string(i), 16), makeHosts(9));
         BOOST_REQUIRE(homes.size() == 3u);
-        std::set<char> places;
+        std::set<char> dataCentres;
         for (auto& it : homes)
-            places.insert(static_cast<char>(std::stoi(it.substr(1)) % 3));
-        BOOST_TEST(places.size() == 3u);
+            dataCentres.insert(static_cast<char>(std::stoi(it.substr(1)) % 3));
+        BOOST_TEST(dataCentres.size() == 3u);
     }
 }
 
--- a/tests/unit/member_queue_test.cpp
+++ b/tests/unit/member_queue_test.cpp
@@ -57,10 +57,10 @@
 struct Operation {
     size_t kind { 0 };
     bool isTransaction { false };
-    double beginMs { 0 };
+    double startedAtMs { 0 };
     unsigned done { 0 };
     unsigned tries { 0 };
-    double spentMs { 0 }; // slot time used at the member
+    double slotTimeMs { 0 }; // at the member
 };
 
 // One member, its queue and its callers.
@@ -117,7 +117,7 @@
         Operation operation;
         operation.kind = std::discrete_distribution<size_t>(shares.begin(), shares.end())(m_random);
         operation.isTransaction = std::bernoulli_distribution(m_load.kinds[operation.kind].transactions)(m_random);
-        operation.beginMs = m_now;
+        operation.startedAtMs = m_now;
         ++m_result.begun;
         ++m_begunByKind[operation.kind];
         submit(operation);
@@ -155,7 +155,7 @@
         }
         ++operation.tries;
         operation.done = 0;
-        operation.spentMs = 0;
+        operation.slotTimeMs = 0;
         schedule(m_now + draw(m_load.retryPauseMs), [this, operation] { submit(operation); });
     }
 
@@ -188,15 +188,15 @@
         --m_running;
         m_queue.workMs = updateWorkTime(m_queue.workMs, tookMs);
         auto operation = m_operations[entry.number];
-        operation.spentMs += tookMs;
+        operation.slotTimeMs += tookMs;
         ++operation.done;
         if (operation.isTransaction && operation.done < m_load.statements) {
             schedule(m_now + draw(m_load.pauseMs), [this, operation] { submit(operation); });
             return;
         }
-        recordOperationCost(m_queue.costs, entry.kind, operation.spentMs);
+        recordOperationCost(m_queue.costs, entry.kind, operation.slotTimeMs);
         auto pauses = operation.isTransaction ? m_load.pauseMs * (m_load.statements - 1) : 0;
-        bool isInTime = m_now - operation.beginMs - pauses <= m_load.kinds[operation.kind].objectiveMs;
+        bool isInTime = m_now - operation.startedAtMs - pauses <= m_load.kinds[operation.kind].objectiveMs;
         ++(isInTime ? m_result.inTime : m_result.late);
         m_result.inTimeByKind[operation.kind] += isInTime ? 1 : 0;
     }
--- a/tests/unit/progress_test.cpp
+++ b/tests/unit/progress_test.cpp
@@ -48,9 +48,9 @@
 BOOST_AUTO_TEST_CASE(refusal_does_not_hide_a_position_observed_before_it)
 {
     auto refused = applyRefusal({}, at(1000));
-    auto told = applyPosition(refused, { 1, 40 }, at(900));
-    BOOST_TEST((told.position == Mark { 1, 40 }));
-    BOOST_TEST((told.lastRefusalAt == at(1000)));
+    auto updated = applyPosition(refused, { 1, 40 }, at(900));
+    BOOST_TEST((updated.position == Mark { 1, 40 }));
+    BOOST_TEST((updated.lastRefusalAt == at(1000)));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/unit/quota_test.cpp
+++ b/tests/unit/quota_test.cpp
@@ -39,7 +39,7 @@
         std::string name;
         QuotaHost own {};
         QuotaServer server {};
-        TimePoint beganAt {};
+        TimePoint startedAt {};
         TimePoint upSince {};
         TimePoint isolatedUntil {}; // from all other hosts
         TimePoint reportedAt {};
@@ -118,7 +118,7 @@
     TimePoint getNow() const { return m_now; }
 
     // Returns the maximum number of operations that began within any window.
-    size_t getMostInWindow() const
+    size_t getMaxInWindow() const
     {
         auto sorted = begun;
         std::ranges::sort(sorted);
@@ -150,7 +150,7 @@
         host = Host { host.name };
         host.generation = generation;
         host.isolatedUntil = isolatedUntil;
-        host.beganAt = at;
+        host.startedAt = at;
         host.upSince = at;
         host.own.startedAt = at;
         host.server.storedNearQuota = m_persisted;
@@ -160,18 +160,18 @@
     bool isConnected(size_t a, size_t b) const { return a == b || (isUp(a) && isUp(b) && m_now >= m_hosts[a].isolatedUntil && m_now >= m_hosts[b].isolatedUntil); }
 
     // Delivers a message with a delay, unless either host is isolated or restarts before delivery.
-    void send(size_t from, size_t to, std::function<void()> take)
+    void send(size_t from, size_t to, std::function<void()> deliver)
     {
         if (from == to) {
-            take();
+            deliver();
             return;
         }
         if (!isConnected(from, to))
             return;
         auto delay = milliseconds(std::uniform_int_distribution<int>(1, 20)(random));
-        m_events.push({ m_now + delay, ++m_lastEvent, [this, from, to, generations = std::pair(m_hosts[from].generation, m_hosts[to].generation), take = std::move(take)] {
+        m_events.push({ m_now + delay, ++m_lastEvent, [this, from, to, generations = std::pair(m_hosts[from].generation, m_hosts[to].generation), deliver = std::move(deliver)] {
                            if (isConnected(from, to) && generations == std::pair(m_hosts[from].generation, m_hosts[to].generation))
-                               take();
+                               deliver();
                        } });
     }
 
@@ -258,7 +258,7 @@
     void persistNearQuota(size_t i)
     {
         auto near = getNearQuotaAccounts(m_hosts[i].server, m_now);
-        bool mayForget = m_hosts[i].reportsTo == i && m_now - m_hosts[i].beganAt > rule.window + milliseconds(1000);
+        bool mayForget = m_hosts[i].reportsTo == i && m_now - m_hosts[i].startedAt > rule.window + milliseconds(1000);
         if (std::ranges::includes(m_persisted, near) && !mayForget)
             return;
         m_persisted = near;
@@ -278,7 +278,7 @@
             return;
         auto k = *server;
         bool isWhole = isNew || !host.sentWholeReport.contains(k) || host.unansweredSince.contains(k);
-        QuotaReport report { host.name, std::max(host.beganAt, m_now - rule.window), isWhole, {} };
+        QuotaReport report { host.name, std::max(host.startedAt, m_now - rule.window), isWhole, {} };
         if (used != host.own.accounts.end() && (used->second.isUnreported || isWhole)) {
             report.accounts.push_back({ kAccount, {}, host.grantsTaken[k] });
             for (auto& it : used->second.history) {
@@ -544,7 +544,7 @@
             simulate(fleet, milliseconds(6000), rate / 1.6, [&] { return fleet.random() % hosts; });
             auto before = fleet.begun.size();
             simulate(fleet, milliseconds(10000), 7.5 * rate / 1.6, [&] { return fleet.random() % hosts; });
-            BOOST_TEST(static_cast<double>(fleet.getMostInWindow()) <= getBound(fleet), hosts << " hosts, " << rate << "/s: " << fleet.getMostInWindow() << " of " << getBound(fleet));
+            BOOST_TEST(static_cast<double>(fleet.getMaxInWindow()) <= getBound(fleet), hosts << " hosts, " << rate << "/s: " << fleet.getMaxInWindow() << " of " << getBound(fleet));
             BOOST_TEST(static_cast<double>(fleet.begun.size() - before) >= 0.99 * 10 * rate, hosts << " hosts, " << rate << "/s: " << fleet.begun.size() - before);
         }
     }
@@ -576,8 +576,8 @@
         auto load = rate / 1.6 * loadFactors[static_cast<size_t>(pickInt(0, 6))];
         simulate(fleet, milliseconds(pickInt(200, 2500)), load, [&] { return fleet.random() % hosts; });
     }
-    bool holds = static_cast<double>(fleet.getMostInWindow()) <= getBound(fleet);
-    BOOST_TEST(holds, "seed " << seed << ": " << hosts << " hosts, " << rate << "/s: " << fleet.getMostInWindow() << " of " << getBound(fleet));
+    bool holds = static_cast<double>(fleet.getMaxInWindow()) <= getBound(fleet);
+    BOOST_TEST(holds, "seed " << seed << ": " << hosts << " hosts, " << rate << "/s: " << fleet.getMaxInWindow() << " of " << getBound(fleet));
     return holds;
 }
 
--- a/tests/unit/relaying_test.cpp
+++ b/tests/unit/relaying_test.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-constexpr milliseconds kQuiet { 750 };
+constexpr milliseconds kQuietInterval { 750 };
 constexpr size_t kDataCentres = 6;
 
 // Hosts spread over data centres and groups of three members, as seen by one host.
@@ -42,7 +42,7 @@
         Peers peers(context, hosts[self].name, {});
         peers.setHosts(hosts);
         bool isDraining = false;
-        return choosePartners(view, peers, { hosts[self].name, hosts[self].dataCentre, isDraining, true, isAsked }, orders, kQuiet);
+        return choosePartners(view, peers, { hosts[self].name, hosts[self].dataCentre, isDraining, true, isAsked }, orders, kQuietInterval);
     }
 
     std::vector<std::string> findRelays(size_t self)
@@ -99,19 +99,19 @@
         auto relays = fleet.findRelays(i);
         BOOST_REQUIRE(relays.size() == decisions::kWatchersPerDataCentre);
         auto& own = chosen.at(fleet.hosts[i].name);
-        size_t tellLoads = 0;
+        size_t loadReporters = 0;
         for (auto& relay : relays) {
             if (relay == fleet.hosts[i].name)
                 continue;
             BOOST_REQUIRE(own.contains(relay));
             BOOST_TEST(own.at(relay).isRelay);
-            tellLoads += own.at(relay).reportsLoads ? 1 : 0;
+            loadReporters += own.at(relay).reportsLoads ? 1 : 0;
             for (auto& [id, member] : fleet.view.members) {
-                auto& carrier = getForwarders(fleet.view, member).front();
-                BOOST_REQUIRE((carrier == relay || chosen.at(relay).contains(carrier)));
+                auto& forwarder = getForwarders(fleet.view, member).front();
+                BOOST_REQUIRE((forwarder == relay || chosen.at(relay).contains(forwarder)));
             }
         }
-        BOOST_TEST(tellLoads == 1u); // loads are requested from one relay only
+        BOOST_TEST(loadReporters == 1u); // loads are requested from one relay only
     }
 }
 
@@ -121,7 +121,7 @@
     for (size_t i = 0; i < 9; ++i) {
         for (auto& [name, partner] : fleet.choose(i)) {
             BOOST_TEST(!partner.isRelay);
-            BOOST_TEST((partner.interval == kQuiet));
+            BOOST_TEST((partner.interval == kQuietInterval));
         }
     }
     Fleet one(1, 1);
@@ -138,8 +138,8 @@
         ++self;
     auto asked = fleet.choose(self, {}, true);
     for (auto& [id, member] : fleet.view.members) {
-        auto& carrier = getForwarders(fleet.view, member).front();
-        BOOST_TEST((carrier == fleet.hosts[self].name || asked.contains(carrier)));
+        auto& forwarder = getForwarders(fleet.view, member).front();
+        BOOST_TEST((forwarder == fleet.hosts[self].name || asked.contains(forwarder)));
     }
 }
 
@@ -153,8 +153,8 @@
     auto partners = fleet.choose(self, { { "h7", "h8" }, { "g3" } });
     BOOST_TEST(partners.contains("h7"));
     for (auto& id : fleet.view.groups.at("g3").members) {
-        auto& carrier = getForwarders(fleet.view, fleet.view.members.at(id)).front();
-        BOOST_TEST((carrier == fleet.hosts[self].name || partners.contains(carrier)));
+        auto& forwarder = getForwarders(fleet.view, fleet.view.members.at(id)).front();
+        BOOST_TEST((forwarder == fleet.hosts[self].name || partners.contains(forwarder)));
     }
     BOOST_TEST(partners.size() >= 20u);
     BOOST_TEST(partners.size() <= 30u);
--- a/tests/unit/watching_test.cpp
+++ b/tests/unit/watching_test.cpp
@@ -58,15 +58,15 @@
 
 BOOST_AUTO_TEST_CASE(a_watch_is_silent_if_a_change_known_to_others_does_not_arrive)
 {
-    auto heard = applyReportedChange({}, 10, 9, at(0));
-    BOOST_TEST(!isWatchSilent(heard, 9, at(1000)));
-    heard = applyReportedChange(heard, 12, 9, at(1000)); // a later change does not restart the time
-    BOOST_TEST(isWatchSilent(heard, 9, at(1500)));
-    BOOST_TEST(!isWatchSilent(heard, 10, at(1500))); // it arrived
-    heard = applyReportedChange(heard, 12, 10, at(1600));
-    BOOST_TEST(!isWatchSilent(heard, 10, at(2000)));
-    BOOST_TEST(isWatchSilent(heard, 10, at(3100)));
-    BOOST_TEST((applyReportedChange(heard, 12, 12, at(3200)) == ReportedChange {}));
+    auto reported = applyReportedChange({}, 10, 9, at(0));
+    BOOST_TEST(!isWatchSilent(reported, 9, at(1000)));
+    reported = applyReportedChange(reported, 12, 9, at(1000)); // a later change does not restart the time
+    BOOST_TEST(isWatchSilent(reported, 9, at(1500)));
+    BOOST_TEST(!isWatchSilent(reported, 10, at(1500))); // it arrived
+    reported = applyReportedChange(reported, 12, 10, at(1600));
+    BOOST_TEST(!isWatchSilent(reported, 10, at(2000)));
+    BOOST_TEST(isWatchSilent(reported, 10, at(3100)));
+    BOOST_TEST((applyReportedChange(reported, 12, 12, at(3200)) == ReportedChange {}));
     BOOST_TEST((applyReportedChange({}, 0, 0, at(0)) == ReportedChange {}));
 }
 
