--- a/src/decisions/relaying.cpp
+++ b/src/decisions/relaying.cpp
@@ -5,11 +5,11 @@
 
 static constexpr double kAlarmMsPerHost = 1000.0 / 300; // at most 300 alarms a second for one group
 
-ExchangeIntervals getExchangeIntervals(milliseconds quiet, bool isRelayed)
+ExchangeIntervals getExchangeIntervals(milliseconds quietInterval, bool isRelayed)
 {
     if (!isRelayed)
-        return { quiet, quiet };
-    auto half = std::max(quiet / 2, kMinPingInterval);
+        return { quietInterval, quietInterval };
+    auto half = std::max(quietInterval / 2, kMinPingInterval);
     return { half, half };
 }
 
--- a/src/decisions/relaying.h
+++ b/src/decisions/relaying.h
@@ -20,8 +20,8 @@
 
 inline bool usesRelays(size_t hostsOfDataCentre) { return hostsOfDataCentre >= kMinRelayedHosts; }
 
-// `quiet`: the interval of a host that exchanges with forwarders itself. It is halved with relays, as a floor waits once at each hop.
-ExchangeIntervals getExchangeIntervals(milliseconds quiet, bool isRelayed);
+// `quietInterval`: the interval of a host that exchanges with forwarders itself. It is halved with relays, as a floor waits once at each hop.
+ExchangeIntervals getExchangeIntervals(milliseconds quietInterval, bool isRelayed);
 
 // The hosts that every relay reports as unreachable; none without reports. A host that one relay cannot reach may be reachable from here.
 std::set<std::string> findUnreachableHosts(const std::vector<std::set<std::string>>& reportsOfRelays);
--- a/src/links/directory.h
+++ b/src/links/directory.h
@@ -120,7 +120,7 @@
 
 enum class PromotionResult {
     Done,
-    Outranked, // the platform has seen a higher fencing token: another host is in charge
+    Outranked, // the platform has seen a higher fencing token, so a later order takes precedence
     NotRunning, // the member is not running and cannot be promoted
     Busy, // rejected: too many calls
     Unknown, // no response: the promotion may still be executed
