--- a/src/decisions/member_queue.h
+++ b/src/decisions/member_queue.h
@@ -10,7 +10,7 @@
 // [SECTION] Overload   detection of sustained overload
 // [SECTION] Queue      admission and scheduling
 #pragma once
-#include "decisions/turns.h"
+#include "decisions/scheduling.h"
 #include <functional>
 #include <map>
 #include <optional>
--- a/src/decisions/succession.cpp
+++ b/src/decisions/promotion.cpp
@@ -1,4 +1,4 @@
-#include "decisions/succession.h"
+#include "decisions/promotion.h"
 #include <algorithm>
 #include <boost/json.hpp>
 #include <set>
--- a/src/decisions/turns.cpp
+++ b/src/decisions/scheduling.cpp
@@ -1,4 +1,4 @@
-#include "decisions/turns.h"
+#include "decisions/scheduling.h"
 #include <algorithm>
 #include <chrono>
 #include <tuple>
--- a/src/gateway/caller_session.cpp
+++ b/src/gateway/caller_session.cpp
@@ -1,7 +1,7 @@
 #include "gateway/caller_session.h"
 #include "base/event_log.h"
 #include "decisions/hashing.h"
-#include "decisions/turns.h"
+#include "decisions/scheduling.h"
 
 namespace alderward::gateway {
 
--- a/src/gateway/peers.h
+++ b/src/gateway/peers.h
@@ -3,7 +3,7 @@
 // COMMON MISTAKES
 //   - Treating a statement as not run because its connection was lost. Once sent, it may still run on the other host.
 #pragma once
-#include "decisions/succession.h"
+#include "decisions/promotion.h"
 #include "gateway/cluster_view.h"
 #include "gateway/inbound_peers.h"
 #include <set>
--- a/src/gateway/promoter.h
+++ b/src/gateway/promoter.h
@@ -1,7 +1,7 @@
 // Failover and planned handover: maintains each group's coordinator record, gathers evidence when a primary looks dead or is
-// leaving, and orders the promotion of another member. The rules that keep this safe are in decisions/succession.h.
+// leaving, and orders the promotion of another member. The rules that keep this safe are in decisions/promotion.h.
 #pragma once
-#include "decisions/succession.h"
+#include "decisions/promotion.h"
 #include "gateway/partners.h"
 #include <boost/asio/awaitable.hpp>
 #include <set>
--- a/src/gateway/statement_router.cpp
+++ b/src/gateway/statement_router.cpp
@@ -1,7 +1,7 @@
 #include "gateway/statement_router.h"
 #include "base/event_log.h"
 #include "base/families.h"
-#include "decisions/turns.h"
+#include "decisions/scheduling.h"
 #include <algorithm>
 #include <array>
 #include <boost/asio/post.hpp>
--- a/tests/unit/entries_test.cpp
+++ b/tests/unit/entries_test.cpp
@@ -1,5 +1,5 @@
 // Invalid entries of the store and invalid messages are refused as a whole, and no input crashes the process.
-#include "decisions/succession.h"
+#include "decisions/promotion.h"
 #include "platform/adapter.h"
 #include "platform/entries.h"
 #include "platform/wire.h"
--- a/tests/unit/gateway_decisions_test.cpp
+++ b/tests/unit/gateway_decisions_test.cpp
@@ -2,7 +2,7 @@
 #include "base/families.h"
 #include "base/settings.h"
 #include "decisions/choice.h"
-#include "decisions/succession.h"
+#include "decisions/promotion.h"
 #include "gateway/cluster_view.h"
 #include "links/channel.h"
 #include "platform/wire.h"
@@ -218,7 +218,7 @@
 
 BOOST_AUTO_TEST_SUITE_END()
 
-BOOST_AUTO_TEST_SUITE(succession)
+BOOST_AUTO_TEST_SUITE(promotion)
 
 static std::vector<RankedCandidate> makeRanked()
 {
--- a/tests/unit/lead_terms_test.cpp
+++ b/tests/unit/primary_terms_test.cpp
@@ -20,7 +20,7 @@
 
 }
 
-BOOST_AUTO_TEST_SUITE(lead_terms)
+BOOST_AUTO_TEST_SUITE(primary_terms)
 
 BOOST_AUTO_TEST_CASE(an_assumed_term_is_kept_until_its_promotion_order_times_out)
 {
--- a/tests/unit/turns_test.cpp
+++ b/tests/unit/scheduling_test.cpp
@@ -1,5 +1,5 @@
 // Scheduling order of statements at a busy member, and its effect on a sustained overload simulated in virtual time.
-#include "decisions/turns.h"
+#include "decisions/scheduling.h"
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
 #include <random>
@@ -63,7 +63,7 @@
 
 }
 
-BOOST_AUTO_TEST_SUITE(turns)
+BOOST_AUTO_TEST_SUITE(scheduling)
 
 BOOST_AUTO_TEST_CASE(order_is_continuation_then_feasibility_then_priority_then_objective)
 {
