--- a/src/decisions/promotion.h
+++ b/src/decisions/promotion.h
@@ -49,7 +49,7 @@
     bool canAct { true };
     friend bool operator==(const LiveCandidate&, const LiveCandidate&) = default;
 };
-// Whether the record must be replaced: its first coordinator is gone, too few are live, or none of them can act while another host can.
+// Whether the record must be replaced: its first coordinator is not live, too few coordinators are live, or none of them can act while another host can.
 bool isCoordinatorRecordDue(const CoordinatorRecord& record, const std::vector<LiveCandidate>& live);
 // This process's rank in the record, from 0; empty: it is not a coordinator.
 std::optional<size_t> findRank(const CoordinatorRecord& record, const Coordinator& self);
--- a/src/gateway/status_exchange.h
+++ b/src/gateway/status_exchange.h
@@ -8,7 +8,7 @@
 // Adds the primaries and floors that this host has confirmed itself and, if `withRelayed`, those reported by other hosts
 // (docs/design/0010-relays.md says why relayed ones stay correct).
 void writeGroupStatus(peer::Pong& wire, const ClusterView& view, bool withRelayed, TimePoint now);
-// For each lead of the pong: when the sender queried the primary for its evidence, on this host's clock; empty: no evidence. Evidence
+// For each entry of `leads` in the pong: when the sender queried the primary for its evidence, on this host's clock; empty: no evidence. Evidence
 // is a floor of the same term. `sentAt`: when the ping was sent, so that ages count from before the answer.
 std::vector<std::optional<TimePoint>> findEvidenceTimes(const peer::Pong& wire, TimePoint sentAt);
 // Sets the member's log position, if known.
--- a/tests/unit/relaying_test.cpp
+++ b/tests/unit/relaying_test.cpp
@@ -168,7 +168,7 @@
     BOOST_TEST((decisions::getExchangeIntervals(milliseconds(250), true).relays == decisions::kMinPingInterval));
 }
 
-// Guards against reports of lost relays staying in force.
+// Guards against reports of lost relays that remain in effect.
 BOOST_AUTO_TEST_CASE(a_host_counts_as_unreachable_only_while_all_answering_relays_report_it)
 {
     using Names = std::set<std::string>;
