--- a/src/decisions/succession.h
+++ b/src/decisions/promotion.h
@@ -6,7 +6,7 @@
 //   - Reusing a fencing token to order another member: the platform may carry out the first order after the second.
 //
 // [SECTION] Coordinators   the record in the store
-// [SECTION] Turns          which coordinator acts, and when
+// [SECTION] Takeover       which coordinator acts, and when
 // [SECTION] Evidence       whether the primary is dead, and which member succeeds it
 #pragma once
 #include "decisions/freshness.h"
@@ -49,7 +49,7 @@
     bool canAct { true };
     friend bool operator==(const LiveCandidate&, const LiveCandidate&) = default;
 };
-// Whether the record must be replaced: its first coordinator is gone, too few are live, or none of them can act while another host can.
+// Whether the record must be replaced: its first coordinator is not live, too few coordinators are live, or none of them can act while another host can.
 bool isCoordinatorRecordDue(const CoordinatorRecord& record, const std::vector<LiveCandidate>& live);
 // This process's rank in the record, from 0; empty: it is not a coordinator.
 std::optional<size_t> findRank(const CoordinatorRecord& record, const Coordinator& self);
@@ -60,7 +60,7 @@
 std::optional<CoordinatorRecord> parseCoordinatorRecord(const std::string& text);
 
 //-----------------------------------------------------------------------------
-// [SECTION] Turns
+// [SECTION] Takeover
 //-----------------------------------------------------------------------------
 
 // What a coordinator has to do.
--- a/tests/unit/quota_test.cpp
+++ b/tests/unit/quota_test.cpp
@@ -28,7 +28,7 @@
 {
     QuotaReport report { host, now - covered, true, { { kAccount, {}, grantsTaken } } };
     for (auto& [ageMs, count] : buckets)
-        report.accounts[0].uses.push_back({ now - milliseconds(ageMs), count });
+        report.accounts[0].history.push_back({ now - milliseconds(ageMs), count });
     return report;
 }
 
@@ -39,7 +39,7 @@
         std::string name;
         QuotaHost own {};
         QuotaServer server {};
-        TimePoint beganAt {};
+        TimePoint startedAt {};
         TimePoint upSince {};
         TimePoint isolatedUntil {}; // from all other hosts
         TimePoint reportedAt {};
@@ -118,7 +118,7 @@
     TimePoint getNow() const { return m_now; }
 
     // Returns the maximum number of operations that began within any window.
-    size_t getMostInWindow() const
+    size_t getMaxInWindow() const
     {
         auto sorted = begun;
         std::ranges::sort(sorted);
@@ -150,7 +150,7 @@
         host = Host { host.name };
         host.generation = generation;
         host.isolatedUntil = isolatedUntil;
-        host.beganAt = at;
+        host.startedAt = at;
         host.upSince = at;
         host.own.startedAt = at;
         host.server.storedNearQuota = m_persisted;
@@ -160,18 +160,18 @@
     bool isConnected(size_t a, size_t b) const { return a == b || (isUp(a) && isUp(b) && m_now >= m_hosts[a].isolatedUntil && m_now >= m_hosts[b].isolatedUntil); }
 
     // Delivers a message with a delay, unless either host is isolated or restarts before delivery.
-    void send(size_t from, size_t to, std::function<void()> take)
+    void send(size_t from, size_t to, std::function<void()> deliver)
     {
         if (from == to) {
-            take();
+            deliver();
             return;
         }
         if (!isConnected(from, to))
             return;
         auto delay = milliseconds(std::uniform_int_distribution<int>(1, 20)(random));
-        m_events.push({ m_now + delay, ++m_lastEvent, [this, from, to, generations = std::pair(m_hosts[from].generation, m_hosts[to].generation), take = std::move(take)] {
+        m_events.push({ m_now + delay, ++m_lastEvent, [this, from, to, generations = std::pair(m_hosts[from].generation, m_hosts[to].generation), deliver = std::move(deliver)] {
                            if (isConnected(from, to) && generations == std::pair(m_hosts[from].generation, m_hosts[to].generation))
-                               take();
+                               deliver();
                        } });
     }
 
@@ -258,7 +258,7 @@
     void persistNearQuota(size_t i)
     {
         auto near = getNearQuotaAccounts(m_hosts[i].server, m_now);
-        bool mayForget = m_hosts[i].reportsTo == i && m_now - m_hosts[i].beganAt > rule.window + milliseconds(1000);
+        bool mayForget = m_hosts[i].reportsTo == i && m_now - m_hosts[i].startedAt > rule.window + milliseconds(1000);
         if (std::ranges::includes(m_persisted, near) && !mayForget)
             return;
         m_persisted = near;
@@ -278,12 +278,12 @@
             return;
         auto k = *server;
         bool isWhole = isNew || !host.sentWholeReport.contains(k) || host.unansweredSince.contains(k);
-        QuotaReport report { host.name, std::max(host.beganAt, m_now - rule.window), isWhole, {} };
+        QuotaReport report { host.name, std::max(host.startedAt, m_now - rule.window), isWhole, {} };
         if (used != host.own.accounts.end() && (used->second.isUnreported || isWhole)) {
             report.accounts.push_back({ kAccount, {}, host.grantsTaken[k] });
-            for (auto& it : used->second.uses) {
+            for (auto& it : used->second.history) {
                 if (m_now - it.at <= rule.window)
-                    report.accounts[0].uses.push_back(it);
+                    report.accounts[0].history.push_back(it);
             }
         }
         host.sentWholeReport.insert(k);
@@ -368,18 +368,18 @@
 
 BOOST_AUTO_TEST_CASE(usage_is_kept_in_buckets_and_expires_slightly_late_at_most)
 {
-    UsageHistory uses;
+    UsageHistory history;
     for (int ms = 0; ms < 1000; ++ms)
-        addUsage(uses, kStart + milliseconds(ms));
-    BOOST_TEST(uses.size() <= 20u);
-    BOOST_TEST(countUsage(uses, kStart - milliseconds(1), kStart + milliseconds(1000)) == 1000u);
+        addUsage(history, kStart + milliseconds(ms));
+    BOOST_TEST(history.size() <= 20u);
+    BOOST_TEST(countUsage(history, kStart - milliseconds(1), kStart + milliseconds(1000)) == 1000u);
     for (int ms = 0; ms < 1000; ms += 37) {
-        auto counted = countUsage(uses, kStart + milliseconds(ms), kStart + milliseconds(1000));
+        auto counted = countUsage(history, kStart + milliseconds(ms), kStart + milliseconds(1000));
         BOOST_TEST(counted >= 1000u - static_cast<unsigned>(ms) - 1);
         BOOST_TEST(counted <= 1000u - static_cast<unsigned>(ms) + 200);
     }
-    removeLatestUsage(uses);
-    BOOST_TEST(countUsage(uses, kStart - milliseconds(1), kStart + milliseconds(1000)) == 999u);
+    removeLatestUsage(history);
+    BOOST_TEST(countUsage(history, kStart - milliseconds(1), kStart + milliseconds(1000)) == 999u);
 }
 
 BOOST_AUTO_TEST_CASE(an_account_is_strict_while_near_its_quota)
@@ -544,7 +544,7 @@
             simulate(fleet, milliseconds(6000), rate / 1.6, [&] { return fleet.random() % hosts; });
             auto before = fleet.begun.size();
             simulate(fleet, milliseconds(10000), 7.5 * rate / 1.6, [&] { return fleet.random() % hosts; });
-            BOOST_TEST(static_cast<double>(fleet.getMostInWindow()) <= getBound(fleet), hosts << " hosts, " << rate << "/s: " << fleet.getMostInWindow() << " of " << getBound(fleet));
+            BOOST_TEST(static_cast<double>(fleet.getMaxInWindow()) <= getBound(fleet), hosts << " hosts, " << rate << "/s: " << fleet.getMaxInWindow() << " of " << getBound(fleet));
             BOOST_TEST(static_cast<double>(fleet.begun.size() - before) >= 0.99 * 10 * rate, hosts << " hosts, " << rate << "/s: " << fleet.begun.size() - before);
         }
     }
@@ -576,8 +576,8 @@
         auto load = rate / 1.6 * loadFactors[static_cast<size_t>(pickInt(0, 6))];
         simulate(fleet, milliseconds(pickInt(200, 2500)), load, [&] { return fleet.random() % hosts; });
     }
-    bool holds = static_cast<double>(fleet.getMostInWindow()) <= getBound(fleet);
-    BOOST_TEST(holds, "seed " << seed << ": " << hosts << " hosts, " << rate << "/s: " << fleet.getMostInWindow() << " of " << getBound(fleet));
+    bool holds = static_cast<double>(fleet.getMaxInWindow()) <= getBound(fleet);
+    BOOST_TEST(holds, "seed " << seed << ": " << hosts << " hosts, " << rate << "/s: " << fleet.getMaxInWindow() << " of " << getBound(fleet));
     return holds;
 }
 
