--- a/src/base/families.h
+++ b/src/base/families.h
@@ -19,7 +19,7 @@
     TargetSeconds,
     ConnectionsOpened,
     ConnectionsClosed,
-    ConnectionsGivenUp,
+    ConnectionsEvicted,
     QuotaRefused,
     StoreCalls,
     StoreSeconds,
--- a/src/gateway/target_pool.cpp
+++ b/src/gateway/target_pool.cpp
@@ -245,7 +245,7 @@
 void TargetPool::evictSession(const SessionPtr& session)
 {
     base::incrementCounter(base::MetricFamily::ConnectionsClosed, { { "member", m_target.member } });
-    base::incrementCounter(base::MetricFamily::ConnectionsGivenUp, { { "member", m_target.member } });
+    base::incrementCounter(base::MetricFamily::ConnectionsEvicted, { { "member", m_target.member } });
     session->close();
     std::erase(m_sessions, SessionPtr(session));
 }
