--- a/src/decisions/statement.cpp
+++ b/src/decisions/statement.cpp
@@ -27,11 +27,11 @@
 ConnectionPlan planConnection(const ConnectionState& connection, const SessionVariables& session, const std::optional<PreparedShape>& shape)
 {
     ConnectionPlan plan;
-    plan.mustReset = std::ranges::any_of(connection.values, [&](const auto& it) { return !session.contains(it.first); });
+    plan.mustReset = std::ranges::any_of(connection.variables, [&](const auto& it) { return !session.contains(it.first); });
     for (const auto& [name, value] : session) {
-        auto found = connection.values.find(name);
-        if (plan.mustReset || found == connection.values.end() || found->second != value)
-            plan.values.emplace_back(name, value);
+        auto found = connection.variables.find(name);
+        if (plan.mustReset || found == connection.variables.end() || found->second != value)
+            plan.variables.emplace_back(name, value);
     }
     plan.mustPrepare = shape && (plan.mustReset || !connection.prepared.contains(*shape));
     return plan;
@@ -41,8 +41,8 @@
 {
     if (plan.mustReset)
         connection = {};
-    for (const auto& [name, value] : plan.values)
-        connection.values[name] = value;
+    for (const auto& [name, value] : plan.variables)
+        connection.variables[name] = value;
     if (plan.mustPrepare)
         connection.prepared.insert(*shape);
     return connection;
--- a/src/decisions/statement.h
+++ b/src/decisions/statement.h
@@ -92,7 +92,7 @@
 
 // Session state left on a pooled connection by the sessions that it served before.
 struct ConnectionState {
-    SessionVariables values {};
+    SessionVariables variables {};
     std::set<PreparedShape> prepared {};
     friend bool operator==(const ConnectionState&, const ConnectionState&) = default;
 };
@@ -100,9 +100,9 @@
 // What must be sent on a connection before it can serve a session.
 struct ConnectionPlan {
     bool mustReset { false }; // it has a variable that the session has not set
-    std::vector<std::pair<std::string, std::string>> values {}; // variables to set
+    std::vector<std::pair<std::string, std::string>> variables {}; // to set
     bool mustPrepare { false };
-    size_t getCost() const { return (mustReset ? 1 : 0) + values.size() + (mustPrepare ? 1 : 0); }
+    size_t getCost() const { return (mustReset ? 1 : 0) + variables.size() + (mustPrepare ? 1 : 0); }
     friend bool operator==(const ConnectionPlan&, const ConnectionPlan&) = default;
 };
 
--- a/src/gateway/target_pool.cpp
+++ b/src/gateway/target_pool.cpp
@@ -378,7 +378,7 @@
     };
     if (plan.mustReset)
         session->sendStatement(m_codec.formatReset(), closeOnError);
-    for (const auto& [name, value] : plan.values)
+    for (const auto& [name, value] : plan.variables)
         session->sendStatement(m_codec.formatSetValue(name, value), closeOnError);
     if (plan.mustPrepare)
         session->sendStatement(m_codec.formatPrepare(decisions::getPreparedName(*request.shape), *request.shape), closeOnError);
@@ -419,7 +419,7 @@
 {
     auto& request = job->request;
     base::checkInvariant(session->transaction == request.transaction || request.kind == RequestKind::Single || request.kind == RequestKind::PrimaryRead, "a statement was about to run in a transaction other than its own", m_target.member);
-    base::checkInvariant(session->state.values == request.values, "a statement was about to run with variables that are not its session's", m_target.member);
+    base::checkInvariant(session->state.variables == request.values, "a statement was about to run with variables that are not its session's", m_target.member);
     auto atLeast = request.kind == RequestKind::Single ? request.atLeast : Mark {};
     auto bytes = m_codec.formatStatement(request.statement, atLeast, request.shape ? decisions::getPreparedName(*request.shape) : "");
     auto sentAt = Clock::now();
--- a/tests/unit/gateway_decisions_test.cpp
+++ b/tests/unit/gateway_decisions_test.cpp
@@ -368,7 +368,7 @@
     BOOST_TEST(planConnection(connection, { { "zone", "a" } }, {}).getCost() == 0u);
     auto plan = planConnection(connection, { { "zone", "b" }, { "lang", "mn" } }, PreparedShape { "q", false });
     BOOST_TEST(!plan.mustReset);
-    BOOST_TEST(plan.values.size() == 2u);
+    BOOST_TEST(plan.variables.size() == 2u);
     BOOST_TEST(plan.mustPrepare);
     connection = applyPlan(connection, plan, PreparedShape { "q", false });
     BOOST_TEST(planConnection(connection, { { "zone", "b" }, { "lang", "mn" } }, PreparedShape { "q", false }).getCost() == 0u);
@@ -376,7 +376,7 @@
     BOOST_TEST(plan.mustReset);
     BOOST_TEST(plan.mustPrepare); // a reset drops prepared statements
     connection = applyPlan(connection, plan, PreparedShape { "q", false });
-    BOOST_TEST((connection.values == SessionVariables { { "lang", "mn" } }));
+    BOOST_TEST((connection.variables == SessionVariables { { "lang", "mn" } }));
     BOOST_TEST(getPreparedName({ "q", false }) != getPreparedName({ "q", true }));
 }
 
