--- a/src/base/clock.cpp
+++ b/src/base/clock.cpp
@@ -9,7 +9,7 @@
 
 namespace asio = boost::asio;
 
-static uint64_t getWallStamp()
+static uint64_t getWallTimestamp()
 {
     auto n = std::chrono::duration_cast<milliseconds>(std::chrono::system_clock::now().time_since_epoch()).count();
     return static_cast<uint64_t>(n) << 16;
@@ -18,14 +18,14 @@
 uint64_t HybridClock::tick()
 {
     std::lock_guard lock(m_mutex);
-    m_last = std::max(m_last + 1, getWallStamp());
+    m_last = std::max(m_last + 1, getWallTimestamp());
     return m_last;
 }
 
 uint64_t HybridClock::merge(uint64_t received)
 {
     std::lock_guard lock(m_mutex);
-    m_last = std::max({ m_last + 1, received + 1, getWallStamp() });
+    m_last = std::max({ m_last + 1, received + 1, getWallTimestamp() });
     return m_last;
 }
 
@@ -45,7 +45,7 @@
     {
     }
 
-    void begin()
+    void start()
     {
         timer.expires_after(period);
         timer.async_wait([self = shared_from_this()](boost::system::error_code ec) {
@@ -53,7 +53,7 @@
                 return;
             self->callback();
             if (!self->isStopped)
-                self->begin();
+                self->start();
         });
     }
 
@@ -70,7 +70,7 @@
     TimerSubscription subscribe(asio::any_io_executor executor, milliseconds period, std::function<void()> callback) override
     {
         auto timer = std::make_shared<PeriodicTimer>(executor, period, std::move(callback));
-        asio::post(executor, [timer] { timer->begin(); });
+        asio::post(executor, [timer] { timer->start(); });
         return TimerSubscription([timer, executor] {
             timer->isStopped = true;
             asio::post(executor, [timer] { timer->timer.cancel(); });
--- a/src/decisions/member_queue.cpp
+++ b/src/decisions/member_queue.cpp
@@ -100,15 +100,15 @@
     if (isStarved(queue.costs, kind))
         return 1;
     auto own = getCostMs(queue.costs, kind, queue.workMs);
-    double kinds = 1;
-    double costlier = 1;
+    double kindCount = 1;
+    double costlierKinds = 1;
     for (auto& [other, cost] : queue.costs) {
         if (other == kind || cost.offered < kMinOffered)
             continue;
-        ++kinds;
-        costlier += getCostMs(queue.costs, other, queue.workMs) > own ? 1 : 0;
+        ++kindCount;
+        costlierKinds += getCostMs(queue.costs, other, queue.workMs) > own ? 1 : 0;
     }
-    return costlier / kinds;
+    return costlierKinds / kindCount;
 }
 
 // A first statement counts with its whole operation, because later statements of its transaction are scheduled ahead of other first ones.
@@ -185,11 +185,11 @@
 {
     std::vector<QueueEntry> expired;
     std::erase_if(queue.entries, [&](const QueueEntry& it) {
-        bool isOvertaken = queue.overload.isSustained && !it.scheduling.isContinuation && getMs(now - it.arrivedAt) > kMaxWaitFactor * getTolerableWaitMs(queue, it);
+        bool hasWaitedTooLong = queue.overload.isSustained && !it.scheduling.isContinuation && getMs(now - it.arrivedAt) > kMaxWaitFactor * getTolerableWaitMs(queue, it);
         bool isLate = now >= it.scheduling.deadline;
-        if (isOvertaken || isLate)
+        if (hasWaitedTooLong || isLate)
             expired.push_back(it);
-        return isOvertaken || isLate;
+        return hasWaitedTooLong || isLate;
     });
     return expired;
 }
--- a/src/decisions/quota.cpp
+++ b/src/decisions/quota.cpp
@@ -73,10 +73,10 @@
 
 static ReportingStatus getReportingStatus(const ReportingHost& host, TimePoint now)
 {
-    auto silent = now - host.lastReportAt;
-    if (silent >= kQuotaSilentHostTimeout)
+    auto silentFor = now - host.lastReportAt;
+    if (silentFor >= kQuotaSilentHostTimeout)
         return ReportingStatus::Expired;
-    return silent <= kReportTimeout ? ReportingStatus::Reporting : ReportingStatus::Silent;
+    return silentFor <= kReportTimeout ? ReportingStatus::Reporting : ReportingStatus::Silent;
 }
 
 static double countReported(const HostUsage& usage, const QuotaRule& rule, TimePoint until, TimePoint now)
--- a/src/decisions/records.cpp
+++ b/src/decisions/records.cpp
@@ -8,11 +8,11 @@
 
 namespace json = boost::json;
 
-static constexpr unsigned kMaximumConnections = 10000;
-static constexpr unsigned kMaximumSlots = 1000;
-static constexpr int64_t kMaximumIntervalMs = 3600 * 1000;
-static constexpr int64_t kMaximumAgeMs = 24 * 3600 * 1000;
-static constexpr size_t kMaximumMembers = 15;
+static constexpr unsigned kMaxConnections = 10000;
+static constexpr unsigned kMaxSlots = 1000;
+static constexpr int64_t kMaxIntervalMs = 3600 * 1000;
+static constexpr int64_t kMaxAgeMs = 24 * 3600 * 1000;
+static constexpr size_t kMaxMembers = 15;
 
 using Problem = tl::unexpected<RecordProblem>;
 
@@ -190,7 +190,7 @@
     if (mode != "automatic" && mode != "off")
         reader.addProblem("mode", "must be \"automatic\" or \"off\"");
     limits.mode = mode == "off" ? PromotionMode::Off : PromotionMode::Automatic;
-    limits.minInterval = milliseconds(reader.getInteger("leastIntervalMs", 0, kMaximumIntervalMs, limits.minInterval.count()));
+    limits.minInterval = milliseconds(reader.getInteger("leastIntervalMs", 0, kMaxIntervalMs, limits.minInterval.count()));
     limits.maxPerHour = static_cast<unsigned>(reader.getInteger("mostPerHour", 0, 1000, limits.maxPerHour));
     reader.rejectUnknownFields();
     parent.addFirstProblem(reader.getProblem());
@@ -205,7 +205,7 @@
     }
     for (auto& it : *object) {
         FieldReader reader(it.value(), "reads." + std::string(it.key()));
-        kinds[it.key()] = milliseconds(reader.getInteger("maximumAgeMs", 0, kMaximumAgeMs));
+        kinds[it.key()] = milliseconds(reader.getInteger("maximumAgeMs", 0, kMaxAgeMs));
         reader.rejectUnknownFields();
         parent.addFirstProblem(reader.getProblem());
     }
@@ -221,8 +221,8 @@
 
 static void readCommonFields(FieldReader& reader, GroupRecord& record)
 {
-    record.connectionLimit = static_cast<unsigned>(reader.getInteger("connectionLimit", 1, kMaximumConnections, record.connectionLimit));
-    record.slots = static_cast<unsigned>(reader.getInteger("slots", 1, kMaximumSlots, record.slots));
+    record.connectionLimit = static_cast<unsigned>(reader.getInteger("connectionLimit", 1, kMaxConnections, record.connectionLimit));
+    record.slots = static_cast<unsigned>(reader.getInteger("slots", 1, kMaxSlots, record.slots));
     readAcknowledge(reader, record);
     record.isRetired = reader.getBool("retired", false);
     if (auto* hosts = reader.getArray("hosts", false)) {
@@ -267,7 +267,7 @@
             record.members.push_back(std::move(member));
         }
     }
-    auto stale = reader.getInteger("staleMs", 0, kMaximumAgeMs, -1);
+    auto stale = reader.getInteger("staleMs", 0, kMaxAgeMs, -1);
     if (stale >= 0)
         record.readKinds["default"] = milliseconds(stale);
     record.promotion.mode = reader.getBool("promote", true) ? PromotionMode::Automatic : PromotionMode::Off;
@@ -275,8 +275,8 @@
 
 static void checkMembers(FieldReader& reader, const GroupRecord& record)
 {
-    if (record.members.empty() || record.members.size() > kMaximumMembers)
-        reader.addProblem("members", fmt::format("must contain 1 to {} members", kMaximumMembers));
+    if (record.members.empty() || record.members.size() > kMaxMembers)
+        reader.addProblem("members", fmt::format("must contain 1 to {} members", kMaxMembers));
     std::set<std::string> names;
     std::set<std::string> addresses;
     for (auto& it : record.members) {
--- a/src/decisions/trace.cpp
+++ b/src/decisions/trace.cpp
@@ -33,8 +33,8 @@
         return fmt::format("{} follow {} in term {}", getName(record, follow->member), getName(record, follow->primary), follow->term);
     if (auto* announce = std::get_if<AnnouncePrimary>(&action))
         return fmt::format("announce {} in term {}", getName(record, announce->primary), announce->term);
-    auto& note = std::get<AddTimelineEntry>(action);
-    return fmt::format("note {}: {}", note.kind, note.cause);
+    auto& entry = std::get<AddTimelineEntry>(action);
+    return fmt::format("note {}: {}", entry.kind, entry.cause);
 }
 
 // ---- writing ----
@@ -266,18 +266,18 @@
 
 ReplayResult replayTrace(const std::vector<TraceEntry>& entries)
 {
-    ReplayResult replay;
+    ReplayResult result;
     for (size_t i = 0; i < entries.size(); ++i) {
-        auto step = stepGroup(std::move(replay.state), entries[i].event, entries[i].now);
-        replay.state = std::move(step.state);
+        auto step = stepGroup(std::move(result.state), entries[i].event, entries[i].now);
+        result.state = std::move(step.state);
         std::vector<std::string> actions;
         for (auto& it : step.actions)
-            actions.push_back(formatAction(it, replay.state.record));
-        if (replay.firstDifference.empty() && actions != entries[i].actions)
-            replay.firstDifference = fmt::format("entry {}: recorded [{}], now [{}]", i + 1, fmt::join(entries[i].actions, "; "), fmt::join(actions, "; "));
-        std::ranges::move(actions, std::back_inserter(replay.actions));
+            actions.push_back(formatAction(it, result.state.record));
+        if (result.firstDifference.empty() && actions != entries[i].actions)
+            result.firstDifference = fmt::format("entry {}: recorded [{}], now [{}]", i + 1, fmt::join(entries[i].actions, "; "), fmt::join(actions, "; "));
+        std::ranges::move(actions, std::back_inserter(result.actions));
     }
-    return replay;
+    return result;
 }
 
 }
--- a/tests/unit/quota_test.cpp
+++ b/tests/unit/quota_test.cpp
@@ -348,7 +348,7 @@
     }
 }
 
-double getBound(const Fleet& fleet)
+double getHardLimit(const Fleet& fleet)
 {
     return getQuotaLimits(*findQuota(fleet.accounts, kAccount), fleet.rule).hardLimit;
 }
@@ -544,7 +544,7 @@
             simulate(fleet, milliseconds(6000), rate / 1.6, [&] { return fleet.random() % hosts; });
             auto before = fleet.begun.size();
             simulate(fleet, milliseconds(10000), 7.5 * rate / 1.6, [&] { return fleet.random() % hosts; });
-            BOOST_TEST(static_cast<double>(fleet.getMaxInWindow()) <= getBound(fleet), hosts << " hosts, " << rate << "/s: " << fleet.getMaxInWindow() << " of " << getBound(fleet));
+            BOOST_TEST(static_cast<double>(fleet.getMaxInWindow()) <= getHardLimit(fleet), hosts << " hosts, " << rate << "/s: " << fleet.getMaxInWindow() << " of " << getHardLimit(fleet));
             BOOST_TEST(static_cast<double>(fleet.begun.size() - before) >= 0.99 * 10 * rate, hosts << " hosts, " << rate << "/s: " << fleet.begun.size() - before);
         }
     }
@@ -576,8 +576,8 @@
         auto load = rate / 1.6 * loadFactors[static_cast<size_t>(pickInt(0, 6))];
         simulate(fleet, milliseconds(pickInt(200, 2500)), load, [&] { return fleet.random() % hosts; });
     }
-    bool holds = static_cast<double>(fleet.getMaxInWindow()) <= getBound(fleet);
-    BOOST_TEST(holds, "seed " << seed << ": " << hosts << " hosts, " << rate << "/s: " << fleet.getMaxInWindow() << " of " << getBound(fleet));
+    bool holds = static_cast<double>(fleet.getMaxInWindow()) <= getHardLimit(fleet);
+    BOOST_TEST(holds, "seed " << seed << ": " << hosts << " hosts, " << rate << "/s: " << fleet.getMaxInWindow() << " of " << getHardLimit(fleet));
     return holds;
 }
 
