--- a/src/decisions/choice.cpp
+++ b/src/decisions/choice.cpp
@@ -4,7 +4,7 @@
 
 namespace alderward::decisions {
 
-// In statement times: a read goes to the primary only if this saves more than that.
+// Added to the primary's expected latency, in typical statement times, to keep reads away from it.
 static constexpr double kPrimaryPenalty = 1.0;
 
 KnownPrimary applyPrimaryProof(const KnownPrimary& known, const std::string& member, uint64_t term)
--- a/src/decisions/connections.cpp
+++ b/src/decisions/connections.cpp
@@ -4,7 +4,7 @@
 namespace alderward::decisions {
 
 static constexpr size_t kMaxWaitingPerBusyConnection = 2; // operations queued per busy connection above which another connection is opened
-static constexpr milliseconds kMaxUnservedTime { 500 }; // then a connection that has not served can be evicted; the operation that it was opened for may have been cancelled
+static constexpr milliseconds kMaxUnservedTime { 500 }; // an idle connection that has not served can be evicted after this, because the operation that it was opened for may have been cancelled
 
 static bool canEvict(const PooledConnection& it, TimePoint now)
 {
--- a/src/decisions/failover.cpp
+++ b/src/decisions/failover.cpp
@@ -26,7 +26,7 @@
         bool isFresh = it.probedAt >= failingSince && now - it.probedAt <= context.timings.maxStatusAge;
         if (i == primary || !it.isReachable() || !isFresh)
             continue;
-        // A replica in an older term lost contact through the last promotion, not through a failure of the present primary.
+        // A replica in an older term lost contact through the last promotion, not through a failure of the current primary.
         bool hasContact = it.status.term == context.health.term && it.status.primaryContactAge < context.timings.primaryContactTimeout;
         ++(hasContact ? contacts.withContact : contacts.withoutContact);
     }
--- a/src/decisions/failover.h
+++ b/src/decisions/failover.h
@@ -51,7 +51,7 @@
     bool isPlanned { false }; // a handover from a leaving primary, not the replacement of a failed one
     uint64_t term { 0 }; // term of the current or last attempt
     TimePoint phaseStartedAt {};
-    TimePoint startedAt {}; // when the present attempt became due
+    TimePoint startedAt {}; // when the current attempt became due
     TimePoint earliestStart {}; // no attempt starts earlier
     TimePoint lastTickAt {};
     std::map<size_t, FenceAnswer> grants {}; // by member index
@@ -60,7 +60,7 @@
     std::optional<size_t> chosenMember {}; // index of the member that is being promoted
     uint64_t promotedTerm { 0 }; // of the last promotion by this host
     uint64_t highestTerm { 0 }; // highest term in any answer to a claim or fence request
-    std::deque<TimePoint> recentPromotions {}; // automatic promotions within the last hour, oldest first
+    std::deque<TimePoint> recentPromotions {}; // promotions within the last hour, oldest first; without this host's planned handovers
     std::string holdBackReason {}; // why a promotion that is due is not started; empty: none is withheld
     std::string cause {}; // of the current attempt
     friend bool operator==(const FailoverState&, const FailoverState&) = default;
--- a/src/decisions/health.h
+++ b/src/decisions/health.h
@@ -49,7 +49,7 @@
 struct MemberHealth {
     bool isKnown { false }; // has answered at least once
     MemberStatus status {}; // last answer
-    TimePoint askedAt {}; // send time of the request whose reply came last, of any kind
+    TimePoint askedAt {}; // send time of the latest answered request, of any kind
     TimePoint probedAt {}; // send time of the last answered status probe; primaryContactAge counts from then
     unsigned failures { 0 }; // consecutive failed probes
     unsigned refusals { 0 }; // refused connections among the last failures, consecutive
--- a/src/decisions/placement.h
+++ b/src/decisions/placement.h
@@ -1,5 +1,5 @@
-// Which hosts are homes of a group (keep connection pools to its members), and how a member's connections and slots are divided
-// among them. Hosts compute this independently; while their views differ, members enforce their own limits.
+// Which hosts are homes of a group (keep connection pools to its members), and how a member's connections are divided among
+// them. Hosts compute this independently; while their views differ, members enforce their own limits.
 #pragma once
 #include "decisions/records.h"
 #include <string>
@@ -18,9 +18,9 @@
     friend bool operator==(const PlacedHost&, const PlacedHost&) = default;
 };
 
-// One home's share of each member's limits.
+// What one home may use of each member. Connections are divided among the homes; slots are not.
 struct HomeShare {
-    unsigned connections { 1 }; // from one home to one member
+    unsigned connections { 1 }; // maximum from one home to one member
     unsigned slots { 1 }; // maximum statements in flight from one home at one member
     friend bool operator==(const HomeShare&, const HomeShare&) = default;
 };
--- a/src/decisions/quota.cpp
+++ b/src/decisions/quota.cpp
@@ -8,7 +8,7 @@
 static constexpr double kSilentHostReserve = 0.6; // of the tolerance
 static constexpr double kStrictEnterRatio = 0.6; // of the budget's limit; the rest absorbs operations that begin before all hosts know that the account is strict
 static constexpr double kMaxUnreportedRatio = 0.35; // of the admission limit
-static constexpr double kStrictLeaveRatio = 0.5; // below kStrictEnterRatio, so that accounts do not alternate
+static constexpr double kStrictLeaveRatio = 0.5; // below kStrictEnterRatio, so that accounts do not alternate between strict and not strict
 static constexpr milliseconds kReportTimeout { 750 }; // longer than the report interval, shorter than the lease
 static constexpr double kMaxUnknownRatio = 0.5; // of a host's share, assumed used where its history is unknown and the account was not near its quota
 static constexpr milliseconds kNearQuotaRetention { 6000 }; // longer than the default window by the time that a write takes
--- a/src/decisions/watching.cpp
+++ b/src/decisions/watching.cpp
@@ -42,7 +42,7 @@
 
 ReportedChange applyReportedChange(const ReportedChange& reported, uint64_t revision, uint64_t knownRevision, TimePoint now)
 {
-    if (reported.revision > knownRevision) // keeps the time of the first missing change
+    if (reported.revision > knownRevision) // still missing: keeps the time of the first report
         return reported;
     return revision > knownRevision ? ReportedChange { revision, now } : ReportedChange {};
 }
--- a/tests/unit/member_queue_test.cpp
+++ b/tests/unit/member_queue_test.cpp
@@ -232,8 +232,7 @@
 BOOST_AUTO_TEST_SUITE(member_queue)
 
 // Guards against a queue under sustained load in which all statements are answered late or refused only after a long wait.
-// With seed 7, load 1.6 and two retries, 0.518 of the operations are in time without overload control (median wait 640 ms) and
-// 0.766 with it (110 ms). Without retries it is 0.626 and 0.794; refusals come after 790 ms (median) and at once.
+// With seed 7 and load 1.6, 0.518 of the operations are in time without overload control and 0.766 with it; without retries 0.626 and 0.794.
 BOOST_AUTO_TEST_CASE(overload_control_raises_throughput_within_objective_under_sustained_load)
 {
     for (unsigned seed : { 7U, 8U, 9U }) {
