--- a/tests/gateway/accounts_test.cpp
+++ b/tests/gateway/accounts_test.cpp
@@ -11,11 +11,11 @@
 
 const std::vector<RigAccount> kAccounts { { "mill", { "key-mill-1", "key-mill-2" } }, { "shop", { "key-shop-1" } } };
 
-RigOptions makeShape(std::vector<RigAccount> accounts = kAccounts)
+RigOptions makeOptions(std::vector<RigAccount> accounts = kAccounts)
 {
-    RigOptions shape;
-    shape.accounts = std::move(accounts);
-    return shape;
+    RigOptions options;
+    options.accounts = std::move(accounts);
+    return options;
 }
 
 std::string getAccountOf(GatewayRig& rig, const std::string& id)
@@ -44,7 +44,7 @@
 
 BOOST_AUTO_TEST_CASE(members_receive_the_account_of_each_statement_and_keys_are_never_exposed)
 {
-    GatewayRig rig(makeShape());
+    GatewayRig rig(makeOptions());
     rig.startHosts();
     for (unsigned i = 0; i < 3; ++i) {
         LineCaller mill(rig.getCallerAddress(i), "db0-own", "key-mill-2");
@@ -70,9 +70,9 @@
 
 BOOST_AUTO_TEST_CASE(a_public_database_needs_no_key)
 {
-    auto shape = makeShape();
-    shape.publicDatabase = "db0-bounded";
-    GatewayRig rig(shape);
+    auto options = makeOptions();
+    options.publicDatabase = "db0-bounded";
+    GatewayRig rig(options);
     rig.startHosts();
     LineCaller publicCaller(rig.getCallerAddress(1), "db0-bounded", "anybody");
     BOOST_TEST(publicCaller.ask("READ a").isOk());
@@ -84,7 +84,7 @@
 // Ends sessions that are idle or in a transaction, rolls the transaction back, and refuses new sessions.
 BOOST_AUTO_TEST_CASE(removing_a_key_ends_its_sessions)
 {
-    GatewayRig rig(makeShape());
+    GatewayRig rig(makeOptions());
     rig.startHosts();
     LineCaller resting(rig.getCallerAddress(1), "db0-own", "key-mill-1");
     LineCaller inTransaction(rig.getCallerAddress(1), "db0-own", "key-mill-1");
@@ -105,7 +105,7 @@
 // Between transactions a session continues under the key's new account; in a transaction it ends.
 BOOST_AUTO_TEST_CASE(sessions_follow_a_key_that_moves_to_another_account)
 {
-    GatewayRig rig(makeShape());
+    GatewayRig rig(makeOptions());
     rig.startHosts();
     LineCaller moving(rig.getCallerAddress(0), "db0-own", "key-mill-1");
     LineCaller inTransaction(rig.getCallerAddress(0), "db0-own", "key-mill-1");
@@ -121,10 +121,10 @@
 
 BOOST_AUTO_TEST_CASE(a_host_without_the_store_receives_key_changes_from_other_hosts)
 {
-    auto shape = makeShape();
-    shape.hasProxies = true;
-    shape.hosts = 21; // seven in each data centre, enough for relays
-    GatewayRig rig(shape);
+    auto options = makeOptions();
+    options.hasProxies = true;
+    options.hosts = 21; // seven in each data centre, enough for relays
+    GatewayRig rig(options);
     rig.startHosts();
     std::this_thread::sleep_for(milliseconds(1500)); // relays are chosen
     unsigned cutHost = 20;
@@ -144,9 +144,9 @@
     std::vector<RigAccount> accounts;
     for (int i = 0; i < 20; ++i)
         accounts.push_back({ fmt::format("account{}", i), { fmt::format("key{}", i) } });
-    auto shape = makeShape(accounts);
-    shape.connections = 12;
-    GatewayRig rig(shape);
+    auto options = makeOptions(accounts);
+    options.connections = 12;
+    GatewayRig rig(options);
     rig.startHosts();
     std::vector<std::unique_ptr<LineCaller>> callers;
     for (int i = 0; i < 20; ++i)
@@ -169,10 +169,10 @@
     std::vector<RigAccount> accounts;
     for (int i = 0; i < 8; ++i)
         accounts.push_back({ fmt::format("account{}", i), { fmt::format("key{}", i) } });
-    auto shape = makeShape(accounts);
-    shape.connections = 8; // three for the forwarder
-    shape.publicDatabase = "db0-primary";
-    GatewayRig rig(shape);
+    auto options = makeOptions(accounts);
+    options.connections = 8; // three for the forwarder
+    options.publicDatabase = "db0-primary";
+    GatewayRig rig(options);
     rig.startHosts();
     LineCaller publicCaller(rig.getCallerAddress(0), "db0-primary", "anybody");
     for (int round = 0; round < 24; ++round) {
@@ -190,8 +190,8 @@
 // An account that far exceeds its quota through all hosts gets its quota, but no more than the hard limit, and does not affect another account.
 BOOST_AUTO_TEST_CASE(a_quota_is_enforced_over_all_hosts)
 {
-    auto shape = makeShape({ { "mill", { "key-mill" }, 10, 10 }, { "shop", { "key-shop" } } });
-    GatewayRig rig(shape);
+    auto options = makeOptions({ { "mill", { "key-mill" }, 10, 10 }, { "shop", { "key-shop" } } });
+    GatewayRig rig(options);
     rig.startHosts();
     std::vector<std::unique_ptr<LineCaller>> callers;
     std::vector<std::unique_ptr<LineCaller>> others;
@@ -223,8 +223,8 @@
 // While hosts that may be the quota server are killed repeatedly, the quota is enforced, and an account within its own quota is served.
 BOOST_AUTO_TEST_CASE(a_quota_is_enforced_while_the_quota_server_is_replaced)
 {
-    auto shape = makeShape({ { "mill", { "key-mill" }, 20, 10 }, { "shop", { "key-shop" }, 400, 400 } });
-    GatewayRig rig(shape);
+    auto options = makeOptions({ { "mill", { "key-mill" }, 20, 10 }, { "shop", { "key-shop" }, 400, 400 } });
+    GatewayRig rig(options);
     rig.startHosts();
     LineCaller mill(rig.getCallerAddress(2), "db0-own", "key-mill");
     LineCaller shop(rig.getCallerAddress(2), "db0-own", "key-shop");
--- a/tests/gateway/leaving_test.cpp
+++ b/tests/gateway/leaving_test.cpp
@@ -14,12 +14,12 @@
 constexpr milliseconds kDrainTime { 7000 }; // default of the setting
 constexpr milliseconds kHandoverLimit { 5000 }; // less than the drain time
 
-RigOptions makeShape()
+RigOptions makeOptions()
 {
-    RigOptions shape;
-    shape.hasProxies = true;
-    shape.hasDirectOrders = true;
-    return shape;
+    RigOptions options;
+    options.hasProxies = true;
+    options.hasDirectOrders = true;
+    return options;
 }
 
 bool isHandedOver(GatewayRig& rig)
@@ -60,7 +60,7 @@
 
 BOOST_AUTO_TEST_CASE(a_leaving_primary_is_handed_over_while_the_first_coordinator_has_lost_the_store)
 {
-    GatewayRig rig(makeShape());
+    GatewayRig rig(makeOptions());
     rig.startHosts();
     auto coordinator = rig.findFirstCoordinator();
     rig.setStoreIsolated(coordinator, true);
@@ -75,7 +75,7 @@
 
 BOOST_AUTO_TEST_CASE(a_standby_hands_over_a_leaving_primary_when_orders_of_the_first_coordinator_are_not_answered)
 {
-    GatewayRig rig(makeShape());
+    GatewayRig rig(makeOptions());
     rig.startHosts();
     auto coordinator = rig.findFirstCoordinator();
     rig.call([&] {
@@ -101,7 +101,7 @@
 
 BOOST_AUTO_TEST_CASE(a_leaving_primary_gets_no_new_operations_after_its_drain_time)
 {
-    GatewayRig rig(makeShape());
+    GatewayRig rig(makeOptions());
     rig.startHosts();
     LineCaller late(rig.getCallerAddress(0), "db0-primary");
     rig.call([&] {
@@ -124,7 +124,7 @@
 
 BOOST_AUTO_TEST_CASE(an_unlisted_primary_gets_no_new_operations_after_its_drain_time)
 {
-    GatewayRig rig(makeShape());
+    GatewayRig rig(makeOptions());
     rig.startHosts();
     rig.call([&] {
         rig.getStore().faults.refusesPromotions = true;
@@ -140,7 +140,7 @@
 // A host without the store does not know a new member, but may be its first forwarder. Other hosts must try the next forwarder.
 BOOST_AUTO_TEST_CASE(a_new_member_is_used_past_a_forwarder_that_does_not_know_it)
 {
-    GatewayRig rig(makeShape());
+    GatewayRig rig(makeOptions());
     rig.call([&] { rig.getStore().remove("servers/g0-c"); });
     rig.startHosts();
     rig.setStoreIsolated(2, true); // in the new member's data centre, so its first forwarder
@@ -157,7 +157,7 @@
 
 BOOST_AUTO_TEST_CASE(a_host_without_the_store_learns_of_added_leaving_and_removed_members)
 {
-    GatewayRig rig(makeShape());
+    GatewayRig rig(makeOptions());
     rig.call([&] { rig.getStore().remove("servers/g0-c"); });
     rig.startHosts();
     rig.setStoreIsolated(2, true);
--- a/tests/gateway/path_test.cpp
+++ b/tests/gateway/path_test.cpp
@@ -63,9 +63,9 @@
 // Guards against statements without an answer that occupy all connections until their deadlines.
 BOOST_AUTO_TEST_CASE(hanging_statements_do_not_occupy_all_connections)
 {
-    RigOptions shape;
-    shape.connections = 8; // three for the forwarder
-    GatewayRig rig(shape);
+    RigOptions options;
+    options.connections = 8; // three for the forwarder
+    GatewayRig rig(options);
     rig.startHosts();
     rig.configure(2, 4000);
     BOOST_TEST(waitUntil(milliseconds(3000), [&] { return rig.getMetrics(2).find("alderward_configuration_version 2") != std::string::npos; }));
@@ -263,9 +263,9 @@
 
 BOOST_AUTO_TEST_CASE(the_connection_limit_of_a_member_holds_over_all_hosts)
 {
-    RigOptions shape;
-    shape.connections = 10;
-    GatewayRig rig(shape);
+    RigOptions options;
+    options.connections = 10;
+    GatewayRig rig(options);
     rig.startHosts();
     std::vector<std::unique_ptr<LineCaller>> callers;
     for (int i = 0; i < 45; ++i)
--- a/tests/gateway/platform_test.cpp
+++ b/tests/gateway/platform_test.cpp
@@ -97,14 +97,14 @@
 // Guards against a host without a configuration reporting that a database does not exist.
 BOOST_AUTO_TEST_CASE(a_host_without_configuration_is_not_ready_and_refuses_callers_as_busy)
 {
-    RigOptions shape;
-    shape.hosts = 1;
-    GatewayRig rig(shape);
+    RigOptions options;
+    options.hosts = 1;
+    GatewayRig rig(options);
     rig.call([&] { rig.getStore().faults.status = 503; });
     rig.startHost(0);
     BOOST_TEST(waitUntil(milliseconds(3000), [&] { return !LineCaller(rig.getCallerAddress(0), "db0-primary").getHandshakeAnswer().result.empty(); }));
-    auto hello = LineCaller(rig.getCallerAddress(0), "db0-primary").getHandshakeAnswer();
-    BOOST_TEST(hello.hasCode("BUSY"), hello.result);
+    auto handshake = LineCaller(rig.getCallerAddress(0), "db0-primary").getHandshakeAnswer();
+    BOOST_TEST(handshake.hasCode("BUSY"), handshake.result);
     BOOST_TEST(!rig.isReady(0));
     rig.call([&] { rig.getStore().faults.status = 0; });
     BOOST_TEST(rig.waitReady(0, milliseconds(2000)));
@@ -113,12 +113,12 @@
 // Guards against refusing callers of a host that starts while the store is silent, and against slow readiness after the store's return.
 BOOST_AUTO_TEST_CASE(a_caller_of_a_starting_host_is_accepted_soon_after_the_store_answers)
 {
-    RigOptions shape;
-    shape.hosts = 1;
-    GatewayRig rig(shape);
+    RigOptions options;
+    options.hosts = 1;
+    GatewayRig rig(options);
     rig.call([&] { rig.getStore().faults.isSilent = true; });
     rig.startHost(0);
-    auto hello = std::async(std::launch::async, [&] {
+    auto handshake = std::async(std::launch::async, [&] {
         LineAnswer answer;
         waitUntil(milliseconds(1000), [&] {
             answer = LineCaller(rig.getCallerAddress(0), "db0-primary").getHandshakeAnswer();
@@ -129,7 +129,7 @@
     std::this_thread::sleep_for(milliseconds(500));
     auto backAt = std::chrono::steady_clock::now();
     rig.call([&] { rig.getStore().faults.isSilent = false; });
-    auto [answer, at] = hello.get();
+    auto [answer, at] = handshake.get();
     BOOST_TEST(answer.isOk(), answer.result);
     BOOST_TEST((at - backAt < milliseconds(600)));
     BOOST_TEST(rig.waitReady(0, milliseconds(1000)));
@@ -156,9 +156,9 @@
 
 BOOST_AUTO_TEST_CASE(hosts_serve_without_the_store_and_restore_their_deleted_entries)
 {
-    RigOptions shape;
-    shape.extraSettings = ""; // default lease
-    GatewayRig rig(shape);
+    RigOptions options;
+    options.extraSettings = ""; // default lease
+    GatewayRig rig(options);
     rig.startHosts();
     rig.call([&] { rig.getStore().faults.isSilent = true; });
     std::this_thread::sleep_for(milliseconds(1500));
@@ -178,9 +178,9 @@
 // Guards against a host keeping connections to a member after another host became its forwarder, which then could open none.
 BOOST_AUTO_TEST_CASE(connections_are_closed_when_another_host_becomes_the_forwarder)
 {
-    RigOptions shape;
-    shape.connections = 12;
-    GatewayRig rig(shape);
+    RigOptions options;
+    options.connections = 12;
+    GatewayRig rig(options);
     rig.startHost(0); // alone: the forwarder to all members
     BOOST_TEST(rig.waitReady(0));
     LineCaller(rig.getCallerAddress(0), "db0-primary").ask("READ x"); // the first read floor
@@ -249,9 +249,9 @@
 // store: the loss of the store then goes unnoticed.
 BOOST_AUTO_TEST_CASE(loss_of_the_store_is_detected_while_other_hosts_report_changes)
 {
-    RigOptions shape;
-    shape.hasProxies = true;
-    GatewayRig rig(shape);
+    RigOptions options;
+    options.hasProxies = true;
+    GatewayRig rig(options);
     rig.startHosts();
     rig.setStoreIsolated(1, true);
     bool isLeaving = false;
@@ -338,9 +338,9 @@
 
 BOOST_AUTO_TEST_CASE(settings_are_reloaded_on_a_signal_and_on_a_change_of_the_file)
 {
-    RigOptions shape;
-    shape.hosts = 1;
-    GatewayRig rig(shape);
+    RigOptions options;
+    options.hosts = 1;
+    GatewayRig rig(options);
     rig.startHosts();
     rig.getHost(0).signal(SIGHUP);
     BOOST_TEST(waitUntil(milliseconds(2000), [&] { return rig.countEvents("settings-read") == 1; }));
@@ -354,10 +354,10 @@
 // Standard output is a pipe that nobody reads: log lines may be lost, statements may not.
 BOOST_AUTO_TEST_CASE(a_blocked_log_reader_does_not_block_statements)
 {
-    RigOptions shape;
-    shape.hosts = 1;
-    shape.extraSettings = "buffer_kb = 16\n";
-    GatewayRig rig(shape);
+    RigOptions options;
+    options.hosts = 1;
+    options.extraSettings = "buffer_kb = 16\n";
+    GatewayRig rig(options);
     rig.startHosts();
     rig.getHost(0).kill();
     std::string pipe = rig.getLogPath(0) + ".pipe";
--- a/tests/gateway/relays_test.cpp
+++ b/tests/gateway/relays_test.cpp
@@ -18,11 +18,11 @@
 constexpr double kMaxFloorAgeSeconds = 1.5; // staleness bound of the rig's bounded routes
 constexpr milliseconds kReplacementTimeout { 4000 }; // for detecting a silent relay and connecting to another one
 
-RigOptions makeShape()
+RigOptions makeOptions()
 {
-    RigOptions shape;
-    shape.hosts = kHosts;
-    return shape;
+    RigOptions options;
+    options.hosts = kHosts;
+    return options;
 }
 
 double getFloorAge(GatewayRig& rig, unsigned host)
@@ -95,7 +95,7 @@
 
 BOOST_AUTO_TEST_CASE(hosts_agree_on_two_relays_per_data_centre_and_receive_floors_through_them)
 {
-    GatewayRig rig(makeShape());
+    GatewayRig rig(makeOptions());
     rig.startHosts();
     auto relays = std::vector<unsigned>();
     BOOST_TEST(waitUntil(milliseconds(5000), [&] {
@@ -114,7 +114,7 @@
 
 BOOST_AUTO_TEST_CASE(frozen_or_killed_relays_are_replaced_and_floors_become_fresh_again)
 {
-    GatewayRig rig(makeShape());
+    GatewayRig rig(makeOptions());
     rig.startHosts();
     BOOST_REQUIRE(waitUntil(milliseconds(5000), [&] { return findRelays(rig, 0).size() == 2; }));
     auto relays = findRelays(rig, 0);
@@ -141,7 +141,7 @@
 // Guards against a watch of the store by every host: only relays watch, and other hosts learn of changes from them.
 BOOST_AUTO_TEST_CASE(store_changes_reach_all_hosts_while_only_a_few_watch_the_store)
 {
-    GatewayRig rig(makeShape());
+    GatewayRig rig(makeOptions());
     rig.startHosts();
     BOOST_REQUIRE(waitUntil(milliseconds(5000), [&] { return findRelays(rig, 0).size() == 2; }));
     std::this_thread::sleep_for(milliseconds(3000)); // until the hosts have finished starting
@@ -160,9 +160,9 @@
 // The data centre of the primary and another one cannot reach each other; hosts of the third one reach both.
 BOOST_AUTO_TEST_CASE(a_host_partitioned_from_the_primary_data_centre_uses_a_forwarder_in_a_third)
 {
-    auto shape = makeShape();
-    shape.hasProxies = true;
-    GatewayRig rig(shape);
+    auto options = makeOptions();
+    options.hasProxies = true;
+    GatewayRig rig(options);
     rig.startHosts();
     BOOST_REQUIRE(LineCaller(rig.getCallerAddress(1), "db0-primary").ask("WRITE x 1").isOk());
     rig.call([&] {
@@ -182,9 +182,9 @@
 // Relays that lose the store but still answer cannot pass on changes in it.
 BOOST_AUTO_TEST_CASE(relays_that_lose_the_store_are_replaced)
 {
-    auto shape = makeShape();
-    shape.hasProxies = true;
-    GatewayRig rig(shape);
+    auto options = makeOptions();
+    options.hasProxies = true;
+    GatewayRig rig(options);
     rig.startHosts();
     BOOST_REQUIRE(waitUntil(milliseconds(5000), [&] { return findRelays(rig, 0).size() == 2; }));
     auto relays = findRelays(rig, 0);
@@ -204,7 +204,7 @@
 // Guards against retries by every host while the store refuses all calls: only relays retry.
 BOOST_AUTO_TEST_CASE(only_relays_retry_a_store_that_refuses_all_hosts)
 {
-    GatewayRig rig(makeShape());
+    GatewayRig rig(makeOptions());
     rig.startHosts();
     BOOST_REQUIRE(waitUntil(milliseconds(5000), [&] { return findRelays(rig, 0).size() == 2; }));
     std::this_thread::sleep_for(milliseconds(3000));
@@ -224,13 +224,13 @@
         BOOST_TEST(waitUntil(milliseconds(6000), [&] { return rig.getMetrics(i).find("alderward_configuration_version 2") != std::string::npos; }), "host " << i);
 }
 
-// Guards against a host that backs off from the store because it and its relays lost it, although a newer configuration version reported by another
-// host shows that the store is available.
+// Guards against a host that keeps backing off after it and its relays lost the store. A newer configuration version reported by another host
+// shows that the store is available.
 BOOST_AUTO_TEST_CASE(a_host_that_learns_of_a_newer_configuration_does_not_back_off_from_the_store)
 {
-    auto shape = makeShape();
-    shape.hasProxies = true;
-    GatewayRig rig(shape);
+    auto options = makeOptions();
+    options.hasProxies = true;
+    GatewayRig rig(options);
     rig.startHosts();
     BOOST_REQUIRE(waitUntil(milliseconds(5000), [&] { return findRelays(rig, 0).size() == 2; }));
     std::this_thread::sleep_for(milliseconds(3000));
@@ -244,7 +244,7 @@
         rig.setStoreIsolated(it, false);
     rig.configure(2);
     auto hasNewest = [&](unsigned host) { return rig.getMetrics(host).find("alderward_configuration_version 2") != std::string::npos; };
-    BOOST_TEST(waitUntil(milliseconds(5000), [&] { return std::ranges::all_of(others, hasNewest); })); // the strictest limit of a site with relays
+    BOOST_TEST(waitUntil(milliseconds(5000), [&] { return std::ranges::all_of(others, hasNewest); })); // less than the mean back-off (kStoreLostPause)
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/gateway/soak_test.cpp
+++ b/tests/gateway/soak_test.cpp
@@ -531,11 +531,11 @@
 
 void runSoak(unsigned seed, milliseconds length)
 {
-    RigOptions shape;
-    shape.hosts = kHosts;
-    shape.groups = kGroups;
-    shape.hasProxies = true;
-    GatewayRig rig(shape);
+    RigOptions options;
+    options.hosts = kHosts;
+    options.groups = kGroups;
+    options.hasProxies = true;
+    GatewayRig rig(options);
     rig.startHosts();
     std::vector<History> histories(kCallers);
     FaultLoop faults(rig);
@@ -579,8 +579,8 @@
     runSoak(static_cast<unsigned>(getEnvironmentNumber("ALDERWARD_SEED", 1)), std::chrono::seconds(getEnvironmentNumber("ALDERWARD_SECONDS", 10)));
 }
 
-// Guards against a read from a primary that restarted with an empty log: the position that it must hold was looked up when it answered instead of
-// when it was asked.
+// Guards against a read from a primary that restarted with an empty log: the position that it must hold has to be looked up before it is asked, not
+// when it answers.
 BOOST_AUTO_TEST_CASE(promises_hold_for_seeds_3004_and_3010)
 {
     for (unsigned seed : { 3004U, 3010U })
