--- a/src/gateway/gateway_primaries.cpp
+++ b/src/gateway/gateway_primaries.cpp
@@ -86,7 +86,8 @@
     base::logEvent(LogClass::State, "replicas-compared", { { "group", std::string_view(round.group) }, { "member", std::string_view(round.primary) }, { "replicas", static_cast<int64_t>(round.replicas.size()) }, { "older", static_cast<int64_t>(older) }, { "answered", static_cast<int64_t>(answered) }, { "enough", group.wasComparedWithReplicas }, { "term", static_cast<int64_t>(group.newestReplicaMark.term) }, { "position", static_cast<int64_t>(group.newestReplicaMark.position) } });
 }
 
-// Queries a member that claims to be primary. Its forwarder has to: other hosts reach the member only through it and can't report a proof.
+// Queries a member that claims to be primary, if this host is its forwarder. Other hosts reach the member only through its forwarder and get no
+// proof of their own.
 void Gateway::verifyPrimaryClaim(MemberView& member)
 {
     if (!member.registration.saysPrimary || !isForwarder(m_view, m_peers, getLocalHost(), member))
@@ -109,9 +110,9 @@
 
 void Gateway::handlePrimaryProof(const std::string& group, const std::string& member, uint64_t term, TimePoint askedAt, ProofRecipient recipient)
 {
-    auto& belief = m_view.groups[group];
-    auto before = belief.primary;
-    applyProvenPrimary(belief, member, term, askedAt, recipient);
+    auto& groupView = m_view.groups[group];
+    auto before = groupView.primary;
+    applyProvenPrimary(groupView, member, term, askedAt, recipient);
     notifyPrimaryChange(group, before, recipient == ProofRecipient::ThisHost ? "proof" : "told");
     if (recipient == ProofRecipient::ThisHost)
         logRejectedProof(group, member, term);
@@ -119,29 +120,29 @@
 
 void Gateway::handlePromotionOrder(const std::string& group, const std::string& member, uint64_t term)
 {
-    auto& belief = m_view.groups[group];
-    auto before = belief.primary;
-    applyOrderedPrimary(belief, member, term, Clock::now());
+    auto& groupView = m_view.groups[group];
+    auto before = groupView.primary;
+    applyOrderedPrimary(groupView, member, term, Clock::now());
     notifyPrimaryChange(group, before, "ordered");
 }
 
 void Gateway::handleAssumedPrimary(const std::string& group, const std::string& member, uint64_t term)
 {
-    auto& belief = m_view.groups[group];
-    auto before = belief.primary;
-    applyAssumedPrimary(belief, member, term, Clock::now());
+    auto& groupView = m_view.groups[group];
+    auto before = groupView.primary;
+    applyAssumedPrimary(groupView, member, term, Clock::now());
     notifyPrimaryChange(group, before, "told");
 }
 
 void Gateway::notifyPrimaryChange(const std::string& group, const decisions::KnownPrimary& before, std::string_view source)
 {
-    auto& belief = m_view.groups[group];
-    auto& primary = belief.primary;
+    auto& groupView = m_view.groups[group];
+    auto& primary = groupView.primary;
     if (primary.member == before.member && primary.term == before.term)
         return;
     if (primary.member != before.member) { // the comparison was made with the previous primary
-        belief.wasComparedWithReplicas = false;
-        belief.lacksReplicaAnswers = false;
+        groupView.wasComparedWithReplicas = false;
+        groupView.lacksReplicaAnswers = false;
     }
     m_view.isForwardingUpdateDue = true;
     m_promoter.onPrimaryChanged(group);
@@ -151,12 +152,12 @@
 // Logs a proof of a term older than the known one, once for each member and term.
 void Gateway::logRejectedProof(const std::string& group, const std::string& member, uint64_t term)
 {
-    auto& belief = m_view.groups[group];
+    auto& groupView = m_view.groups[group];
     decisions::KnownPrimary rejected { member, term, true };
-    if (term >= belief.primary.term || rejected == belief.lastRejectedProof)
+    if (term >= groupView.primary.term || rejected == groupView.lastRejectedProof)
         return;
-    belief.lastRejectedProof = rejected;
-    base::logEvent(LogClass::State, "proof-refused", { { "group", std::string_view(group) }, { "member", std::string_view(member) }, { "term", static_cast<int64_t>(term) }, { "known", std::string_view(belief.primary.member) }, { "known_term", static_cast<int64_t>(belief.primary.term) } });
+    groupView.lastRejectedProof = rejected;
+    base::logEvent(LogClass::State, "proof-refused", { { "group", std::string_view(group) }, { "member", std::string_view(member) }, { "term", static_cast<int64_t>(term) }, { "known", std::string_view(groupView.primary.member) }, { "known_term", static_cast<int64_t>(groupView.primary.term) } });
 }
 
 void Gateway::recordFloor(const std::string& group, const decisions::Floor& floor)
--- a/src/gateway/promoter.cpp
+++ b/src/gateway/promoter.cpp
@@ -64,21 +64,21 @@
 std::vector<decisions::LiveCandidate> Promoter::getLiveCandidates(const std::string& group, const GroupState& state) const
 {
     std::vector<decisions::LiveCandidate> live;
-    auto take = [&](const decisions::Coordinator& it) {
+    auto addCandidate = [&](const decisions::Coordinator& it) {
         if (std::ranges::find(live, it, &decisions::LiveCandidate::coordinator) == live.end())
             live.push_back({ it, canPerformTask(it.host, decisions::PromotionTask::HandOver) });
     };
-    take(m_context.self);
+    addCandidate(m_context.self);
     for (auto& it : state.record.coordinators) {
         auto host = m_context.view.hosts.find(it.host);
         if (host != m_context.view.hosts.end() && host->second.incarnation == it.incarnation && isLive(it.host))
-            take(it);
+            addCandidate(it);
     }
     for (auto& name : getRankedHosts(m_context.view, group)) {
         if (live.size() >= decisions::kCoordinatorCount)
             break;
         if (isLive(name))
-            take({ name, m_context.view.hosts.at(name).incarnation });
+            addCandidate({ name, m_context.view.hosts.at(name).incarnation });
     }
     return live;
 }
@@ -184,8 +184,8 @@
     for (auto& it : state.record.coordinators) {
         bool isSelf = it == m_context.self;
         auto host = m_context.view.hosts.find(it.host);
-        bool isSame = host != m_context.view.hosts.end() && host->second.incarnation == it.incarnation;
-        bool isUsable = isSelf ? !m_context.isDraining : isSame && m_context.peers.isUsable(it.host);
+        bool isSameIncarnation = host != m_context.view.hosts.end() && host->second.incarnation == it.incarnation;
+        bool isUsable = isSelf ? !m_context.isDraining : isSameIncarnation && m_context.peers.isUsable(it.host);
         bool areTokensSpent = states.size() < state.firstUsableRank;
         states.push_back({ isUsable && !areTokensSpent, canPerformTask(it.host, task) });
     }
@@ -217,9 +217,9 @@
     base::logEvent(LogClass::State, "in-charge", { { "group", std::string_view(group) }, { "holder", std::string_view(state.record.coordinators.front().host) }, { "in_charge", std::string_view(actingCoordinator) } });
 }
 
-bool Promoter::mustHandOver(const GroupView& belief) const
+bool Promoter::mustHandOver(const GroupView& groupView) const
 {
-    auto it = m_context.view.members.find(belief.primary.member);
+    auto it = m_context.view.members.find(groupView.primary.member);
     return it != m_context.view.members.end() && (it->second.registration.isLeaving || it->second.unlistedAt);
 }
 
@@ -230,15 +230,15 @@
     std::string cause;
 };
 
-std::optional<Promoter::DueTask> Promoter::findDueTask(const GroupView& belief, GroupState& state, TimePoint now) const
+std::optional<Promoter::DueTask> Promoter::findDueTask(const GroupView& groupView, GroupState& state, TimePoint now) const
 {
     auto rank = decisions::findRank(state.record, m_context.self).value_or(0);
-    bool hasNoPrimary = belief.primary.member.empty();
+    bool hasNoPrimary = groupView.primary.member.empty();
     if (!hasNoPrimary)
         state.noPrimarySince = {};
     else if (state.noPrimarySince == TimePoint {})
         state.noPrimarySince = now;
-    if (!mustHandOver(belief))
+    if (!mustHandOver(groupView))
         state.handoverDueAt = {};
     else if (state.handoverDueAt == TimePoint {})
         state.handoverDueAt = now;
@@ -266,7 +266,7 @@
         return;
     m_sweptAt = now;
     m_isCoordinator = std::ranges::any_of(m_groups, [&](auto& it) { return decisions::findRank(it.second.record, m_context.self).has_value(); });
-    for (auto& [group, belief] : m_context.view.groups) {
+    for (auto& [group, groupView] : m_context.view.groups) {
         if (!m_context.view.configuration.groups.contains(group)) // named by a member's entry only
             continue;
         auto& state = m_groups[group];
@@ -274,7 +274,7 @@
             state.startedAt = now;
         maintainCoordinatorRecord(group, state, now);
         logActingCoordinator(group, state);
-        auto due = findDueTask(belief, state, now);
+        auto due = findDueTask(groupView, state, now);
         if (!due || state.isPromoting || now < state.nextAttemptAt || !mustActNow(state, *due, now))
             continue;
         state.isPromoting = true;
@@ -328,16 +328,16 @@
 
 asio::awaitable<void> Promoter::replacePrimary(std::string group, bool isPlanned, std::string cause)
 {
-    auto believed = m_context.view.groups[group].primary;
+    auto knownPrimary = m_context.view.groups[group].primary;
     auto startedAt = Clock::now();
-    base::logEvent(LogClass::State, "promotion-considered", { { "group", std::string_view(group) }, { "primary", std::string_view(believed.member) }, { "term", static_cast<int64_t>(believed.term) }, { "cause", std::string_view(cause) }, { "planned", isPlanned } });
+    base::logEvent(LogClass::State, "promotion-considered", { { "group", std::string_view(group) }, { "primary", std::string_view(knownPrimary.member) }, { "term", static_cast<int64_t>(knownPrimary.term) }, { "cause", std::string_view(cause) }, { "planned", isPlanned } });
     bool isDue = true;
     bool wasOrdered = false;
-    auto member = m_context.view.members.find(believed.member);
+    auto member = m_context.view.members.find(knownPrimary.member);
     if (isPlanned)
-        co_await waitForReplicaCatchUp(group, believed.member);
+        co_await waitForReplicaCatchUp(group, knownPrimary.member);
     auto replicas = std::make_shared<ReplicaQuery>(m_context.context.get_executor());
-    queryReplicas(group, believed.member, isPlanned, replicas);
+    queryReplicas(group, knownPrimary.member, isPlanned, replicas);
     if (member != m_context.view.members.end() && !isPlanned)
         isDue = co_await isPrimaryDead(group, member->second.getTarget());
     // Counted after the examination: a network partition shows up in the connections to other hosts only after their timeouts.
@@ -348,34 +348,34 @@
     }
     if (isDue)
         co_await replicas->latch.wait();
-    auto& belief = m_context.view.groups[group];
-    PromotionAttempt attempt { believed, isPlanned, startedAt };
+    auto& groupView = m_context.view.groups[group];
+    PromotionAttempt attempt { knownPrimary, isPlanned, startedAt };
     auto holdBackReason = isDue ? findHoldBackReason(group, attempt) : std::string_view();
     if (!holdBackReason.empty()) {
         isDue = false;
-        base::logEvent(LogClass::State, "promotion-held-back", { { "group", std::string_view(group) }, { "reason", holdBackReason }, { "member", std::string_view(belief.primary.member) }, { "term", static_cast<int64_t>(belief.primary.term) } });
+        base::logEvent(LogClass::State, "promotion-held-back", { { "group", std::string_view(group) }, { "reason", holdBackReason }, { "member", std::string_view(groupView.primary.member) }, { "term", static_cast<int64_t>(groupView.primary.term) } });
     }
     if (isDue) {
         auto& findings = replicas->findings;
         logEvidence(group, findings);
-        auto newestSeen = std::max(belief.provenTerm, decisions::findNewerTerm(findings, 0).value_or(0));
-        auto confirmedPrimary = std::ranges::find_if(findings, [&](const MemberFinding& it) { return it.wasReached && it.saysPrimary && it.term >= newestSeen && it.member != believed.member; });
+        auto newestSeen = std::max(groupView.provenTerm, decisions::findNewerTerm(findings, 0).value_or(0));
+        auto confirmedPrimary = std::ranges::find_if(findings, [&](const MemberFinding& it) { return it.wasReached && it.saysPrimary && it.term >= newestSeen && it.member != knownPrimary.member; });
         auto limits = m_context.view.configuration.groups[group];
         auto successor = decisions::chooseSuccessor(findings, limits.synchronousReplicas, countListedMembers(group));
-        auto before = belief.primary;
+        auto before = groupView.primary;
         m_context.view.isForwardingUpdateDue = true;
-        auto newerTerm = decisions::findNewerTerm(findings, believed.term);
-        if (confirmedPrimary != findings.end() && confirmedPrimary->term < getMinTerm(belief, startedAt))
+        auto newerTerm = decisions::findNewerTerm(findings, knownPrimary.term);
+        if (confirmedPrimary != findings.end() && confirmedPrimary->term < getMinTerm(groupView, startedAt))
             base::logEvent(LogClass::State, "promotion-held-back", { { "group", std::string_view(group) }, { "reason", std::string_view("a member reports that it is primary while an earlier promotion may still take effect") }, { "member", std::string_view(confirmedPrimary->member) }, { "term", static_cast<int64_t>(confirmedPrimary->term) } });
         else if (confirmedPrimary != findings.end()) {
-            applyProvenPrimary(belief, confirmedPrimary->member, confirmedPrimary->term, startedAt, ProofRecipient::ThisHost);
+            applyProvenPrimary(groupView, confirmedPrimary->member, confirmedPrimary->term, startedAt, ProofRecipient::ThisHost);
             m_context.notifyPrimaryChange(group, before, "proof");
         } else if (newerTerm) {
-            applyProvenTerm(belief, *newerTerm);
+            applyProvenTerm(groupView, *newerTerm);
             m_context.notifyPrimaryChange(group, before, "members");
-            base::logEvent(LogClass::State, "promotion-held-back", { { "group", std::string_view(group) }, { "reason", std::string_view("members report a newer term") }, { "term", static_cast<int64_t>(*newerTerm) }, { "known", static_cast<int64_t>(believed.term) } });
+            base::logEvent(LogClass::State, "promotion-held-back", { { "group", std::string_view(group) }, { "reason", std::string_view("members report a newer term") }, { "term", static_cast<int64_t>(*newerTerm) }, { "known", static_cast<int64_t>(knownPrimary.term) } });
         } else if (successor) {
-            uint64_t term = believed.term; // even if assumed: hosts that believe it must accept the next term
+            uint64_t term = knownPrimary.term; // even if assumed: hosts that believe it must accept the next term
             for (auto& it : findings)
                 term = std::max(term, std::max(it.term, it.received.term));
             wasOrdered = co_await orderPromotion(group, *successor, term, attempt);
@@ -394,16 +394,16 @@
 // replacing it would lose writes that it acknowledged meanwhile and that replicas lack.
 std::string_view Promoter::findHoldBackReason(const std::string& group, const PromotionAttempt& attempt) const
 {
-    auto& belief = m_context.view.groups[group];
-    if (decisions::isSuperseded(attempt.primary, belief.primary))
+    auto& groupView = m_context.view.groups[group];
+    if (decisions::isSuperseded(attempt.primary, groupView.primary))
         return "another primary became known during the attempt";
     if (attempt.isPlanned) {
-        bool isSame = belief.primary.member == attempt.primary.member; // otherwise no primary is known any more, and a promotion is still due
-        return !isSame || mustHandOver(belief) ? "" : "the primary is no longer leaving";
+        bool isSamePrimary = groupView.primary.member == attempt.primary.member; // otherwise no primary is known any more, and a promotion is still due
+        return !isSamePrimary || mustHandOver(groupView) ? "" : "the primary is no longer leaving";
     }
-    auto& floors = belief.floors.floors;
-    bool isConfirmed = !floors.empty() && floors.back().coveredUntil > attempt.startedAt && floors.back().mark.term == belief.primary.term;
-    return isConfirmed && !belief.primary.member.empty() ? "the primary confirmed its role during the attempt" : "";
+    auto& floors = groupView.floors.floors;
+    bool isConfirmed = !floors.empty() && floors.back().coveredUntil > attempt.startedAt && floors.back().mark.term == groupView.primary.term;
+    return isConfirmed && !groupView.primary.member.empty() ? "the primary confirmed its role during the attempt" : "";
 }
 
 // Uses one fencing token for one member. An unanswered order may still be carried out, so it is repeated unchanged.
@@ -438,9 +438,9 @@
             newTerm = std::max(newTerm, finding.status.term);
         }
         if (isPromoted) {
-            auto& belief = m_context.view.groups[group];
-            auto before = belief.primary;
-            applyOrderedPrimary(belief, member, newTerm, Clock::now());
+            auto& groupView = m_context.view.groups[group];
+            auto before = groupView.primary;
+            applyOrderedPrimary(groupView, member, newTerm, Clock::now());
             m_context.notifyPrimaryChange(group, before, "ordered");
             m_context.peers.announcePrimary(group, member, newTerm);
             co_return true;
--- a/src/gateway/promoter.h
+++ b/src/gateway/promoter.h
@@ -17,7 +17,7 @@
     std::function<void(const TargetAddress&, std::function<void(const StatusReport&)>)> queryLocalStatus; // asks a member for its status from this host
     std::function<void(const std::string& group, const std::string& member, milliseconds)> holdWrites; // on this host only
     std::function<bool()> hasStore; // this host receives changes from the platform's store
-    std::function<void(const std::string& group, const decisions::KnownPrimary& before, std::string_view source)> notifyPrimaryChange; // Promoter changed the group's believed primary
+    std::function<void(const std::string& group, const decisions::KnownPrimary& before, std::string_view source)> notifyPrimaryChange; // after the promoter changed the group's known primary
     const bool& isDraining;
 };
 
@@ -37,7 +37,7 @@
     CoordinatorRole getCoordinatorRole() const;
     // The primary confirmed its role to this host or another one. Clears an alarm raised before that.
     void onPrimaryConfirmed(const std::string& group, TimePoint confirmedAt);
-    // Another member is believed to be primary, or none. Clears an alarm or handover that concerned the previous one.
+    // Another member is now the known primary, or none is, or a member of the group has restarted. Clears an alarm or handover that concerned the previous one.
     void onPrimaryChanged(const std::string& group);
     // Another host ordered a promotion. Coordinators ranked before it can no longer order: the platform refuses their lower tokens.
     void onPromotionOrdered(const std::string& group, const std::string& host);
@@ -69,7 +69,7 @@
     struct DueTask;
     // A replacement of a primary in progress.
     struct PromotionAttempt {
-        decisions::KnownPrimary primary {}; // the believed primary when the attempt began
+        decisions::KnownPrimary primary {}; // the known primary when the attempt began
         bool isPlanned { false };
         TimePoint startedAt {}; // all evidence is newer
     };
@@ -83,9 +83,9 @@
     // Number of usable coordinators that act before this host; empty: this host does not act.
     std::optional<size_t> findActingRank(const GroupState& state, decisions::PromotionTask task) const;
     void logActingCoordinator(const std::string& group, GroupState& state);
-    std::optional<DueTask> findDueTask(const GroupView& belief, GroupState& state, TimePoint now) const;
+    std::optional<DueTask> findDueTask(const GroupView& groupView, GroupState& state, TimePoint now) const;
     bool mustActNow(const GroupState& state, const DueTask& due, TimePoint now) const;
-    bool mustHandOver(const GroupView& belief) const;
+    bool mustHandOver(const GroupView& groupView) const;
     void maintainCoordinatorRecord(const std::string& group, GroupState& state, TimePoint now);
     boost::asio::awaitable<void> writeCoordinatorRecord(std::string group, decisions::CoordinatorRecord record, uint64_t revision);
     boost::asio::awaitable<void> replacePrimary(std::string group, bool isPlanned, std::string cause);
--- a/src/gateway/status_exchange.cpp
+++ b/src/gateway/status_exchange.cpp
@@ -32,10 +32,10 @@
         bool isOrdered = isProven && now < group.promotionPendingUntil;
         if (group.primary.term != newest.mark.term && !isOrdered)
             continue;
-        auto& lead = *wire.add_leads();
-        lead.set_group(name);
-        lead.set_member(group.primary.member);
-        lead.set_term(group.primary.term);
+        auto& primary = *wire.add_leads();
+        primary.set_group(name);
+        primary.set_member(group.primary.member);
+        primary.set_term(group.primary.term);
     }
 }
 
@@ -44,9 +44,9 @@
 {
     std::vector<std::optional<TimePoint>> times;
     auto floor = wire.floors().begin();
-    for (auto& lead : wire.leads()) {
-        floor = std::find_if(floor, wire.floors().end(), [&](const peer::Floor& it) { return it.group() == lead.group(); });
-        bool hasEvidence = floor != wire.floors().end() && floor->mark().term() == lead.term();
+    for (auto& primary : wire.leads()) {
+        floor = std::find_if(floor, wire.floors().end(), [&](const peer::Floor& it) { return it.group() == primary.group(); });
+        bool hasEvidence = floor != wire.floors().end() && floor->mark().term() == primary.term();
         times.push_back(hasEvidence ? std::optional(sentAt - microseconds(floor->age_us())) : std::nullopt);
     }
     return times;
