--- a/src/gateway/caller_session.cpp
+++ b/src/gateway/caller_session.cpp
@@ -32,8 +32,8 @@
 void CallerSession::handleMessage(std::string_view message)
 {
     auto parsed = m_context.codec.parseCallerMessage(message);
-    if (auto* hello = std::get_if<links::OpenSession>(&parsed); hello && !m_isOpen) {
-        open(*hello);
+    if (auto* opening = std::get_if<links::OpenSession>(&parsed); opening && !m_isOpen) {
+        open(*opening);
     } else if (auto* statement = std::get_if<Statement>(&parsed); statement && m_isOpen) {
         handleStatement(*statement);
     } else if (std::holds_alternative<links::EndSession>(parsed)) {
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -85,7 +85,7 @@
     return {};
 }
 
-// Called for each request of the metrics.
+// Called for each scrape of the metrics endpoint.
 void Gateway::updateGauges() const
 {
     using base::MetricFamily;
@@ -520,7 +520,7 @@
     base::flushEventLog();
 }
 
-// Timeouts of sessions are seconds long, except the wait for the host's first configuration.
+// Session timeouts are seconds long, so the interval can be coarse, except while sessions wait for the host's first configuration.
 void Gateway::sweepSessions(TimePoint now)
 {
     bool isStarting = now < m_startedAt + kInitialConfigurationWait;
--- a/src/gateway/statement_router.cpp
+++ b/src/gateway/statement_router.cpp
@@ -97,7 +97,7 @@
         bool wasTried = std::ranges::find(routed.triedMembers, primary) != routed.triedMembers.end();
         if (it == m_context.view.members.end() || wasTried)
             return std::nullopt;
-        // Holds even if no other member can serve: the primary may stop at any moment, and the outcome of a statement would be unknown.
+        // Applies even if no other member can serve: the primary may stop at any moment, and the outcome of a statement would be unknown.
         if (!acceptsNewOperations(it->second, m_context.drainTime, Clock::now()))
             return std::nullopt;
         return it->second.getTarget();
@@ -203,8 +203,8 @@
     routed->wasSent = routed->wasSent || outcome.wasSent;
     routed->lastReason = outcome.error->message;
     routed->wasMemberBusy = kind == ErrorKind::Overloaded && outcome.wasSent;
-    bool isLocalQueueFull = kind == ErrorKind::Overloaded && !outcome.wasSent;
-    routed->wasQueueOverloaded = routed->wasQueueOverloaded || isLocalQueueFull || (routed->wasMemberBusy && routed->attempts >= decisions::kMaxBusyAttempts);
+    bool isRefusedByQueue = kind == ErrorKind::Overloaded && !outcome.wasSent;
+    routed->wasQueueOverloaded = routed->wasQueueOverloaded || isRefusedByQueue || (routed->wasMemberBusy && routed->attempts >= decisions::kMaxBusyAttempts);
     if (kind == ErrorKind::NotPrimary)
         denyPrimary(m_context.view.groups[target.group], target.member, now);
     if (kind == ErrorKind::TooStale)
--- a/src/gateway/target_pool.cpp
+++ b/src/gateway/target_pool.cpp
@@ -100,7 +100,7 @@
     }
 }
 
-// Whether the job may write and must wait for a planned change of primary.
+// Whether the job may write and must wait for a handover.
 bool TargetPool::isHeld(const Job& job, TimePoint now) const
 {
     auto& request = job.request;
--- a/src/gateway/target_pool.h
+++ b/src/gateway/target_pool.h
@@ -103,7 +103,7 @@
     void setLogComparison(LogComparison comparison) { m_logComparison = comparison; }
     // Closes all connections. Requests that were sent fail with OutcomeUnknown, queued ones with TargetUnreachable.
     void shutDown(const std::string& reason);
-    // Keeps writes waiting until the given time, during a planned change of primary.
+    // Keeps writes waiting until the given time, during a handover.
     void holdWrites(TimePoint until) { m_writesHeldUntil = until; }
 
     const TargetAddress& getTarget() const { return m_target; }
--- a/src/gateway/target_session.cpp
+++ b/src/gateway/target_session.cpp
@@ -8,7 +8,7 @@
 TargetSession::TargetSession(boost::asio::any_io_executor executor, const links::StatementCodec& codec)
     : m_codec(codec)
     , m_channel(std::make_shared<links::Channel>(executor, links::ChannelOptions {}))
-    , m_helloTimer(executor)
+    , m_handshakeTimer(executor)
 {
 }
 
@@ -21,8 +21,8 @@
     m_channel->connect(
         target.address, timeout, [self](std::string_view message) { self->handleMessage(message); }, [self](const std::string& reason) { self->fail(reason); });
     m_channel->send(m_codec.formatHello(target.group, clientName, target.member));
-    m_helloTimer.expires_after(timeout);
-    m_helloTimer.async_wait([weak = weak_from_this()](boost::system::error_code ec) {
+    m_handshakeTimer.expires_after(timeout);
+    m_handshakeTimer.async_wait([weak = weak_from_this()](boost::system::error_code ec) {
         auto session = weak.lock();
         if (!ec && session && session->m_onOpen)
             session->fail("handshake timed out");
@@ -65,7 +65,7 @@
 
 void TargetSession::handleHello(const links::TargetMessage& message)
 {
-    m_helloTimer.cancel();
+    m_handshakeTimer.cancel();
     Outcome outcome;
     if (auto* ready = std::get_if<links::ReadyMessage>(&message)) {
         m_isOpen = true;
--- a/src/gateway/target_session.h
+++ b/src/gateway/target_session.h
@@ -43,7 +43,7 @@
     std::string account {}; // client account that it belongs to; empty: none
     decisions::ConnectionState state {}; // variables and prepared statements left by earlier sessions
     uint64_t transaction { 0 }; // number of the transaction that holds it; 0: none
-    bool isBusy { false }; // a statement or a question of the pool runs on it
+    bool isBusy { false }; // a statement or a message of the pool itself runs on it
     TimePoint lastUsedAt {}; // when the last job on it ended, or when it was opened
     unsigned servedJobs { 0 };
     bool isIdle() const { return !isBusy && transaction == 0; }
@@ -60,7 +60,7 @@
 
     const links::StatementCodec& m_codec;
     std::shared_ptr<links::Channel> m_channel;
-    boost::asio::steady_timer m_helloTimer; // a target may accept the connection and never answer
+    boost::asio::steady_timer m_handshakeTimer; // a target may accept the connection and never answer
     std::deque<Pending> m_pending;
     OutcomeCallback m_onOpen;
     std::function<void(const std::string&)> m_onClosed;
