--- a/tests/gateway/leaving_test.cpp
+++ b/tests/gateway/leaving_test.cpp
@@ -138,7 +138,7 @@
 }
 
 // A host without the store does not know a new member, but may be its first forwarder. Other hosts must try the next forwarder.
-BOOST_AUTO_TEST_CASE(a_new_member_is_used_past_a_forwarder_that_does_not_know_it)
+BOOST_AUTO_TEST_CASE(statements_reach_a_new_member_although_its_first_forwarder_does_not_know_it)
 {
     GatewayRig rig(makeOptions());
     rig.call([&] { rig.getStore().remove("servers/g0-c"); });
--- a/tests/gateway/soak_test.cpp
+++ b/tests/gateway/soak_test.cpp
@@ -118,7 +118,7 @@
         , m_number(number)
         , m_random(seed)
     {
-        beginItem();
+        switchToNewItem();
     }
 
     void step()
@@ -150,7 +150,7 @@
         return m_rig.call([&] { return m_rig.getGroup(m_group).getTerm(); });
     }
 
-    void beginItem()
+    void switchToNewItem()
     {
         m_group = m_random() % kGroups;
         m_item = fmt::format("c{}-{}", m_number, ++m_items);
@@ -181,14 +181,14 @@
         return answer;
     }
 
-    void end(const std::string& id, const LineAnswer& answer, int value, uint64_t termBefore)
+    void recordOutcome(const std::string& id, const LineAnswer& answer, int value, uint64_t termBefore)
     {
         m_history.attempts.push_back({ id, promisesNotRun(answer), answer.isOk() });
         if (answer.isOk()) {
             auto term = getTerm();
             m_acknowledged.push_back({ value, Clock::now(), term == termBefore ? term : 0, m_session });
         } else if (!promisesNotRun(answer)) {
-            beginItem();
+            switchToNewItem();
             m_caller.reset();
         }
     }
@@ -198,7 +198,7 @@
         auto term = getTerm();
         auto value = ++m_value;
         auto answer = ask(fmt::format("WRITE {} {}", m_item, value), "");
-        end(m_lastId, answer, value, term);
+        recordOutcome(m_lastId, answer, value, term);
     }
 
     void writeInTransaction()
@@ -225,7 +225,7 @@
             return;
         }
         auto answer = ask("COMMIT", first);
-        end(m_lastId, answer, value, term);
+        recordOutcome(m_lastId, answer, value, term);
     }
 
     // The newest write that a read sent at `sentAt` must see; null: none.
@@ -258,7 +258,7 @@
     std::unique_ptr<LineCaller> m_caller;
     std::string m_kind;
     std::string m_sessionValue;
-    std::string m_lastId; // of the statement that was asked last
+    std::string m_lastId; // of the last statement sent
     std::string m_item;
     unsigned m_group { 0 };
     unsigned m_items { 0 };
--- a/tests/harness/gateway_rig.cpp
+++ b/tests/harness/gateway_rig.cpp
@@ -167,7 +167,6 @@
     LineCaller(getHostAddress(host, 1), "").sendRaw(alderward::links::encodeFrame(frame.SerializeAsString()));
 }
 
-// Reads the coordinator's name from the log of the first host.
 unsigned GatewayRig::findFirstCoordinator() const
 {
     const std::string needle = "\"holder\":\"h";
--- a/tests/harness/gateway_rig.h
+++ b/tests/harness/gateway_rig.h
@@ -68,7 +68,7 @@
     void setStoreIsolated(unsigned host, bool isIsolated);
     // Sends a host the message by which a coordinator reports a new primary.
     void announcePrimary(unsigned host, const std::string& group, const std::string& member, uint64_t term);
-    // Returns the index of the first coordinator in the stored record, or 0 if none was logged in time.
+    // Returns the index of the first coordinator as last logged by host 0, or 0 if none was logged in time.
     unsigned findFirstCoordinator() const;
     // Stores a configuration with the databases db<i>-primary, db<i>-bounded and db<i>-own for each group i.
     void configure(uint64_t version, int timeoutMs = 1500, const std::string& extraDatabase = {});
