--- a/src/gateway/caller_session.cpp
+++ b/src/gateway/caller_session.cpp
@@ -117,7 +117,7 @@
     base::logEvent(LogClass::Failure, "key-lost", { { "session", std::string_view(m_name) }, { "database", std::string_view(m_database) }, { "account", std::string_view(m_account) }, { "configuration", static_cast<int64_t>(m_context.view.configuration.version) } });
 }
 
-// Answers the current statement with the error, after rolling back an open transaction.
+// Rolls back an open transaction and answers the current statement with an error.
 void CallerSession::answerLostKey()
 {
     logLostKey();
@@ -299,15 +299,15 @@
         return;
     }
     auto self = shared_from_this();
-    auto ran = routed.request.statement;
-    auto done = [self, ran](const Outcome& outcome, const std::optional<TransactionHandle>& transaction) { self->handleOutcome(ran, outcome, transaction); };
+    auto resolvedStatement = routed.request.statement;
+    auto done = [self, resolvedStatement](const Outcome& outcome, const std::optional<TransactionHandle>& transaction) { self->handleOutcome(resolvedStatement, outcome, transaction); };
     if (m_transaction) {
         m_context.router.runNext(*m_transaction, std::move(routed), done);
         return;
     }
-    bool isOpening = m_state == SessionState::InTransaction;
-    routed.request.kind = isOpening ? RequestKind::Begin : RequestKind::Single;
-    bool isReadOnly = isOpening ? m_isReadOnly : !ran.isWrite;
+    bool isFirstInTransaction = m_state == SessionState::InTransaction;
+    routed.request.kind = isFirstInTransaction ? RequestKind::Begin : RequestKind::Single;
+    bool isReadOnly = isFirstInTransaction ? m_isReadOnly : !resolvedStatement.isWrite;
     routed.needsPrimary = !isReadOnly || m_route.consistency == decisions::Consistency::Primary;
     if (!routed.needsPrimary) {
         auto mark = decisions::getReadMark(m_route, m_context.view.groups[m_route.group].floors, m_lastCommit, routed.arrivedAt);
--- a/src/gateway/cluster_view.cpp
+++ b/src/gateway/cluster_view.cpp
@@ -209,12 +209,12 @@
 
 std::vector<std::string> removeUnlistedMembers(ClusterView& view, milliseconds retention, TimePoint now)
 {
-    std::vector<std::string> forgotten;
+    std::vector<std::string> removed;
     for (auto& [id, member] : view.members) {
         if (member.unlistedAt && now - *member.unlistedAt > retention)
-            forgotten.push_back(id);
+            removed.push_back(id);
     }
-    for (auto& id : forgotten) {
+    for (auto& id : removed) {
         view.removedRevision = std::max(view.removedRevision, view.members[id].revision);
         auto& group = view.groups[view.members[id].registration.group];
         std::erase(group.members, id);
@@ -222,7 +222,7 @@
         view.members.erase(id);
         view.rankings.erase(id);
     }
-    return forgotten;
+    return removed;
 }
 
 }
--- a/src/gateway/member_exchange.cpp
+++ b/src/gateway/member_exchange.cpp
@@ -6,17 +6,17 @@
 
 static void encodeMember(peer::MemberEntry& wire, const MemberView& member, TimePoint now)
 {
-    auto& listed = member.registration;
-    wire.set_id(listed.id);
-    wire.set_group(listed.group);
-    wire.set_address(listed.address);
-    wire.set_data_centre(listed.dataCentre);
-    wire.set_slots(listed.slots);
-    wire.set_is_leaving(listed.isLeaving);
-    wire.set_says_primary(listed.saysPrimary);
+    auto& registration = member.registration;
+    wire.set_id(registration.id);
+    wire.set_group(registration.group);
+    wire.set_address(registration.address);
+    wire.set_data_centre(registration.dataCentre);
+    wire.set_slots(registration.slots);
+    wire.set_is_leaving(registration.isLeaving);
+    wire.set_says_primary(registration.saysPrimary);
     wire.set_revision(member.revision);
-    wire.set_born(listed.incarnation.startedAtMs);
-    wire.set_sequence(listed.incarnation.sequence);
+    wire.set_born(registration.incarnation.startedAtMs);
+    wire.set_sequence(registration.incarnation.sequence);
     wire.set_is_unlisted(member.unlistedAt.has_value());
     if (member.leavingSince)
         wire.set_leaving_ms(static_cast<uint64_t>(std::chrono::duration_cast<milliseconds>(now - *member.leavingSince).count()));
--- a/src/gateway/member_exchange.h
+++ b/src/gateway/member_exchange.h
@@ -7,7 +7,7 @@
 
 namespace alderward::gateway {
 
-// Members changed after revision `since`, or all members if one was forgotten after it.
+// Members changed after revision `since`, or all members if one was removed after it.
 void encodeMembers(peer::MembersAnswer& wire, const ClusterView& view, uint64_t since, TimePoint now);
 
 links::RegisteredMember decodeMember(const peer::MemberEntry& wire);
--- a/src/gateway/promoter.h
+++ b/src/gateway/promoter.h
@@ -67,7 +67,7 @@
     };
 
     struct DueTask;
-    // A replacement of a primary in progress.
+    // An ongoing attempt to replace a primary.
     struct PromotionAttempt {
         decisions::KnownPrimary primary {}; // the known primary when the attempt began
         bool isPlanned { false };
--- a/src/gateway/target_session.cpp
+++ b/src/gateway/target_session.cpp
@@ -43,7 +43,7 @@
     m_lastReceivedAt = Clock::now();
     auto parsed = m_codec.parseTargetMessage(message);
     if (!m_isOpen) {
-        handleHello(parsed);
+        handleHandshakeAnswer(parsed);
         return;
     }
     if (m_pending.empty()) {
@@ -63,7 +63,7 @@
         fail("malformed answer from the target");
 }
 
-void TargetSession::handleHello(const links::TargetMessage& message)
+void TargetSession::handleHandshakeAnswer(const links::TargetMessage& message)
 {
     m_handshakeTimer.cancel();
     Outcome outcome;
--- a/src/gateway/target_session.h
+++ b/src/gateway/target_session.h
@@ -54,7 +54,7 @@
         TimePoint sentAt;
     };
     void handleMessage(std::string_view message);
-    void handleHello(const links::TargetMessage& message);
+    void handleHandshakeAnswer(const links::TargetMessage& message);
     void finishAnswer(const links::ReadyMessage& ready);
     void fail(const std::string& reason);
 
