--- a/src/gateway/directory.cpp
+++ b/src/gateway/directory.cpp
@@ -56,8 +56,8 @@
     auto* address = object->if_contains("address");
     auto* dataCentre = object->if_contains("dataCentre");
     auto* incarnation = object->if_contains("incarnation");
-    bool isWhole = address && address->is_string() && dataCentre && dataCentre->is_string() && incarnation;
-    if (!isWhole || name.empty() || address->as_string().empty() || dataCentre->as_string().empty())
+    bool isComplete = address && address->is_string() && dataCentre && dataCentre->is_string() && incarnation;
+    if (!isComplete || name.empty() || address->as_string().empty() || dataCentre->as_string().empty())
         return std::nullopt;
     auto number = incarnation->to_number<uint64_t>(ec);
     if (ec)
--- a/src/gateway/promoter.h
+++ b/src/gateway/promoter.h
@@ -37,7 +37,7 @@
     CoordinatorRole getCoordinatorRole() const;
     // The primary confirmed its role to this host or another one. Clears an alarm raised before that.
     void onPrimaryConfirmed(const std::string& group, TimePoint confirmedAt);
-    // Another member is now the known primary, or none is, or a member of the group has restarted. Clears an alarm or handover that concerned the previous one.
+    // Another member is now the known primary, or none is, or a member of the group has restarted. Clears a pending alarm or handover of the group.
     void onPrimaryChanged(const std::string& group);
     // Another host ordered a promotion. Coordinators ranked before it can no longer order: the platform refuses their lower tokens.
     void onPromotionOrdered(const std::string& group, const std::string& host);
--- a/tests/gateway/accounts_test.cpp
+++ b/tests/gateway/accounts_test.cpp
@@ -86,14 +86,14 @@
 {
     GatewayRig rig(makeOptions());
     rig.startHosts();
-    LineCaller resting(rig.getCallerAddress(1), "db0-own", "key-mill-1");
+    LineCaller idle(rig.getCallerAddress(1), "db0-own", "key-mill-1");
     LineCaller inTransaction(rig.getCallerAddress(1), "db0-own", "key-mill-1");
     LineCaller other(rig.getCallerAddress(1), "db0-own", "key-mill-2");
     BOOST_TEST(inTransaction.ask("BEGIN").isOk());
     BOOST_TEST(inTransaction.ask("WRITE taken 1").isOk());
     rig.configureAccounts(2, { { "mill", { "key-mill-2" } }, { "shop", { "key-shop-1" } } });
     BOOST_REQUIRE(rig.waitUntilConfigured(1, 2));
-    BOOST_TEST(resting.isClosed(milliseconds(1000)));
+    BOOST_TEST(idle.isClosed(milliseconds(1000)));
     BOOST_TEST(inTransaction.isClosed(milliseconds(1000)));
     BOOST_TEST(LineCaller(rig.getCallerAddress(1), "db0-own", "key-mill-1").getHandshakeAnswer().hasCode("UNAUTH"));
     BOOST_TEST(other.ask("READ taken").rows == std::vector<std::string>({ "" }), boost::test_tools::per_element());
@@ -127,15 +127,15 @@
     GatewayRig rig(options);
     rig.startHosts();
     std::this_thread::sleep_for(milliseconds(1500)); // relays are chosen
-    unsigned cutHost = 20;
-    LineCaller resting(rig.getCallerAddress(cutHost), "db0-own", "key-mill-1");
-    BOOST_TEST(resting.ask("READ a").isOk());
-    rig.setStoreIsolated(cutHost, true);
+    unsigned isolatedHost = 20;
+    LineCaller idle(rig.getCallerAddress(isolatedHost), "db0-own", "key-mill-1");
+    BOOST_TEST(idle.ask("READ a").isOk());
+    rig.setStoreIsolated(isolatedHost, true);
     rig.configureAccounts(2, { { "mill", { "key-mill-2", "key-mill-3" } }, { "shop", { "key-shop-1" } } });
-    BOOST_TEST(rig.waitUntilConfigured(cutHost, 2, milliseconds(5000)));
-    BOOST_TEST(resting.isClosed(milliseconds(1000)));
-    BOOST_TEST(LineCaller(rig.getCallerAddress(cutHost), "db0-own", "key-mill-1").getHandshakeAnswer().hasCode("UNAUTH"));
-    BOOST_TEST(LineCaller(rig.getCallerAddress(cutHost), "db0-own", "key-mill-3").getHandshakeAnswer().state == "I");
+    BOOST_TEST(rig.waitUntilConfigured(isolatedHost, 2, milliseconds(5000)));
+    BOOST_TEST(idle.isClosed(milliseconds(1000)));
+    BOOST_TEST(LineCaller(rig.getCallerAddress(isolatedHost), "db0-own", "key-mill-1").getHandshakeAnswer().hasCode("UNAUTH"));
+    BOOST_TEST(LineCaller(rig.getCallerAddress(isolatedHost), "db0-own", "key-mill-3").getHandshakeAnswer().state == "I");
 }
 
 // More accounts than a forwarder has connections: all are served under their own account within the member's connection limit.
--- a/tests/gateway/failover_test.cpp
+++ b/tests/gateway/failover_test.cpp
@@ -193,8 +193,8 @@
     for (int i = 0; i < 20; ++i)
         BOOST_TEST(writer.ask(fmt::format("WRITE item{} 1", i)).isOk());
     std::this_thread::sleep_for(milliseconds(300)); // replicas catch up
-    auto ran = [&] { return rig.call([&] { return std::ranges::count(rig.getGroup().getExecutedStatements(), "g0-a", &standins::ExecutedStatement::member); }); };
-    auto before = ran();
+    auto countExecuted = [&] { return rig.call([&] { return std::ranges::count(rig.getGroup().getExecutedStatements(), "g0-a", &standins::ExecutedStatement::member); }); };
+    auto before = countExecuted();
     rig.call([&] {
         rig.getGroup().restartEmpty("g0-a");
         rig.getStore().registerMembers();
@@ -205,7 +205,7 @@
     auto items = rig.call([&] { return rig.getGroup().getItems(); });
     for (int i = 0; i < 20; ++i)
         BOOST_TEST(items.contains(fmt::format("item{}", i)), "item" << i << " was acknowledged and then lost");
-    BOOST_TEST(ran() == before); // no statement ran on the empty log
+    BOOST_TEST(countExecuted() == before); // no statement ran on the empty log
     BOOST_TEST(waitUntil(milliseconds(3000), [&] { return rig.countEvents("member-restarted") >= 3; }));
 }
 
--- a/tests/gateway/leaving_test.cpp
+++ b/tests/gateway/leaving_test.cpp
@@ -179,7 +179,7 @@
     BOOST_TEST(isReportedByHost("\"event\":\"member\",\"member\":\"g0-a\""));
     rig.call([&] { rig.getStore().remove("servers/g0-a"); });
     BOOST_TEST(isReportedByHost("\"event\":\"member-unlisted\",\"member\":\"g0-a\""));
-    std::this_thread::sleep_for(milliseconds(5000)); // all hosts forget the member
+    std::this_thread::sleep_for(milliseconds(5000)); // until all hosts have removed the member
     rig.setStoreIsolated(2, false);
     BOOST_TEST(waitUntil(milliseconds(4000), [&] { return rig.getLog(2).rfind("store-regained") > rig.getLog(2).rfind("store-lost"); }));
     BOOST_TEST(canWrite(rig, 2));
--- a/tests/gateway/soak_test.cpp
+++ b/tests/gateway/soak_test.cpp
@@ -445,11 +445,11 @@
             proxy.faults.delay = milliseconds(30);
         proxy.faults.dropsUpstream = event.fault == Fault::BlockForward || event.fault == Fault::BlockLink;
         proxy.faults.dropsDownstream = event.fault == Fault::BlockBackward || event.fault == Fault::BlockLink;
-        bool loses = event.fault != Fault::DelayLink;
-        scheduleEnd(event.duration, [this, &proxy, loses] {
+        bool losesMessages = event.fault != Fault::DelayLink;
+        scheduleEnd(event.duration, [this, &proxy, losesMessages] {
             m_rig.call([&] {
                 proxy.faults = {};
-                if (loses)
+                if (losesMessages)
                     proxy.resetAll();
             });
         });
