--- a/tests/process/callers_test.cpp
+++ b/tests/process/callers_test.cpp
@@ -29,9 +29,9 @@
 
 BOOST_AUTO_TEST_CASE(each_invalid_request_gets_its_own_error_and_runs_nothing)
 {
-    auto shape = makeSmallOptions();
-    shape.extraSettings = "[limits]\nbody_limit_kb = 4\nrequest_timeout_ms = 300\n";
-    Cluster cluster(shape);
+    auto options = makeSmallOptions();
+    options.extraSettings = "[limits]\nbody_limit_kb = 4\nrequest_timeout_ms = 300\n";
+    Cluster cluster(options);
     cluster.startAll();
     Caller caller(cluster.getCallerAddress(0));
     auto token = caller.read("orders", "GET a").status == 200 ? caller.getSession() : std::string();
@@ -86,9 +86,9 @@
 
 BOOST_AUTO_TEST_CASE(a_host_without_platform_and_peers_reports_that_it_is_not_configured)
 {
-    auto shape = makeSmallOptions();
-    shape.hosts = 1;
-    Cluster cluster(shape);
+    auto options = makeSmallOptions();
+    options.hosts = 1;
+    Cluster cluster(options);
     cluster.startAll();
     cluster.getHost(0).kill();
     cluster.setPlatform({ { "down", true } });
--- a/tests/process/configuration_test.cpp
+++ b/tests/process/configuration_test.cpp
@@ -44,9 +44,9 @@
 
 BOOST_AUTO_TEST_CASE(change_is_in_force_on_every_host_and_the_tool_waits_for_it)
 {
-    auto shape = makeSmallOptions();
-    shape.hosts = 7;
-    Cluster cluster(shape);
+    auto options = makeSmallOptions();
+    options.hosts = 7;
+    Cluster cluster(options);
     cluster.startAll();
     auto run = cluster.runTool({ "--wait", "config", "apply", writeRecordWithSlots(cluster, 3) });
     BOOST_TEST(run.code == 0, run.output);
@@ -120,14 +120,14 @@
 
 BOOST_AUTO_TEST_CASE(records_of_schema_1_and_2_are_served_side_by_side)
 {
-    auto shape = makeSmallOptions();
-    shape.groups.push_back({ "old", { "old-a", "old-b", "old-c" } });
-    Cluster cluster(shape);
+    auto options = makeSmallOptions();
+    options.groups.push_back({ "old", { "old-a", "old-b", "old-c" } });
+    Cluster cluster(options);
     cluster.startAll();
     json::array members;
     size_t i = 0;
     for (auto& it : { "old-a", "old-b", "old-c" })
-        members.emplace_back(std::string(it) + "=" + cluster.getMemberAddress(it) + "@" + shape.dataCentres[i++]);
+        members.emplace_back(std::string(it) + "=" + cluster.getMemberAddress(it) + "@" + options.dataCentres[i++]);
     std::ofstream(cluster.getFolder() + "/old.json") << json::serialize(json::object { { "schema", 1 }, { "members", members }, { "staleMs", 500 } });
     auto run = cluster.runTool({ "--wait", "config", "apply", cluster.getFolder() + "/old.json" });
     BOOST_TEST(run.code == 0, run.output);
--- a/tests/process/drain_test.cpp
+++ b/tests/process/drain_test.cpp
@@ -13,9 +13,9 @@
 // The test plays the load balancer: it polls /healthz, and callers move to hosts that are ready.
 BOOST_AUTO_TEST_CASE(rolling_restart_under_load_fails_no_request)
 {
-    auto shape = makeSmallOptions();
-    shape.hosts = 4;
-    Cluster cluster(shape);
+    auto options = makeSmallOptions();
+    options.hosts = 4;
+    Cluster cluster(options);
     cluster.startAll();
     cluster.setMember("orders-a", { { "serviceMs", 2 } });
     std::vector<std::atomic<bool>> isReady(4);
--- a/tests/process/failover_test.cpp
+++ b/tests/process/failover_test.cpp
@@ -16,7 +16,7 @@
     return array;
 }
 
-// Cuts the connections between a member and `others`, and between it and the other members of the group.
+// Blocks the connections between a member and `others`, and between it and the other members of the group.
 void isolateMember(Cluster& cluster, const std::string& name, const std::vector<std::string>& others)
 {
     cluster.setMember(name, { { "cut", toArray(others) } });
@@ -83,9 +83,9 @@
 
 BOOST_AUTO_TEST_CASE(isolated_primary_with_callers_on_its_side_acknowledges_nothing)
 {
-    auto shape = makeSmallOptions();
-    shape.groups.front().acknowledge = "primary";
-    Cluster cluster(shape);
+    auto options = makeSmallOptions();
+    options.groups.front().acknowledge = "primary";
+    Cluster cluster(options);
     cluster.startAll();
     Caller caller(cluster.getCallerAddress(0));
     BOOST_REQUIRE_EQUAL(caller.write("orders", "SET a 1", "k1").status, 200);
@@ -138,9 +138,9 @@
 
 BOOST_AUTO_TEST_CASE(members_that_cannot_fence_are_promoted_only_with_a_claim)
 {
-    auto shape = makeSmallOptions();
-    shape.groups.front().canFence = false;
-    Cluster cluster(shape);
+    auto options = makeSmallOptions();
+    options.groups.front().canFence = false;
+    Cluster cluster(options);
     cluster.startAll();
     cluster.setPlatform({ { "down", true } });
     cluster.getMember("orders-a").kill();
@@ -156,9 +156,9 @@
 
 BOOST_AUTO_TEST_CASE(disabled_promotion_is_reported_and_writes_fail_without_waiting)
 {
-    auto shape = makeSmallOptions();
-    shape.groups.front().promotion = R"({"mode":"off"})";
-    Cluster cluster(shape);
+    auto options = makeSmallOptions();
+    options.groups.front().promotion = R"({"mode":"off"})";
+    Cluster cluster(options);
     cluster.startAll();
     cluster.getMember("orders-a").kill();
     BOOST_TEST(waitUntil(milliseconds(5000), [&] { return cluster.hasEvent(0, "promotion-held-back", "orders"); }));
@@ -197,9 +197,9 @@
 
 BOOST_AUTO_TEST_CASE(leaving_primary_is_handed_over_without_losing_a_write)
 {
-    auto shape = makeSmallOptions();
-    shape.groups.front().acknowledge = "primary";
-    Cluster cluster(shape);
+    auto options = makeSmallOptions();
+    options.groups.front().acknowledge = "primary";
+    Cluster cluster(options);
     cluster.startAll();
     cluster.setMember("orders-b", { { "lagMs", 100 } });
     cluster.setMember("orders-c", { { "lagMs", 100 } });
@@ -223,9 +223,9 @@
 
 BOOST_AUTO_TEST_CASE(session_is_told_that_its_writes_were_lost)
 {
-    auto shape = makeSmallOptions();
-    shape.groups.front().acknowledge = "primary";
-    Cluster cluster(shape);
+    auto options = makeSmallOptions();
+    options.groups.front().acknowledge = "primary";
+    Cluster cluster(options);
     cluster.startAll();
     cluster.setMember("orders-b", { { "lagMs", 60000 } });
     cluster.setMember("orders-c", { { "lagMs", 60000 } });
--- a/tests/process/hosts_test.cpp
+++ b/tests/process/hosts_test.cpp
@@ -16,9 +16,9 @@
 
 ClusterOptions makeSevenHosts()
 {
-    auto shape = makeSmallOptions();
-    shape.hosts = 7;
-    return shape;
+    auto options = makeSmallOptions();
+    options.hosts = 7;
+    return options;
 }
 
 size_t findNonHome(Cluster& cluster)
@@ -169,9 +169,9 @@
 
 BOOST_AUTO_TEST_CASE(members_never_get_more_connections_than_they_accept)
 {
-    auto shape = makeSevenHosts();
-    shape.groups.front().connections = 5;
-    Cluster cluster(shape);
+    auto options = makeSevenHosts();
+    options.groups.front().connections = 5;
+    Cluster cluster(options);
     cluster.startAll();
     cluster.setMember("orders-a", { { "serviceMs", 3 } });
     // Homes are killed and restarted while callers write through every host.
--- a/tests/process/transactions_test.cpp
+++ b/tests/process/transactions_test.cpp
@@ -73,9 +73,9 @@
 
 BOOST_AUTO_TEST_CASE(rolled_back_and_expired_transactions_leave_no_writes)
 {
-    auto shape = makeSmallOptions();
-    shape.extraSettings = "[limits]\ntransaction_idle_ms = 300\n";
-    Cluster cluster(shape);
+    auto options = makeSmallOptions();
+    options.extraSettings = "[limits]\ntransaction_idle_ms = 300\n";
+    Cluster cluster(options);
     cluster.startAll();
     Caller caller(cluster.getCallerAddress(0));
     auto first = beginTransaction(caller);
@@ -128,9 +128,9 @@
 // Concurrent callers share few connections and some answers arrive late: each caller must get only its own answers.
 BOOST_AUTO_TEST_CASE(shared_connections_never_mix_up_answers_or_transactions)
 {
-    auto shape = makeSmallOptions();
-    shape.groups.front().connections = 6;
-    Cluster cluster(shape);
+    auto options = makeSmallOptions();
+    options.groups.front().connections = 6;
+    Cluster cluster(options);
     cluster.startAll();
     cluster.setMember("orders-a", { { "serviceMs", 1 } });
     std::atomic<int> wrongAnswers { 0 };
