--- a/src/gateway/target_pool.cpp
+++ b/src/gateway/target_pool.cpp
@@ -379,7 +379,7 @@
     if (plan.mustReset)
         session->sendStatement(m_codec.formatReset(), closeOnError);
     for (const auto& [name, value] : plan.values)
-        session->sendStatement(m_codec.formatSetValue(name, value), closeOnError);
+        session->sendStatement(m_codec.formatSetVariable(name, value), closeOnError);
     if (plan.mustPrepare)
         session->sendStatement(m_codec.formatPrepare(decisions::getPreparedName(*request.shape), *request.shape), closeOnError);
     session->state = decisions::applyPlan(std::move(session->state), plan, request.shape);
--- a/src/links/statement_codec.h
+++ b/src/links/statement_codec.h
@@ -66,7 +66,7 @@
     virtual std::string formatBegin(bool isReadOnly, const decisions::Mark& atLeast) const = 0;
     virtual std::string formatRollback() const = 0;
     virtual std::string formatReset() const = 0;
-    virtual std::string formatSetValue(const std::string& name, const std::string& value) const = 0;
+    virtual std::string formatSetVariable(const std::string& name, const std::string& value) const = 0;
     virtual std::string formatPrepare(const std::string& name, const decisions::PreparedShape& shape) const = 0;
     virtual std::string formatStatusQuery() const = 0;
     virtual TargetMessage parseTargetMessage(std::string_view message) const = 0;
