--- a/src/controllers/group.h
+++ b/src/controllers/group.h
@@ -57,7 +57,7 @@
     std::string transaction {}; // begin: name of the new transaction
 };
 
-// A group's configuration at this host, from its record, the membership and the platform's host list.
+// A group's configuration at this host, derived from its record, the membership and the platform's host list.
 struct GroupConfiguration {
     std::shared_ptr<const decisions::GroupRecord> record {};
     uint64_t version { 0 };
@@ -108,7 +108,7 @@
         base::TimePoint followSentAt {}; // last follow order sent by resendFollows()
         base::TimePoint leavingSince {}; // meaningful while the member is leaving
     };
-    struct PendingConfirmation { // of a write that has run
+    struct PendingConfirmation { // a write that has run and waits for its confirmation
         decisions::PendingWrite write;
         std::string primary; // the member that ran the write: its vote is already counted
         decisions::Confirmation answer { decisions::Confirmation::Pending };
@@ -201,7 +201,7 @@
     base::TimePoint m_statusPublishedAt {};
     uint64_t m_epoch { 0 }; // incremented when loops start or stop: loops of older epochs end
     bool m_isActive { false }; // this host is a home and accepts new requests
-    bool m_isRunning { false }; // loops run; stays set after m_isActive until all requests are done
+    bool m_isRunning { false }; // loops run: while m_isActive is set, and afterwards until all requests are done
     size_t m_activeRequests { 0 }; // requests being served
     base::TimePoint m_lastRequestAt {}; // start of the last request
     size_t m_heldWrites { 0 }; // writes held until a primary is available
--- a/src/controllers/group_failover.cpp
+++ b/src/controllers/group_failover.cpp
@@ -165,7 +165,8 @@
     co_return event;
 }
 
-// After a promotion decided by fencing alone during an outage of the store, writes the claim unless a newer one is stored.
+// Writes the claim of a promotion that was decided by fencing alone during an outage of the store. Writes nothing if the claim
+// or one of a newer term is stored already.
 asio::awaitable<void> GroupController::writeDeferredClaim(uint64_t term)
 {
     auto self = shared_from_this();
--- a/src/controllers/group_statements.cpp
+++ b/src/controllers/group_statements.cpp
@@ -21,7 +21,7 @@
 using decisions::Result;
 using decisions::RouteKind;
 
-static constexpr milliseconds kMaxReroutePause { 50 }; // maximum time before a request is routed again
+static constexpr milliseconds kMaxReroutePause { 50 }; // maximum time until a waiting request is routed again
 static constexpr milliseconds kMaxFreshnessWait { 300 }; // how long a read waits for a sufficiently fresh member
 static constexpr milliseconds kReplyMargin { 5 }; // part of the deadline reserved for the reply to the caller
 
@@ -161,8 +161,8 @@
     co_return co_await checkStaleness(request, std::move(outcome), index, sentAt);
 }
 
-// Answers a read with a maximum age only if the bound holds at its end. A primary whose term a majority confirms after the
-// read was sent was up to date when it ran the read.
+// Answers a read with a maximum age only if the bound still holds when the read ends. If a majority confirms the primary's
+// term after the read was sent, the primary was up to date when it ran the read.
 asio::awaitable<Result<Outcome>> GroupController::checkStaleness(const GroupRequest& request, Outcome outcome, size_t member, TimePoint sentAt)
 {
     if (!request.maximumAge || (outcome.age && *outcome.age <= *request.maximumAge))
@@ -194,7 +194,7 @@
     return decisions::canHoldWrite(conditions, Clock::now());
 }
 
-// Waits for a change that may bring a primary. An error ends the request; nothing was sent.
+// Waits for a change of health that may bring a primary, or returns the error that ends the request. Nothing has been sent.
 asio::awaitable<std::optional<decisions::Error>> GroupController::holdWrite(const GroupRequest& request, const decisions::Route& route)
 {
     if (route.kind == RouteKind::Refuse)
--- a/src/controllers/groups.h
+++ b/src/controllers/groups.h
@@ -17,7 +17,7 @@
     std::shared_ptr<const decisions::GroupRecord> record {};
     uint64_t version { 0 };
     std::vector<std::string> homes {}; // best first
-    std::vector<std::string> relayOrder {}; // other homes: live ones before suspects, then those of this data centre first
+    std::vector<std::string> relayOrder {}; // other homes: live ones first, then suspects; each of these parts starts with homes of this data centre
     bool isHome { false };
     std::shared_ptr<GroupController> controller {}; // empty: this host has never been a home
 };
--- a/src/controllers/hosts.cpp
+++ b/src/controllers/hosts.cpp
@@ -385,10 +385,10 @@
 {
     asio::co_spawn(
         m_strand, [this, name]() -> asio::awaitable<void> {
-            if (!m_hostsBeingChecked.insert(name).second)
+            if (!m_pendingExchanges.insert(name).second)
                 co_return;
             co_await exchangeWith(name);
-            m_hostsBeingChecked.erase(name);
+            m_pendingExchanges.erase(name);
         },
         asio::detached);
 }
--- a/src/controllers/hosts.h
+++ b/src/controllers/hosts.h
@@ -21,8 +21,8 @@
     void onChange(std::function<void()> callback) { m_onChange = std::move(callback); }
     void onGroupNews(std::function<void(const peer::GroupNews&)> callback) { m_onGroupNews = std::move(callback); }
 
-    // Applies the host list of a new configuration, then calls `then`. Without it, a host that has just started would know
-    // groups but no other hosts, and consider itself the only home of each group.
+    // Applies the host list of a new configuration, then calls `then`. In the reverse order, a host that has just started would
+    // know groups but no other hosts, and consider itself the only home of each group.
     void applyHostList(std::function<void()> then);
 
     // Whether this host watches the platform for its data centre.
@@ -66,7 +66,7 @@
     base::TimerSubscription m_rounds;
     std::shared_ptr<const Configuration> m_appliedConfiguration; // whose host list was applied last
     uint64_t m_round { 0 };
-    std::set<std::string> m_hostsBeingChecked; // hosts with an exchangeNow() in progress
+    std::set<std::string> m_pendingExchanges; // hosts with an exchangeNow() in progress
 };
 
 }
--- a/src/controllers/pool.cpp
+++ b/src/controllers/pool.cpp
@@ -12,7 +12,7 @@
 using decisions::ErrorKind;
 using decisions::fail;
 
-static constexpr milliseconds kRefusalTimeout { 500 }; // no new connection for this time after a refusal
+static constexpr milliseconds kRefusalTimeout { 500 }; // time without new connections after the member refused one
 static constexpr double kLatencySmoothing = 0.1;
 static constexpr auto kUseAwaitable = asio::as_tuple(asio::use_awaitable);
 
--- a/src/controllers/pool.h
+++ b/src/controllers/pool.h
@@ -110,7 +110,7 @@
     unsigned m_running { 0 }; // statements in flight
     unsigned m_transactions { 0 }; // connections held by transactions, running or idle
     double m_serviceTime { 1 }; // ms; smoothed time for which a statement holds its slot
-    base::TimePoint m_earliestConnect {}; // no new connection before, after the member refused one
+    base::TimePoint m_earliestConnect {}; // set when the member refuses a connection: no new one before this time, unless none is open
 };
 
 }
--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -107,7 +107,7 @@
     {
     }
 
-    tl::expected<void, std::string> begin()
+    tl::expected<void, std::string> start()
     {
         base::getTimeline().setHost(m_settings.name);
         links::PeerHandlers handlers;
@@ -200,7 +200,7 @@
     }
     // Never destroyed: the drain has completed all work, so destructors are skipped at exit.
     auto* server = new Daemon(std::move(*settings));
-    auto started = server->begin();
+    auto started = server->start();
     if (!started) {
         fmt::print(stderr, "{}\n", started.error());
         return 1;
--- a/src/daemon/operators.cpp
+++ b/src/daemon/operators.cpp
@@ -138,7 +138,7 @@
     auto table = services.groups.getTable().read();
     auto it = table->find(path.substr(kTracePath.size()));
     if (it == table->end() || !it->second.controller)
-        return answerJson(json::object { { "error", "this host is no home of such a group" } }, 404);
+        return answerJson(json::object { { "error", "this host is not a home of this group" } }, 404);
     return { 200, it->second.controller->getTrace(), "text/plain" };
 }
 
--- a/src/filters/chain.cpp
+++ b/src/filters/chain.cpp
@@ -16,7 +16,7 @@
 using decisions::ErrorKind;
 
 static constexpr unsigned kMaxHops = 2; // to a home, and from there to a home that reaches the primary
-static constexpr int kRelayRounds = 12; // attempts over all homes while none is reachable
+static constexpr int kRelayRounds = 12; // maximum number of passes over all homes while none is reachable
 static constexpr milliseconds kRelayPause { 60 }; // between two rounds
 static constexpr milliseconds kRelayMargin { 10 }; // part of the deadline reserved at each relay
 static constexpr milliseconds kRetryAfter { 500 };
@@ -120,8 +120,9 @@
     bool mayHaveArrived { false }; // without a reply: whether the request may have run
 };
 
-// Whether the remote host is not a home. An exchange then reconciles the differing views of the hosts.
-static bool isDeclined(const Services& services, const peer::RelayReply& reply, const std::string& name)
+// Returns whether the remote host declined the relay because it is not a home. If so, starts an exchange to reconcile the
+// differing views of the two hosts.
+static bool handleDecline(const Services& services, const peer::RelayReply& reply, const std::string& name)
 {
     if (!reply.not_home())
         return false;
@@ -150,7 +151,7 @@
         services.hosts.exchangeNow(name);
         co_return RelayResult { std::nullopt, reply.error().mayHaveArrived };
     }
-    if (isDeclined(services, *reply, name))
+    if (handleDecline(services, *reply, name))
         co_return RelayResult {};
     co_return RelayResult { Reply { reply->status(), reply->body(), milliseconds(reply->retry_after_ms()) }, true };
 }
--- a/src/links/channel.h
+++ b/src/links/channel.h
@@ -42,7 +42,7 @@
 struct ChannelOptions {
     MessageSplitter splitter { splitLine };
     size_t maxOutputBytes { 4 << 20 }; // bytes waiting to be written; with more, the channel fails
-    base::milliseconds unresponsiveTimeout { 3000 }; // TCP_USER_TIMEOUT and keep-alive: fails after about this long without a sign of the remote host
+    base::milliseconds unresponsiveTimeout { 3000 }; // TCP_USER_TIMEOUT and keep-alive: fails after about this long without a response from the remote host
 };
 
 class Channel : public std::enable_shared_from_this<Channel> {
--- a/src/links/directory.h
+++ b/src/links/directory.h
@@ -26,7 +26,7 @@
     std::map<std::string, decisions::DatabaseRoute> routes {}; // by database name
     std::map<std::string, GroupLimits> groups {};
     std::optional<decisions::Accounts> accounts {}; // empty: the platform has no accounts, and callers need no key
-    base::milliseconds transactionIdle { 0 }; // ms; a transaction idle for longer may be rolled back; 0: never
+    base::milliseconds transactionIdle { 0 }; // a transaction idle for longer may be rolled back; 0: never
     friend bool operator==(const GatewayConfiguration&, const GatewayConfiguration&) = default;
 };
 
@@ -105,7 +105,7 @@
 public:
     virtual ~Store() = default;
     virtual AsyncStoreResult<StoreItem> get(std::string key, base::TimePoint deadline) = 0;
-    // Returns a page of items whose keys follow `after`. `isStaleAllowed` is cheaper, but data may be seconds old.
+    // Returns a page of items whose keys follow `after`. `isStaleAllowed` makes the call cheaper, but the data may be seconds old.
     virtual AsyncStoreResult<StoreItems> list(std::string prefix, std::string after, bool isStaleAllowed, base::TimePoint deadline) = 0;
     // Waits up to `wait` for changes after a revision, on a separate connection.
     virtual AsyncStoreResult<StoreItems> watch(std::string prefix, uint64_t after, base::milliseconds wait) = 0;
--- a/src/links/http.h
+++ b/src/links/http.h
@@ -29,7 +29,7 @@
     std::string body {};
     std::string contentType { "application/json" };
     base::milliseconds retryAfter { 0 }; // sent as Retry-After, rounded up to seconds; 0: not sent
-    bool mustClose { false }; // server side: close the connection after this answer
+    bool mustClose { false }; // server side: close the connection after this response
     bool mustNotAnswer { false }; // server side: send no response (used by test doubles to simulate network failures)
 };
 
--- a/src/links/http_server.cpp
+++ b/src/links/http_server.cpp
@@ -72,7 +72,7 @@
         return ec;
     }
 
-    void begin() { asio::co_spawn(m_acceptor.get_executor(), accept(shared_from_this()), asio::detached); }
+    void start() { asio::co_spawn(m_acceptor.get_executor(), accept(shared_from_this()), asio::detached); }
 
     void stopAccepting() override
     {
@@ -277,7 +277,7 @@
     auto server = std::make_shared<BeastServer>(context, std::move(handler), std::move(options));
     if (auto ec = server->listen(*endpoint))
         return tl::make_unexpected("cannot listen on " + address + ": " + ec.message());
-    server->begin();
+    server->start();
     return std::make_unique<ServerHandle>(server);
 }
 
