--- a/tests/process/configuration_test.cpp
+++ b/tests/process/configuration_test.cpp
@@ -87,12 +87,12 @@
     std::thread other([&] { firstRun = cluster.runTool({ "--by", "asha", "config", "apply", first }); });
     auto secondRun = cluster.runTool({ "--by", "bat", "config", "apply", copy });
     other.join();
-    auto& lost = firstRun.code == 3 ? firstRun : secondRun;
-    auto& won = firstRun.code == 3 ? secondRun : firstRun;
-    BOOST_TEST(won.code == 0, won.output);
-    BOOST_TEST(lost.code == 3, lost.output);
-    BOOST_TEST(lost.output.find(&won == &firstRun ? "by asha" : "by bat") != std::string::npos, lost.output);
-    BOOST_TEST(lost.output.find("slots") != std::string::npos, lost.output);
+    auto& refused = firstRun.code == 3 ? firstRun : secondRun;
+    auto& written = firstRun.code == 3 ? secondRun : firstRun;
+    BOOST_TEST(written.code == 0, written.output);
+    BOOST_TEST(refused.code == 3, refused.output);
+    BOOST_TEST(refused.output.find(&written == &firstRun ? "by asha" : "by bat") != std::string::npos, refused.output);
+    BOOST_TEST(refused.output.find("slots") != std::string::npos, refused.output);
 }
 
 BOOST_AUTO_TEST_CASE(invalid_record_is_refused_by_the_tool_and_by_every_host)
--- a/tests/process/hosts_test.cpp
+++ b/tests/process/hosts_test.cpp
@@ -30,7 +30,7 @@
     return host;
 }
 
-// A peer whose view of the hosts differs from theirs: it declines every relay.
+// A peer that declines every relay, as a host does that does not consider itself a home.
 class DecliningPeer {
 public:
     explicit DecliningPeer(const std::string& address)
--- a/tests/process/random_run_test.cpp
+++ b/tests/process/random_run_test.cpp
@@ -37,7 +37,7 @@
     return value.substr(index * 6, 6);
 }
 
-// Each acknowledged marker must be in the value exactly once, and none that was answered as not run.
+// Each acknowledged marker must be in the value exactly once; a marker that was answered as not run must not be in it.
 void checkValue(History& history, const std::string& value, const std::string& when)
 {
     std::set<std::string> seen;
@@ -190,7 +190,7 @@
     }
 
 private:
-    void pause(int most) { std::this_thread::sleep_for(milliseconds(most / 2 + static_cast<int>(m_random() % static_cast<unsigned>(most)))); }
+    void pause(int meanMs) { std::this_thread::sleep_for(milliseconds(meanMs / 2 + static_cast<int>(m_random() % static_cast<unsigned>(meanMs)))); }
 
     void isolateMember(const GroupOptions& group, const std::string& member)
     {
--- a/tests/process/traces_test.cpp
+++ b/tests/process/traces_test.cpp
@@ -75,7 +75,7 @@
     cluster.getMember("orders-a").signal(SIGSTOP);
     write(cluster, "after");
     cluster.getMember("orders-a").signal(SIGCONT);
-    // One home is enough: after its order the others see a member that already follows.
+    // One home is enough: after its follow request, the others see a member that already follows.
     auto homes = cluster.getHomes("orders");
     BOOST_TEST(waitUntil(milliseconds(10000), [&] {
         return std::ranges::any_of(homes, [&](size_t it) { return cluster.hasEvent(it, "follow-sent", "orders"); });
