--- a/src/controllers/group.cpp
+++ b/src/controllers/group.cpp
@@ -16,7 +16,7 @@
 using base::milliseconds;
 using base::TimePoint;
 
-static constexpr milliseconds kTickInterval { 50 }; // for timeouts; answers are also applied when they arrive
+static constexpr milliseconds kTickInterval { 50 }; // how often timeouts are checked; answers are applied when they arrive
 static constexpr milliseconds kPublishInterval { 200 }; // of the status, without notable changes
 static constexpr milliseconds kPathFaultDelay { 600 }; // earlier, a replica's report may predate the fault
 static constexpr milliseconds kLeavingPrimaryGrace { 2500 }; // a leaving primary accepts writes for this time, until the handover
--- a/src/controllers/group.h
+++ b/src/controllers/group.h
@@ -105,7 +105,7 @@
         uint64_t knownTerm { 0 };
         std::shared_ptr<boost::asio::steady_timer> probeTimer; // cancelled to probe immediately
         std::shared_ptr<boost::asio::steady_timer> confirmTimer; // cancelled when a write needs a confirmation
-        base::TimePoint followSentAt {}; // last follow order sent by resendFollows()
+        base::TimePoint followSentAt {}; // last follow request sent by resendFollows()
         base::TimePoint leavingSince {}; // meaningful while the member is leaving
     };
     struct PendingConfirmation { // a write that has run and waits for its confirmation
--- a/src/controllers/hosts.cpp
+++ b/src/controllers/hosts.cpp
@@ -199,7 +199,7 @@
 void HostsController::startRound()
 {
     auto seed = decisions::getHash(m_node.settings.name) + m_round;
-    publish(decisions::expireHosts(m_membership, m_timings, Clock::now()), "no refutation in time");
+    publish(decisions::expireHosts(m_membership, m_timings, Clock::now()), "suspicion not refuted in time");
     applyPlatformHosts();
     for (auto& it : decisions::choosePartners(m_membership, static_cast<size_t>(m_node.settings.partnersPerExchange), seed))
         asio::co_spawn(m_strand, exchangeWith(it), asio::detached);
--- a/src/ctl/config.cpp
+++ b/src/ctl/config.cpp
@@ -208,10 +208,10 @@
     auto applied = co_await swapRecord(options, getKey(group), *stored, *text, change, deadline);
     if (applied.result == ApplyResult::Conflict) {
         fmt::print(stderr, "the record was changed concurrently; nothing was written. The other change, and the difference to your file:\n");
-        auto winner = parseStored(applied.storedValue);
-        if (!winner.changes.empty())
-            printChange(winner.changes.front());
-        printDiff(winner.record, *text);
+        auto concurrent = parseStored(applied.storedValue);
+        if (!concurrent.changes.empty())
+            printChange(concurrent.changes.front());
+        printDiff(concurrent.record, *text);
         co_return kExitConflict;
     }
     if (applied.result == ApplyResult::Unknown) {
--- a/src/ctl/explain.cpp
+++ b/src/ctl/explain.cpp
@@ -13,7 +13,8 @@
 
 namespace json = boost::json;
 
-// Events that change the state by which a host serves requests. The last one of each kind before a request applied to it.
+// Events that change the state by which a host serves requests. The last one of each kind before a request
+// tells the state at that request.
 static const std::set<std::string> kStateEvents { "configuration", "lead", "readiness", "store-lost", "store-regained", "succession", "stop-begins", "start" };
 // Events of a group, on any host, that may explain the outcome of a request.
 static const std::set<std::string> kGroupEvents { "target-trouble", "promotion-considered", "primary-examined", "promotion-ordered", "promotion-held-back", "promotion-ended", "member", "member-unlisted" };
--- a/src/ctl/show.cpp
+++ b/src/ctl/show.cpp
@@ -35,7 +35,7 @@
     co_return links::parseObject(answer->body);
 }
 
-// The platform's list can be outdated or unreachable; a named host's membership is used instead.
+// A host named by the operator takes precedence, because the platform's list can be outdated or unreachable.
 asio::awaitable<std::vector<std::string>> findHosts(const Options& options)
 {
     std::vector<std::string> addresses;
--- a/src/filters/chain.cpp
+++ b/src/filters/chain.cpp
@@ -87,7 +87,7 @@
     co_return std::nullopt;
 }
 
-static asio::awaitable<std::optional<Reply>> admit(const Services& services, RequestContext& context)
+static asio::awaitable<std::optional<Reply>> checkConfigured(const Services& services, RequestContext& context)
 {
     auto configuration = services.configuration.getSnapshot().read();
     if (!configuration->isLoaded)
@@ -267,7 +267,7 @@
 
 const std::vector<Filter>& getChain()
 {
-    static const std::vector<Filter> chain { decode, setDeadline, admit, route, sendToOwner, executeHere, declineRelay, relayToHome };
+    static const std::vector<Filter> chain { decode, setDeadline, checkConfigured, route, sendToOwner, executeHere, declineRelay, relayToHome };
     return chain;
 }
 
--- a/src/filters/request.h
+++ b/src/filters/request.h
@@ -1,5 +1,5 @@
-// The filter chain of callers' requests: decode, deadline, admission, routing, execution or relay. A filter either replies or
-// passes the request on. Members detect duplicates by the request keys that they store with writes.
+// The filter chain of callers' requests: decode, deadline, check for a configuration, routing, execution or relay. A filter
+// either replies or passes the request on. Members detect duplicates by the request keys that they store with writes.
 #pragma once
 #include "controllers/groups.h"
 #include "decisions/errors.h"
--- a/src/links/channel.h
+++ b/src/links/channel.h
@@ -24,7 +24,7 @@
     bool isMalformed { false }; // cannot become a valid message; the channel fails
 };
 
-// Finds the first message of `buf`. Bytes before `from` were scanned by an earlier call that found it incomplete.
+// Finds the first message of `buf`. Bytes before `from` were scanned by an earlier call that found the message incomplete.
 using MessageSplitter = FramedMessage (*)(std::string_view buf, size_t from);
 
 inline constexpr size_t kMaxMessageSize = 1 << 20; // bytes of one message of the callers' protocol
@@ -57,7 +57,7 @@
     void start(boost::asio::ip::tcp::socket socket, MessageHandler onMessage, CloseHandler onClose);
     // Connects within `limit`. Messages sent meanwhile are queued. Errors, including a timeout, go to `onClose`.
     void connect(const std::string& address, base::milliseconds limit, MessageHandler onMessage, CloseHandler onClose);
-    // Queues bytes; those queued within one turn of the executor are written together.
+    // Queues bytes. Those queued by the same handler are written together.
     void send(std::string_view bytes);
     // Closes once all queued bytes are written, or after a second. Stops reading.
     void closeAfterWrite();
--- a/src/links/peer.cpp
+++ b/src/links/peer.cpp
@@ -162,8 +162,8 @@
         Reply reply;
     };
 
-    template <typename Reply, typename Request, typename Begin>
-    asio::awaitable<LinkResult<Reply>> call(std::string name, std::string address, Request request, base::milliseconds limit, Begin begin)
+    template <typename Reply, typename Request, typename StartCall>
+    asio::awaitable<LinkResult<Reply>> call(std::string name, std::string address, Request request, base::milliseconds limit, StartCall startCall)
     {
         if (m_blockedPeers.contains(name)) {
             co_await base::sleepFor(limit);
@@ -177,7 +177,7 @@
         auto status = co_await asio::async_initiate<const asio::use_awaitable_t<>, void(grpc::Status)>(
             [&](auto handler) {
                 auto shared = std::make_shared<decltype(handler)>(std::move(handler));
-                begin(stub->async(), &state->context, &state->request, &state->reply, [shared, state](grpc::Status result) {
+                startCall(stub->async(), &state->context, &state->request, &state->reply, [shared, state](grpc::Status result) {
                     auto executor = asio::get_associated_executor(*shared);
                     asio::post(executor, [shared, result]() mutable { (*shared)(result); });
                 });
