--- a/src/controllers/hosts.cpp
+++ b/src/controllers/hosts.cpp
@@ -199,7 +199,7 @@
 void HostsController::startRound()
 {
     auto seed = decisions::getHash(m_node.settings.name) + m_round;
-    publish(decisions::expireHosts(m_membership, m_timings, Clock::now()), "no refutation in time");
+    publish(decisions::expireHosts(m_membership, m_timings, Clock::now()), "suspicion not refuted in time");
     applyPlatformHosts();
     for (auto& it : decisions::choosePartners(m_membership, static_cast<size_t>(m_node.settings.partnersPerExchange), seed))
         asio::co_spawn(m_strand, exchangeWith(it), asio::detached);
@@ -385,10 +385,10 @@
 {
     asio::co_spawn(
         m_strand, [this, name]() -> asio::awaitable<void> {
-            if (!m_hostsBeingChecked.insert(name).second)
+            if (!m_pendingExchanges.insert(name).second)
                 co_return;
             co_await exchangeWith(name);
-            m_hostsBeingChecked.erase(name);
+            m_pendingExchanges.erase(name);
         },
         asio::detached);
 }
--- a/tests/process/configuration_test.cpp
+++ b/tests/process/configuration_test.cpp
@@ -44,9 +44,9 @@
 
 BOOST_AUTO_TEST_CASE(change_is_in_force_on_every_host_and_the_tool_waits_for_it)
 {
-    auto shape = makeSmallOptions();
-    shape.hosts = 7;
-    Cluster cluster(shape);
+    auto options = makeSmallOptions();
+    options.hosts = 7;
+    Cluster cluster(options);
     cluster.startAll();
     auto run = cluster.runTool({ "--wait", "config", "apply", writeRecordWithSlots(cluster, 3) });
     BOOST_TEST(run.code == 0, run.output);
@@ -87,12 +87,12 @@
     std::thread other([&] { firstRun = cluster.runTool({ "--by", "asha", "config", "apply", first }); });
     auto secondRun = cluster.runTool({ "--by", "bat", "config", "apply", copy });
     other.join();
-    auto& lost = firstRun.code == 3 ? firstRun : secondRun;
-    auto& won = firstRun.code == 3 ? secondRun : firstRun;
-    BOOST_TEST(won.code == 0, won.output);
-    BOOST_TEST(lost.code == 3, lost.output);
-    BOOST_TEST(lost.output.find(&won == &firstRun ? "by asha" : "by bat") != std::string::npos, lost.output);
-    BOOST_TEST(lost.output.find("slots") != std::string::npos, lost.output);
+    auto& refused = firstRun.code == 3 ? firstRun : secondRun;
+    auto& written = firstRun.code == 3 ? secondRun : firstRun;
+    BOOST_TEST(written.code == 0, written.output);
+    BOOST_TEST(refused.code == 3, refused.output);
+    BOOST_TEST(refused.output.find(&written == &firstRun ? "by asha" : "by bat") != std::string::npos, refused.output);
+    BOOST_TEST(refused.output.find("slots") != std::string::npos, refused.output);
 }
 
 BOOST_AUTO_TEST_CASE(invalid_record_is_refused_by_the_tool_and_by_every_host)
@@ -120,14 +120,14 @@
 
 BOOST_AUTO_TEST_CASE(records_of_schema_1_and_2_are_served_side_by_side)
 {
-    auto shape = makeSmallOptions();
-    shape.groups.push_back({ "old", { "old-a", "old-b", "old-c" } });
-    Cluster cluster(shape);
+    auto options = makeSmallOptions();
+    options.groups.push_back({ "old", { "old-a", "old-b", "old-c" } });
+    Cluster cluster(options);
     cluster.startAll();
     json::array members;
     size_t i = 0;
     for (auto& it : { "old-a", "old-b", "old-c" })
-        members.emplace_back(std::string(it) + "=" + cluster.getMemberAddress(it) + "@" + shape.dataCentres[i++]);
+        members.emplace_back(std::string(it) + "=" + cluster.getMemberAddress(it) + "@" + options.dataCentres[i++]);
     std::ofstream(cluster.getFolder() + "/old.json") << json::serialize(json::object { { "schema", 1 }, { "members", members }, { "staleMs", 500 } });
     auto run = cluster.runTool({ "--wait", "config", "apply", cluster.getFolder() + "/old.json" });
     BOOST_TEST(run.code == 0, run.output);
