--- a/tests/unit/routing_test.cpp
+++ b/tests/unit/routing_test.cpp
@@ -85,7 +85,7 @@
     BOOST_TEST((routeWrite(health, kIdle, { 1, 49 }).kind == RouteKind::Member));
 }
 
-BOOST_AUTO_TEST_CASE(age_grows_from_the_newest_confirmed_probe_that_the_position_reached)
+BOOST_AUTO_TEST_CASE(staleness_bound_grows_from_the_newest_confirmed_probe_that_the_position_reached)
 {
     auto health = makeGroup(10);
     BOOST_TEST((getStalenessBound(health, 1, 100, at(60)) == milliseconds(50)));
@@ -122,7 +122,7 @@
     BOOST_TEST((applyProbeFailure(health, 0, false, at(20)) == health));
 }
 
-BOOST_AUTO_TEST_CASE(the_newest_confirmed_age_mark_is_never_dropped)
+BOOST_AUTO_TEST_CASE(the_newest_freshness_checkpoint_is_never_dropped)
 {
     auto health = makeGroup(10);
     for (int i = 0; i < 300; ++i)
