--- a/tests/unit/accounts_test.cpp
+++ b/tests/unit/accounts_test.cpp
@@ -50,8 +50,8 @@
     BOOST_TEST(getOwner(accounts, "k1") == "mill");
     BOOST_TEST(getOwner(accounts, "k2") == "mill");
     BOOST_TEST(getOwner(accounts, "k3") == "shop");
-    for (auto* stranger : { "", "k", "k11", "K1", "mill" })
-        BOOST_TEST(getOwner(accounts, stranger).empty(), stranger);
+    for (auto* unknownKey : { "", "k", "k11", "K1", "mill" })
+        BOOST_TEST(getOwner(accounts, unknownKey).empty(), unknownKey);
     BOOST_TEST(accounts.byName.contains("closed")); // an account without keys keeps its quota
     BOOST_TEST(findQuota(accounts, "mill")->perSecond == 128);
     BOOST_TEST(findQuota(accounts, "mill")->burst == 64);
@@ -81,22 +81,22 @@
 
 BOOST_AUTO_TEST_CASE(a_malformed_account_rejects_the_configuration)
 {
-    auto isTaken = [](json::object account) { return platform::readConfiguration(makeConfiguration(std::vector<json::object> { std::move(account) })).has_value(); };
+    auto isAccepted = [](json::object account) { return platform::readConfiguration(makeConfiguration(std::vector<json::object> { std::move(account) })).has_value(); };
     auto with = [](const char* name, json::value value) {
         auto account = makeAccount("mill", { "k1" });
         account[name] = std::move(value);
         return account;
     };
-    BOOST_TEST(isTaken(with("RatePerS", 0.5)));
-    BOOST_TEST(isTaken(with("RatePerS", 0)));
-    BOOST_TEST(!isTaken(with("RatePerS", -1)));
-    BOOST_TEST(!isTaken(with("RatePerS", "fast")));
-    BOOST_TEST(!isTaken(with("Burst", nullptr)));
-    BOOST_TEST(!isTaken(with("Name", "")));
-    BOOST_TEST(!isTaken(with("ApiKeys", "k1")));
-    BOOST_TEST(!isTaken(with("ApiKeys", json::array { 1 })));
-    BOOST_TEST(!isTaken(with("ApiKeys", json::array { "" })));
-    BOOST_TEST(!isTaken(with("ApiKeyDigests", json::array { "abc" })));
+    BOOST_TEST(isAccepted(with("RatePerS", 0.5)));
+    BOOST_TEST(isAccepted(with("RatePerS", 0)));
+    BOOST_TEST(!isAccepted(with("RatePerS", -1)));
+    BOOST_TEST(!isAccepted(with("RatePerS", "fast")));
+    BOOST_TEST(!isAccepted(with("Burst", nullptr)));
+    BOOST_TEST(!isAccepted(with("Name", "")));
+    BOOST_TEST(!isAccepted(with("ApiKeys", "k1")));
+    BOOST_TEST(!isAccepted(with("ApiKeys", json::array { 1 })));
+    BOOST_TEST(!isAccepted(with("ApiKeys", json::array { "" })));
+    BOOST_TEST(!isAccepted(with("ApiKeyDigests", json::array { "abc" })));
     BOOST_TEST(!platform::readConfiguration(makeConfiguration(std::vector<json::object> { makeAccount("mill", { "k1" }), makeAccount("mill", { "k2" }) })).has_value());
     BOOST_TEST(!platform::readConfiguration(makeConfiguration(json::value("none"))).has_value());
     auto unlimited = makeAccount("mill", { "k1" });
--- a/tests/unit/entries_test.cpp
+++ b/tests/unit/entries_test.cpp
@@ -25,18 +25,18 @@
     return { { "Version", 7 }, { "Routes", routes }, { "Services", services }, { "Limits", { { "TxIdleMs", 3000 } } } };
 }
 
-bool isRead(const json::object& entry)
+bool isValidEntry(const json::object& entry)
 {
     return platform::readMemberEntry("m1", json::serialize(entry)).has_value();
 }
 
-bool isInForce(const json::object& configuration)
+bool isValidConfiguration(const json::object& configuration)
 {
     return platform::readConfiguration(json::serialize(configuration)).has_value();
 }
 
 // The invariants of a parsed member.
-bool isWhole(const links::RegisteredMember& it)
+bool hasRequiredFields(const links::RegisteredMember& it)
 {
     return !it.id.empty() && !it.group.empty() && !it.address.empty() && !it.dataCentre.empty() && it.slots > 0;
 }
@@ -46,7 +46,7 @@
     return std::string(depth, '[') + std::string(depth, ']');
 }
 
-std::string change(std::string text, std::mt19937& random)
+std::string mutate(std::string text, std::mt19937& random)
 {
     auto pick = [&](size_t n) { return std::uniform_int_distribution<size_t>(0, n - 1)(random); };
     auto times = 1 + pick(4);
@@ -72,7 +72,7 @@
     return text;
 }
 
-constexpr int kChanges = 20000; // mutations of each input
+constexpr int kMutations = 20000; // of each input
 constexpr unsigned kSeeds[] { 1, 2, 3 };
 
 }
@@ -87,10 +87,10 @@
     BOOST_TEST((*member == expected));
     auto older = makeEntry();
     older.erase("born");
-    BOOST_TEST(isRead(older)); // optional
+    BOOST_TEST(isValidEntry(older)); // optional
     auto newer = makeEntry();
     newer["something"] = json::object { { "new", nullptr } };
-    BOOST_TEST(isRead(newer));
+    BOOST_TEST(isValidEntry(newer));
 }
 
 BOOST_AUTO_TEST_CASE(entries_with_a_missing_or_mistyped_field_are_refused)
@@ -98,15 +98,15 @@
     for (auto* name : { "Service", "Address", "Zone", "Version", "Slots", "State", "ColdLeftMs", "DbRole", "Sequence" }) {
         auto entry = makeEntry();
         entry.erase(name);
-        BOOST_TEST(!isRead(entry), name << " is missing");
+        BOOST_TEST(!isValidEntry(entry), name << " is missing");
     }
-    auto whole = makeEntry();
-    for (auto& field : whole) {
+    auto valid = makeEntry();
+    for (auto& field : valid) {
         for (const json::value& wrong : { json::value(nullptr), json::value(true), json::value(json::array()), json::value(json::object()), json::value(-1), json::value(0.5), json::value(""), json::value(1e300) }) {
             bool isCount = field.value().is_number();
-            auto entry = whole;
+            auto entry = valid;
             entry[field.key()] = wrong;
-            BOOST_TEST(!isRead(entry), field.key() << (isCount ? " (a count) is " : " is ") << json::serialize(wrong));
+            BOOST_TEST(!isValidEntry(entry), field.key() << (isCount ? " (a count) is " : " is ") << json::serialize(wrong));
         }
     }
 }
@@ -116,7 +116,7 @@
     auto with = [](std::string_view name, json::value value) {
         auto entry = makeEntry();
         entry[name] = std::move(value);
-        return isRead(entry);
+        return isValidEntry(entry);
     };
     BOOST_TEST(with("State", "draining"));
     BOOST_TEST(!with("State", "gone"));
@@ -141,12 +141,12 @@
 // Guards against applying some routes of an invalid configuration.
 BOOST_AUTO_TEST_CASE(a_configuration_with_one_invalid_field_is_refused_as_a_whole)
 {
-    BOOST_REQUIRE(isInForce(makeConfiguration()));
+    BOOST_REQUIRE(isValidConfiguration(makeConfiguration()));
     for (auto* name : { "Version", "Routes", "Services", "Limits" }) {
         for (const json::value& wrong : { json::value(nullptr), json::value("7"), json::value(-7), json::value(json::array { 1 }) }) {
             auto configuration = makeConfiguration();
             configuration[name] = wrong;
-            BOOST_TEST(!isInForce(configuration), name << " is " << json::serialize(wrong));
+            BOOST_TEST(!isValidConfiguration(configuration), name << " is " << json::serialize(wrong));
         }
     }
     auto configuration = makeConfiguration();
@@ -157,7 +157,7 @@
     for (auto [name, wrong] : { std::pair<std::string_view, json::value>("RouteType", "primry"), { "TimeoutMs", "800" }, { "Host", 7 }, { "Service", nullptr }, { "Priority", -1 }, { "MaxStalenessMs", 1e18 } }) {
         auto broken = configuration;
         broken["Routes"].as_array()[1].as_object()[name] = wrong;
-        BOOST_TEST(!isInForce(broken), name);
+        BOOST_TEST(!isValidConfiguration(broken), name);
     }
 }
 
@@ -169,16 +169,16 @@
     int refused = 0;
     for (auto seed : kSeeds) {
         std::mt19937 random(seed);
-        for (int i = 0; i < kChanges; ++i) {
-            auto member = platform::readMemberEntry("m1", change(entry, random));
-            BOOST_REQUIRE((!member || isWhole(*member)));
+        for (int i = 0; i < kMutations; ++i) {
+            auto member = platform::readMemberEntry("m1", mutate(entry, random));
+            BOOST_REQUIRE((!member || hasRequiredFields(*member)));
             refused += member ? 0 : 1;
-            auto read = platform::readConfiguration(change(configuration, random));
+            auto read = platform::readConfiguration(mutate(configuration, random));
             BOOST_REQUIRE((!read || read->version > 0));
-            decisions::parseCoordinatorRecord(change(coordinatorRecord, random));
+            decisions::parseCoordinatorRecord(mutate(coordinatorRecord, random));
         }
     }
-    BOOST_TEST(refused > kChanges); // the majority over all seeds
+    BOOST_TEST(refused > kMutations); // the majority over all seeds
 }
 
 BOOST_AUTO_TEST_CASE(no_message_of_a_caller_or_a_target_crashes_the_process)
@@ -187,8 +187,8 @@
     const std::vector<std::string> lines { "CONNECT lepu u3\r\n", "QUERY 5c0e AFTER 3.12 READ 1a4\r\n", "QUERY 5c0e EXECUTE s1 1a4 xkq\r\n", "ROW replica 3 3.1209 0 12 2 17\r\n", "COMPLETE 7.1f3.c.2b\r\n", "ERROR READONLY i-7\r\n", "READY T 3.1209\r\n" };
     for (auto seed : kSeeds) {
         std::mt19937 random(seed);
-        for (int i = 0; i < kChanges; ++i) {
-            auto line = change(lines[static_cast<size_t>(i) % lines.size()], random);
+        for (int i = 0; i < kMutations; ++i) {
+            auto line = mutate(lines[static_cast<size_t>(i) % lines.size()], random);
             codec->parseCallerMessage(line);
             codec->parseTargetMessage(line);
             codec->parseStatus(line);
