--- a/tests/unit/connections_test.cpp
+++ b/tests/unit/connections_test.cpp
@@ -20,7 +20,7 @@
     return { account, true, false, hasServed, kStart - milliseconds(idleMs) };
 }
 
-// A member with two slots, its pool of at most `most` connections, and queued operations. Opening a connection occupies a slot for 12 ms.
+// A member with two slots, its pool of at most `maxConnections` connections, and queued operations. Opening a connection occupies a slot for 12 ms.
 struct SimulatedMember {
     struct Operation {
         std::string account;
@@ -37,7 +37,7 @@
         TimePoint readyAt;
     };
 
-    size_t most { 15 };
+    size_t maxConnections { 15 };
     milliseconds queueTimeout { 800 }; // of an operation
     std::deque<Operation> waiting {};
     std::vector<Connection> connections {};
@@ -48,18 +48,18 @@
     size_t timedOut { 0 };
     std::vector<double> waitsMs {};
 
-    TimePoint& getSlot() { return *std::ranges::min_element(slots); }
+    TimePoint& findEarliestSlot() { return *std::ranges::min_element(slots); }
 
     void serve(TimePoint now)
     {
         for (auto it = waiting.begin(); it != waiting.end();) {
             auto connection = std::ranges::find_if(connections, [&](const Connection& other) { return other.account == it->account && other.freeAt <= now; });
-            if (connection == connections.end() || getSlot() > now) {
+            if (connection == connections.end() || findEarliestSlot() > now) {
                 ++it;
                 continue;
             }
             auto end = now + milliseconds(9);
-            getSlot() = end;
+            findEarliestSlot() = end;
             connection->freeAt = end;
             connection->usedAt = end;
             connection->hasServed = true;
@@ -82,13 +82,13 @@
             else
                 demands.push_back({ it.account, 1, static_cast<size_t>(std::ranges::count(openings, it.account, &Opening::account)) });
         }
-        auto step = planOpening(held, demands, { most, openings.size(), 1 }, now);
+        auto step = planOpening(held, demands, { maxConnections, openings.size(), 1 }, now);
         if (!step)
             return;
         if (step->evicted)
             connections.erase(connections.begin() + static_cast<std::ptrdiff_t>(*step->evicted));
-        auto began = std::max(now, getSlot());
-        getSlot() = began + milliseconds(12);
+        auto began = std::max(now, findEarliestSlot());
+        findEarliestSlot() = began + milliseconds(12);
         openings.push_back({ step->account, began + milliseconds(12) });
         ++opened;
     }
--- a/tests/unit/scheduling_test.cpp
+++ b/tests/unit/scheduling_test.cpp
@@ -24,7 +24,7 @@
     unsigned inTime { 0 };
     unsigned late { 0 };
     unsigned refused { 0 };
-    double possible { 0 }; // number of statements that the member has capacity for
+    double capacity { 0 }; // number of statements that the member can execute in the simulated time
 };
 
 // Simulates 20 seconds with exponential interarrival and execution times; a free slot takes the next statement in scheduling order.
@@ -35,7 +35,7 @@
     std::exponential_distribution<double> work(1 / profile.workMs);
     constexpr double kEndMs = 20000;
     Served served;
-    served.possible = kEndMs * profile.slots / profile.workMs;
+    served.capacity = kEndMs * profile.slots / profile.workMs;
     std::vector<double> freeAt(profile.slots, 0);
     std::vector<SchedulingParameters> waiting;
     double arrival = gap(random);
@@ -101,12 +101,12 @@
         workMs = updateWorkTime(workMs, work(random));
     BOOST_TEST(workMs > 10);
     BOOST_TEST(workMs < 20);
-    double most = 0;
+    double highest = 0;
     for (int i = 0; i < 500; ++i) {
         workMs = updateWorkTime(workMs, i % 5 < 2 ? 800 : work(random));
-        most = std::max(most, workMs);
+        highest = std::max(highest, workMs);
     }
-    BOOST_TEST(most < 75);
+    BOOST_TEST(highest < 75);
     for (int i = 0; i < 100; ++i)
         workMs = updateWorkTime(workMs, 4 * work(random)); // all statements are slow
     BOOST_TEST(workMs > 40);
@@ -117,10 +117,10 @@
 {
     for (double load : { 1.15, 1.3, 2.0 }) {
         auto served = simulate({ .load = load });
-        BOOST_TEST_CONTEXT("load " << load << ": " << served.inTime << " in time, " << served.late << " late, " << served.refused << " refused of " << served.possible)
-        BOOST_TEST(served.inTime > 0.85 * served.possible);
+        BOOST_TEST_CONTEXT("load " << load << ": " << served.inTime << " in time, " << served.late << " late, " << served.refused << " refused of " << served.capacity)
+        BOOST_TEST(served.inTime > 0.85 * served.capacity);
     }
-    BOOST_TEST(simulate({ .load = 0.7 }).late < 0.01 * simulate({ .load = 0.7 }).possible);
+    BOOST_TEST(simulate({ .load = 0.7 }).late < 0.01 * simulate({ .load = 0.7 }).capacity);
 }
 
 // Guards against a new objective for each statement, which schedules a transaction that has used up its time behind one that has just begun.
