--- a/tests/unit/member_exchange_test.cpp
+++ b/tests/unit/member_exchange_test.cpp
@@ -87,7 +87,7 @@
     BOOST_TEST(!markMemberUnlisted(view, "nobody", 99, kStart));
 }
 
-BOOST_AUTO_TEST_CASE(forgotten_members_are_detected_by_their_absence_from_a_whole_answer)
+BOOST_AUTO_TEST_CASE(unlisted_members_are_detected_by_their_absence_from_a_complete_answer)
 {
     ClusterView upToDate;
     ClusterView outdated;
--- a/tests/unit/member_incarnation_test.cpp
+++ b/tests/unit/member_incarnation_test.cpp
@@ -60,7 +60,7 @@
     BOOST_TEST((applyMember(view, makeMember(1000, 9), 1, {}, now) == MemberChange::Outdated)); // the old entry arrives late
 }
 
-// Guards against a crash: an id left in two groups and forgotten in one made the lookup by id fail.
+// Guards against a crash: an id that stays in two groups and is removed from only one makes the lookup by id fail.
 BOOST_AUTO_TEST_CASE(a_member_that_moves_to_another_group_leaves_the_previous_one)
 {
     ClusterView view;
--- a/tests/unit/records_test.cpp
+++ b/tests/unit/records_test.cpp
@@ -110,7 +110,7 @@
     for (auto it : getBucketDigests(theirs))
         sum ^= it;
     BOOST_TEST(sum == getDigest(theirs));
-    BOOST_TEST(std::ranges::count(findDifferingBuckets(getBucketDigests(mine), {}), true) == static_cast<int>(kBucketCount)); // not comparable
+    BOOST_TEST(std::ranges::count(findDifferingBuckets(getBucketDigests(mine), {}), true) == static_cast<int>(kBucketCount)); // without digests to compare, all buckets count as different
 }
 
 BOOST_AUTO_TEST_CASE(invalid_settings_are_refused_with_file_and_line)
--- a/tests/unit/trace_test.cpp
+++ b/tests/unit/trace_test.cpp
@@ -87,12 +87,12 @@
         return event && std::holds_alternative<FenceAnswered>(*event);
     });
     BOOST_REQUIRE((fence != trace.end()));
-    auto without = trace;
-    for (auto& it : without) {
+    auto changed = trace;
+    for (auto& it : changed) {
         if (auto* event = std::get_if<FailoverEvent>(&it.event); event && std::holds_alternative<FenceAnswered>(*event))
             std::get<FenceAnswered>(*event).answer.reset();
     }
-    BOOST_TEST(replayTrace(without).firstDifference.starts_with("entry "));
+    BOOST_TEST(replayTrace(changed).firstDifference.starts_with("entry "));
 }
 
 BOOST_AUTO_TEST_CASE(formatted_entries_parse_to_the_same_entries)
--- a/tests/unit/watching_test.cpp
+++ b/tests/unit/watching_test.cpp
@@ -29,7 +29,7 @@
     BOOST_TEST(!isWatcher("b", ranked));
     BOOST_TEST(isWatcher("c", ranked));
     BOOST_TEST(isWatcher("d", ranked));
-    ranked[3].hasStore = false; // one host has the store; the best-ranked of the others fills up
+    ranked[3].hasStore = false; // one host has the store; the best-ranked of the others is the second watcher
     BOOST_TEST(isWatcher("a", ranked));
     BOOST_TEST(!isWatcher("b", ranked));
     BOOST_TEST(!isWatcher("d", ranked));
