--- a/tests/standins/kv_store.cpp
+++ b/tests/standins/kv_store.cpp
@@ -176,17 +176,17 @@
 {
     auto request = json::parse(body).as_object();
     json::array conflicts;
-    bool holds = true;
+    bool hasExpectedRevisions = true;
     for (auto& it : request["Expect"].as_array()) {
         auto& row = it.as_object();
         std::string key(row["Key"].as_string());
         auto found = m_items.find(key);
         auto revision = found == m_items.end() ? 0 : found->second.revision;
-        holds = holds && revision == row["Revision"].to_number<uint64_t>();
+        hasExpectedRevisions = hasExpectedRevisions && revision == row["Revision"].to_number<uint64_t>();
         if (found != m_items.end())
             conflicts.push_back({ { "Key", key }, { "Value", encode(found->second.value) }, { "Revision", revision } });
     }
-    if (!holds)
+    if (!hasExpectedRevisions)
         return makeResponse(412, json::object { { "items", conflicts } });
     for (auto& it : request["Puts"].as_array()) {
         auto lease = it.as_object()["Lease"].to_number<uint64_t>();
--- a/tests/standins/line_group.cpp
+++ b/tests/standins/line_group.cpp
@@ -264,7 +264,7 @@
         written.clear();
         sendAnswer("COMPLETE -");
     } else if (word == "READ" || word == "WRITE" || word == "EXECUTE" || word == "COMMIT") {
-        std::string shaped = text;
+        std::string statement = text;
         bool isRead = word == "READ";
         if (word == "EXECUTE") {
             std::string name, rest;
@@ -276,9 +276,9 @@
                 return;
             }
             isRead = it->second.starts_with("READ ");
-            shaped = it->second.substr(0, it->second.find(' ')) + " " + rest;
+            statement = it->second.substr(0, it->second.find(' ')) + " " + rest;
         }
-        runStatement(id, shaped, isRead);
+        runStatement(id, statement, isRead);
     } else
         sendAnswer("ERROR MALFORMED " + word);
 }
--- a/tests/standins/member.cpp
+++ b/tests/standins/member.cpp
@@ -47,7 +47,7 @@
     std::vector<std::pair<std::string, std::string>> effects {}; // key, new value
     std::string requestKey {};
     std::string result {}; // JSON
-    bool isClosing { false }; // marks the request key as not run for good
+    bool isClosing { false }; // settles the request key: its statement has not run and never will
     Clock::time_point writtenAt {};
 };
 
@@ -83,7 +83,7 @@
         m_primaryAddress = m_options.primaryAddress;
         m_term = 1;
         m_isPrimary = m_primaryName == m_options.name;
-        m_heardAt = Clock::now();
+        m_primaryContactAt = Clock::now();
         if (m_isPrimary)
             append({ 1, {}, {}, "null", false, {} });
     }
@@ -152,7 +152,7 @@
         for (auto& [key, value] : entry.effects)
             m_data[key] = value;
         if (!entry.requestKey.empty())
-            m_keys[entry.requestKey] = { position, entry.result, entry.isClosing };
+            m_requestKeys[entry.requestKey] = { position, entry.result, entry.isClosing };
         if (m_history.empty() || m_history.back().term < entry.term)
             m_history.push_back({ entry.term, position });
     }
@@ -169,7 +169,7 @@
     {
         m_log.resize(position);
         m_data.clear();
-        m_keys.clear();
+        m_requestKeys.clear();
         m_history.clear();
         for (size_t i = 0; i < m_log.size(); ++i)
             apply(m_log[i], i + 1);
@@ -203,7 +203,7 @@
         auto body = links::parseObject(answer->body);
         if (!body)
             co_return;
-        m_heardAt = Clock::now();
+        m_primaryContactAt = Clock::now();
         if (body->contains("truncateTo"))
             truncate(std::min(getPosition(), getNumber(*body, "truncateTo")));
         for (auto& it : body->at("entries").get_array())
@@ -341,7 +341,7 @@
         body["fencedTerm"] = m_fencedTerm;
         body["role"] = m_isPrimary ? "primary" : "replica";
         body["primary"] = m_primaryName;
-        body["heardPrimaryAgoMs"] = m_isPrimary ? 0 : std::chrono::duration_cast<milliseconds>(Clock::now() - m_heardAt).count();
+        body["heardPrimaryAgoMs"] = m_isPrimary ? 0 : std::chrono::duration_cast<milliseconds>(Clock::now() - m_primaryContactAt).count();
         body["fence"] = m_options.canFence;
         return makeJsonResponse(body);
     }
@@ -374,7 +374,7 @@
     std::optional<HttpResponse> checkWriter(uint64_t term) const
     {
         if (term != m_term || m_fencedTerm > m_term)
-            return refuse("term", fmt::format("works in term {}, promised {}", m_term, m_fencedTerm));
+            return refuse("term", fmt::format("in term {}, fenced term {}", m_term, m_fencedTerm));
         if (!m_isPrimary)
             return refuse("role", "not the primary");
         return std::nullopt;
@@ -440,8 +440,8 @@
 
     std::optional<HttpResponse> replayResult(const std::string& requestKey) const
     {
-        auto it = m_keys.find(requestKey);
-        if (requestKey.empty() || it == m_keys.end())
+        auto it = m_requestKeys.find(requestKey);
+        if (requestKey.empty() || it == m_requestKeys.end())
             return std::nullopt;
         if (it->second.isClosed)
             return refuse("key-closed", "the request key was settled as not run");
@@ -488,9 +488,9 @@
         if (auto refusal = checkWriter(getNumber(body, "term")))
             return *refusal;
         auto requestKey = getString(body, "requestKey");
-        auto it = m_keys.find(requestKey);
-        bool didRun = it != m_keys.end() && !it->second.isClosed;
-        if (it == m_keys.end()) {
+        auto it = m_requestKeys.find(requestKey);
+        bool didRun = it != m_requestKeys.end() && !it->second.isClosed;
+        if (it == m_requestKeys.end()) {
             append({ m_term, {}, requestKey, "null", true, {} });
         }
         return makeJsonResponse({ { "ran", didRun }, { "result", json::parse(didRun ? it->second.result : "null") }, { "term", getLogTerm() }, { "position", getPosition() }, { "replayed", didRun } });
@@ -547,7 +547,7 @@
         if (m_isPrimary && term == m_term)
             return makeJsonResponse({});
         if (!isGranted || term <= m_term)
-            return refuse("term", fmt::format("promised {}", m_fencedTerm));
+            return refuse("term", fmt::format("fenced term is {}", m_fencedTerm));
         m_term = term;
         m_fencedTerm = std::max(m_fencedTerm, term);
         m_isPrimary = true;
@@ -560,7 +560,7 @@
     {
         auto term = getNumber(body, "term");
         if (term < m_term || term < m_fencedTerm || (term == m_term && m_isPrimary))
-            return refuse("term", fmt::format("works in term {}, promised {}", m_term, m_fencedTerm));
+            return refuse("term", fmt::format("in term {}, fenced term {}", m_term, m_fencedTerm));
         if (term > m_term)
             rollBackAll();
         m_term = term;
@@ -609,11 +609,11 @@
     bool m_isPrimary { false };
     std::string m_primaryName;
     std::string m_primaryAddress;
-    Clock::time_point m_heardAt;
+    Clock::time_point m_primaryContactAt;
     std::vector<LogEntry> m_log;
     std::vector<decisions::TermStart> m_history;
     std::map<std::string, std::string> m_data;
-    std::map<std::string, RequestKeyState> m_keys;
+    std::map<std::string, RequestKeyState> m_requestKeys;
     std::map<uint64_t, Session> m_sessions;
     std::set<std::string> m_blockedPeers;
     std::vector<asio::steady_timer*> m_waiters;
--- a/tests/standins/platform.cpp
+++ b/tests/standins/platform.cpp
@@ -1,5 +1,5 @@
 // Stand-in for the platform: a key-value store with compare-and-swap, leases and watches, and the host list under
-// platform/hosts/. Tests can stop it, delay or drop replies, and block hosts.
+// platform/hosts/. Tests can make it stop answering, delay or drop replies, and block hosts.
 #include "links/http.h"
 #include "links/json_fields.h"
 #include "standins/answers.h"
@@ -109,8 +109,8 @@
         if (path == "/kv/watch")
             co_return co_await watch(body);
         if (path == "/lease/grant") {
-            m_leases[++m_nextLease] = Clock::now() + milliseconds(getNumber(body, "ttlMs"));
-            co_return makeJsonResponse({ { "lease", m_nextLease } });
+            m_leases[++m_lastLease] = Clock::now() + milliseconds(getNumber(body, "ttlMs"));
+            co_return makeJsonResponse({ { "lease", m_lastLease } });
         }
         if (path == "/lease/keepalive") {
             auto it = m_leases.find(getNumber(body, "lease"));
@@ -173,7 +173,7 @@
     {
         while (!m_events.empty() && m_events.front().stored.revision <= revision)
             m_events.pop_front();
-        m_compacted = std::max(m_compacted, revision);
+        m_compactedRevision = std::max(m_compactedRevision, revision);
     }
 
     void deleteLeased(uint64_t lease)
@@ -205,9 +205,9 @@
         auto until = Clock::now() + milliseconds(getNumber(body, "waitMs"));
         auto startEpoch = m_watchEpoch;
         for (;;) {
-            if (after < m_compacted)
+            if (after < m_compactedRevision)
                 co_return makeJsonResponse({ { "compacted", true }, { "revision", m_revision } });
-            auto events = collect(prefixes, after);
+            auto events = collectEvents(prefixes, after);
             if (!events.empty() || Clock::now() >= until || startEpoch != m_watchEpoch)
                 co_return makeJsonResponse({ { "events", std::move(events) }, { "revision", m_revision } });
             asio::steady_timer timer(m_context);
@@ -220,7 +220,7 @@
         }
     }
 
-    json::array collect(const std::vector<std::string>& prefixes, uint64_t after) const
+    json::array collectEvents(const std::vector<std::string>& prefixes, uint64_t after) const
     {
         json::array events;
         for (auto& it : m_events) {
@@ -281,8 +281,8 @@
     std::set<std::string> m_blockedPeers;
     std::map<std::string, uint64_t> m_callsByPath;
     uint64_t m_revision { 0 };
-    uint64_t m_compacted { 0 };
-    uint64_t m_nextLease { 0 };
+    uint64_t m_compactedRevision { 0 };
+    uint64_t m_lastLease { 0 };
     uint64_t m_calls { 0 };
     uint64_t m_repliesToDrop { 0 };
     uint64_t m_watchEpoch { 0 };
