--- a/tests/bench/bench.cpp
+++ b/tests/bench/bench.cpp
@@ -1,4 +1,4 @@
-// Runs one benchmark by name: bench throughput | memory | reads | gap | records | control | groups | placement | membership | overload | sync | storm | fairness | homes | quiet. See docs/MEASUREMENTS.md.
+// Runs one benchmark by name; without a name it prints the usage. See docs/MEASUREMENTS.md.
 #include "bench/measure.h"
 #include <cstdlib>
 #include <fmt/format.h>
--- a/tests/bench/control.cpp
+++ b/tests/bench/control.cpp
@@ -214,10 +214,10 @@
     using namespace alderward::decisions;
     auto now = Clock::now();
     auto membership = makeMembership({ "h0000", 1, HostState::Alive, "dc0", "10.0.0.1:7001", "10.0.0.1:7000", "10.0.0.1:7002" }, now);
-    std::vector<HostInfo> news;
+    std::vector<HostInfo> updates;
     for (unsigned i = 1; i < hosts; ++i)
-        news.push_back({ fmt::format("h{:04}", i), 1, HostState::Alive, fmt::format("dc{}", i % 9), fmt::format("10.0.{}.{}:7001", i / 250, i % 250), fmt::format("10.0.{}.{}:7000", i / 250, i % 250), fmt::format("10.0.{}.{}:7002", i / 250, i % 250) });
-    applyHostUpdates(membership, news, now);
+        updates.push_back({ fmt::format("h{:04}", i), 1, HostState::Alive, fmt::format("dc{}", i % 9), fmt::format("10.0.{}.{}:7001", i / 250, i % 250), fmt::format("10.0.{}.{}:7000", i / 250, i % 250), fmt::format("10.0.{}.{}:7002", i / 250, i % 250) });
+    applyHostUpdates(membership, updates, now);
     for (auto& [name, known] : membership.hosts)
         known.remainingTransmissions = 0; // steady state
     return membership;
@@ -246,12 +246,12 @@
             chosen += takeUpdatesToSend(membership, timings).size();
         });
         uint64_t digest = 0;
-        auto parts = time([&](int) { digest ^= getBucketDigests(membership)[0]; });
+        auto digestTime = time([&](int) { digest ^= getBucketDigests(membership)[0]; });
         auto before = getProcessUsage(getpid()).residentMb;
         std::vector<Membership> copies(kCopies, membership);
         auto kilobytes = (getProcessUsage(getpid()).residentMb - before) * 1000 / static_cast<double>(kCopies * hosts);
         if (chosen > 0)
-            fmt::print("{:>7} {:>14.1f} {:>16.1f} {:>14.1f} {:>14.2f}\n", hosts, partners + rest, partners, parts, kilobytes);
+            fmt::print("{:>7} {:>14.1f} {:>16.1f} {:>14.1f} {:>14.2f}\n", hosts, partners + rest, partners, digestTime, kilobytes);
     }
 }
 
@@ -268,7 +268,7 @@
     }
 }
 
-// Bytes exchanged by all hosts until a host that was isolated during a change has received it.
+// Prints the bytes that all hosts exchange after a host that was isolated during a change can reach the others again.
 void measureResynchronization()
 {
     fmt::print("9 hosts; one is isolated for 1.5 s while one of many records changes; bytes of all exchanges in the following 6 s\n");
--- a/tests/bench/limits.cpp
+++ b/tests/bench/limits.cpp
@@ -48,7 +48,7 @@
 
 // ---- fairness ----
 
-static void printShare(const char* what, const LoadResult& result)
+static void printResult(const char* what, const LoadResult& result)
 {
     fmt::print("{:<44} {:>9.0f} {:>8.1f} {:>8.1f} {:>10.0f}\n", what, result.getRate(), result.getQuantile(0.5), result.getQuantile(0.99), static_cast<double>(result.getFailures()) / result.seconds);
     std::fflush(stdout);
@@ -88,16 +88,16 @@
     };
     fmt::print("statements of 4 ms, 2 slots per member, deadline 500 ms, 6 s each; reads of age 0 go to the primary\n");
     fmt::print("{:<44} {:>9} {:>8} {:>8} {:>10}\n", "callers", "served/s", "p50 ms", "p99 ms", "refused/s");
-    printShare("4 writers of bills, alone", runLoad(makeLoad("bills", true, 4)));
+    printResult("4 writers of bills, alone", runLoad(makeLoad("bills", true, 4)));
     auto [foreground, background] = runConcurrently(makeLoad("bills", true, 4), makeLoad("orders", true, 200));
-    printShare("4 writers of bills, with next line", foreground);
-    printShare("200 writers of orders", background);
+    printResult("4 writers of bills, with next line", foreground);
+    printResult("200 writers of orders", background);
     auto [writers, readers] = runConcurrently(makeLoad("orders", true, 4), makeLoad("orders", false, 200));
-    printShare("4 writers of orders, with next line", writers);
-    printShare("200 readers of orders' primary", readers);
+    printResult("4 writers of orders, with next line", writers);
+    printResult("200 readers of orders' primary", readers);
     auto [fewReaders, manyWriters] = runConcurrently(makeLoad("orders", false, 4), makeLoad("orders", true, 200));
-    printShare("4 readers of orders' primary, with next line", fewReaders);
-    printShare("200 writers of orders", manyWriters);
+    printResult("4 readers of orders' primary, with next line", fewReaders);
+    printResult("200 writers of orders", manyWriters);
 }
 
 }
--- a/tests/harness/harness.cpp
+++ b/tests/harness/harness.cpp
@@ -367,7 +367,7 @@
 {
     auto answer = Client(address).post(path, body);
     if (answer.status != 200)
-        throw std::runtime_error("stand-in at " + address + " did not accept " + path);
+        throw std::runtime_error("stand-in or host at " + address + " did not accept " + path);
     return answer.body;
 }
 
--- a/tests/harness/harness.h
+++ b/tests/harness/harness.h
@@ -73,6 +73,7 @@
     std::string extraSettings {}; // appended to each host's settings file; begins in section [debug]
 };
 
+// Systems like those of two users, Sahyog and Batbayar: three groups of three members each.
 ClusterOptions makeSahyogOptions(unsigned hosts = 7);
 ClusterOptions makeBatbayarOptions(unsigned hosts = 9);
 ClusterOptions makeSmallOptions(); // one group of three members, three hosts
