--- a/src/gateway/caller_session.cpp
+++ b/src/gateway/caller_session.cpp
@@ -269,7 +269,7 @@
     routed.session = m_name;
     routed.arrivedAt = now;
     routed.request.statement = statement;
-    routed.request.values = m_variables;
+    routed.request.variables = m_variables;
     routed.request.priority = m_route.priority;
     routed.request.account = m_account;
     routed.request.database = static_cast<uint32_t>(decisions::getHash(m_route.database));
--- a/src/gateway/peer_codec.cpp
+++ b/src/gateway/peer_codec.cpp
@@ -45,7 +45,7 @@
         wire.set_shape(request.shape->shape);
         wire.set_shape_writes(request.shape->isWrite);
     }
-    for (auto& [name, value] : request.values)
+    for (auto& [name, value] : request.variables)
         (*wire.mutable_values())[name] = value;
     wire.set_is_read_only(request.isReadOnly);
     encodeMark(*wire.mutable_at_least(), request.atLeast);
@@ -68,7 +68,7 @@
     request.statement.isWrite = wire.is_write();
     if (wire.has_shape())
         request.shape = decisions::PreparedShape { wire.shape(), wire.shape_writes() };
-    request.values = { wire.values().begin(), wire.values().end() };
+    request.variables = { wire.values().begin(), wire.values().end() };
     request.isReadOnly = wire.is_read_only();
     request.atLeast = decodeMark(wire.at_least());
     request.priority = wire.priority();
--- a/src/gateway/target_pool.cpp
+++ b/src/gateway/target_pool.cpp
@@ -291,7 +291,7 @@
     for (auto& it : m_sessions) {
         if (!it->isIdle() || it->account != job.request.account)
             continue;
-        auto cost = decisions::planConnection(it->state, job.request.values, job.request.shape).getCost();
+        auto cost = decisions::planConnection(it->state, job.request.variables, job.request.shape).getCost();
         if (!best || cost < bestCost) {
             best = it;
             bestCost = cost;
@@ -368,9 +368,9 @@
 void TargetPool::prepareSession(const Job& job, const SessionPtr& session)
 {
     auto& request = job.request;
-    auto plan = decisions::planConnection(session->state, request.values, request.shape);
+    auto plan = decisions::planConnection(session->state, request.variables, request.shape);
     if (session->state.prepared.size() > kMaxPreparedShapes)
-        plan = decisions::planConnection({ { { "", "" } }, {} }, request.values, request.shape);
+        plan = decisions::planConnection({ { { "", "" } }, {} }, request.variables, request.shape);
     auto self = shared_from_this();
     auto closeOnError = [self, session](const Outcome& outcome) {
         if (outcome.error)
@@ -419,7 +419,7 @@
 {
     auto& request = job->request;
     base::checkInvariant(session->transaction == request.transaction || request.kind == RequestKind::Single || request.kind == RequestKind::PrimaryRead, "a statement was about to run in a transaction other than its own", m_target.member);
-    base::checkInvariant(session->state.variables == request.values, "a statement was about to run with variables that are not its session's", m_target.member);
+    base::checkInvariant(session->state.variables == request.variables, "a statement was about to run with variables that are not its session's", m_target.member);
     auto atLeast = request.kind == RequestKind::Single ? request.atLeast : Mark {};
     auto bytes = m_codec.formatStatement(request.statement, atLeast, request.shape ? decisions::getPreparedName(*request.shape) : "");
     auto sentAt = Clock::now();
--- a/src/gateway/target_pool.h
+++ b/src/gateway/target_pool.h
@@ -26,7 +26,7 @@
     uint32_t database { 0 }; // hash of its name; operation costs are learned per database
     decisions::Statement statement {};
     std::optional<decisions::PreparedShape> shape {}; // Execute: the prepared statement
-    decisions::SessionVariables values {};
+    decisions::SessionVariables variables {};
     bool isReadOnly { false }; // Begin: a read-only transaction, which may run on a replica
     Mark atLeast {}; // read floor: the target's log must contain this mark; term 0: no floor
     int priority { 0 }; // 0 is the highest
