--- a/tests/gateway/relays_test.cpp
+++ b/tests/gateway/relays_test.cpp
@@ -244,7 +244,7 @@
         rig.setStoreIsolated(it, false);
     rig.configure(2);
     auto hasNewest = [&](unsigned host) { return rig.getMetrics(host).find("alderward_configuration_version 2") != std::string::npos; };
-    BOOST_TEST(waitUntil(milliseconds(5000), [&] { return std::ranges::all_of(others, hasNewest); })); // less than the mean back-off (kStoreLostPause)
+    BOOST_TEST(waitUntil(milliseconds(5000), [&] { return std::ranges::all_of(others, hasNewest); })); // shortest limit that a deployment sets for a new configuration to be in force on all hosts
 }
 
 BOOST_AUTO_TEST_SUITE_END()
