--- a/src/decisions/records.h
+++ b/src/decisions/records.h
@@ -29,7 +29,7 @@
     std::string address {}; // ip:port
     std::string dataCentre {};
     bool canFence { true }; // false: promotions need a claim in the platform's store
-    bool isLeaving { false }; // takes no new work within 3 s; a primary is handed over first
+    bool isLeaving { false }; // gets no new work; a primary still does for a short grace period, and its role is handed over if possible
     friend bool operator==(const MemberRecord&, const MemberRecord&) = default;
 };
 
