--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -1,4 +1,4 @@
-// The daemon: one process per entry host, all alike. Wires controllers, links and filters together; decides nothing.
+// The daemon: one process per host, without special roles. Connects controllers, links and filters.
 #include "base/metrics.h"
 #include "base/settings.h"
 #include "base/timeline.h"
@@ -30,43 +30,43 @@
 {
     TCLAP::CmdLine command("alderward: database proxy with session consistency. See docs/OPERATIONS.md.", ' ', ALDERWARD_VERSION);
     TCLAP::ValueArg<std::string> settings("s", "settings", "INI file with this host's settings", true, "", "file", command);
-    TCLAP::SwitchArg check("c", "check-settings", "Check the settings and stop", command);
+    TCLAP::SwitchArg check("c", "check-settings", "Check the settings and exit", command);
     command.parse(argc, argv);
     return { settings.getValue(), check.getValue() };
 }
 
-// Counts a request as in flight while it is served.
-class InFlight {
+// Counts a request as in flight during its lifetime.
+class InFlightGuard {
 public:
-    explicit InFlight(daemon::DrainState& state)
+    explicit InFlightGuard(daemon::DrainState& state)
         : m_state(state)
     {
-        ++m_state.inFlight;
+        ++m_state.requestsInFlight;
         m_state.lastRequestMs = std::chrono::duration_cast<milliseconds>(Clock::now().time_since_epoch()).count();
     }
-    InFlight(const InFlight&) = delete;
-    ~InFlight() { --m_state.inFlight; }
+    InFlightGuard(const InFlightGuard&) = delete;
+    ~InFlightGuard() { --m_state.requestsInFlight; }
 
 private:
     daemon::DrainState& m_state;
 };
 
-asio::awaitable<links::HttpAnswer> serveCaller(const filters::Services& services, daemon::DrainState& state, links::HttpRequest request)
+asio::awaitable<links::HttpResponse> serveCaller(const filters::Services& services, daemon::DrainState& state, links::HttpRequest request)
 {
-    InFlight guard(state);
+    InFlightGuard guard(state);
     filters::RequestContext context;
     context.path = std::move(request.path);
     context.body = std::move(request.body);
     auto reply = co_await filters::runChain(services, std::move(context));
-    links::HttpAnswer answer { reply.status, std::move(reply.body) };
+    links::HttpResponse answer { reply.status, std::move(reply.body) };
     answer.retryAfter = reply.retryAfter;
-    answer.mustClose = state.isDraining; // the caller's next request goes to another host
+    answer.mustClose = state.isDraining; // makes the caller reconnect, to another host
     co_return answer;
 }
 
 asio::awaitable<peer::RelayReply> serveRelay(const filters::Services& services, daemon::DrainState& state, peer::RelayRequest request)
 {
-    InFlight guard(state);
+    InFlightGuard guard(state);
     filters::RequestContext context;
     context.path = request.operation();
     context.body = request.body();
@@ -81,7 +81,7 @@
     co_return answer;
 }
 
-links::HttpAnswer answerForError(unsigned status)
+links::HttpResponse makeErrorResponse(unsigned status)
 {
     auto kind = status == 413 ? decisions::ErrorKind::BodyTooLarge : status == 408 ? decisions::ErrorKind::SlowSender
                                                                                    : decisions::ErrorKind::BadRequest;
@@ -89,51 +89,51 @@
     return { reply.status, reply.body };
 }
 
-// Everything that one process owns, in the order in which it is made.
+// Owns all objects of the process; members are declared in order of construction.
 class Daemon {
 public:
     explicit Daemon(base::Settings settings)
         : m_settings(std::move(settings))
         , m_contexts(m_settings.threads)
         , m_timers(base::makeTimerService())
-        , m_peers(links::makePeerClient(m_cuts))
-        , m_node { m_settings, m_contexts, *m_timers, *m_peers, { m_settings.platformAddress, m_settings.name } }
+        , m_peerClient(links::makePeerClient(m_blockedPeers))
+        , m_node { m_settings, m_contexts, *m_timers, *m_peerClient, { m_settings.platformAddress, m_settings.name } }
         , m_configuration(m_node)
         , m_hosts(m_node, m_configuration, base::getWallMs(base::getHybridClock().tick()))
         , m_groups(m_node, m_configuration, m_hosts)
         , m_services { m_node, m_configuration, m_hosts, m_groups, m_drainState.isDraining }
-        , m_operatorServices { m_node, m_configuration, m_hosts, m_groups, m_drainState, m_cuts }
+        , m_operatorServices { m_node, m_configuration, m_hosts, m_groups, m_drainState, m_blockedPeers }
         , m_signals(m_contexts.getNext(), SIGTERM, SIGINT)
     {
     }
 
-    tl::expected<void, std::string> begin()
+    tl::expected<void, std::string> start()
     {
         base::getTimeline().setHost(m_settings.name);
         links::PeerHandlers handlers;
         handlers.relay = [this](peer::RelayRequest request) { return serveRelay(m_services, m_drainState, std::move(request)); };
         handlers.exchange = [this](peer::ExchangeRequest request) { return m_hosts.handleExchange(std::move(request)); };
-        auto peerServer = links::beginPeerServer(m_contexts, m_settings.peerAddress, std::move(handlers), m_cuts);
+        auto peerServer = links::startPeerServer(m_contexts, m_settings.peerAddress, std::move(handlers), m_blockedPeers);
         if (!peerServer)
             return tl::make_unexpected(peerServer.error());
         m_peerServer = std::move(*peerServer);
         links::HttpServerOptions options;
         options.bodyLimit = static_cast<size_t>(m_settings.bodyLimitKb) * 1024;
         options.requestTimeout = milliseconds(m_settings.requestTimeoutMs);
-        options.answerForError = answerForError;
+        options.makeErrorResponse = makeErrorResponse;
         options.nextContext = [this]() -> asio::io_context& { return m_contexts.getNext(); };
-        auto callers = links::beginHttpServer(
+        auto callerServer = links::startHttpServer(
             m_contexts.getNext(), m_settings.callerAddress, [this](links::HttpRequest request) { return serveCaller(m_services, m_drainState, std::move(request)); }, options);
-        if (!callers)
-            return tl::make_unexpected(callers.error());
-        m_callers = std::move(*callers);
-        auto operators = links::beginHttpServer(m_contexts.getNext(), m_settings.operatorAddress, [this](links::HttpRequest request) -> asio::awaitable<links::HttpAnswer> { co_return daemon::answerOperator(m_operatorServices, request); });
-        if (!operators)
-            return tl::make_unexpected(operators.error());
-        m_operators = std::move(*operators);
-        m_groups.begin();
-        m_hosts.begin();
-        m_configuration.begin([this] { return m_hosts.isWatcher(); });
+        if (!callerServer)
+            return tl::make_unexpected(callerServer.error());
+        m_callerServer = std::move(*callerServer);
+        auto operatorServer = links::startHttpServer(m_contexts.getNext(), m_settings.operatorAddress, [this](links::HttpRequest request) -> asio::awaitable<links::HttpResponse> { co_return daemon::answerOperator(m_operatorServices, request); });
+        if (!operatorServer)
+            return tl::make_unexpected(operatorServer.error());
+        m_operatorServer = std::move(*operatorServer);
+        m_groups.start();
+        m_hosts.start();
+        m_configuration.start([this] { return m_hosts.isWatcher(); });
         waitForSignal();
         base::getTimeline().add("started", "", fmt::format("version {} in {}", ALDERWARD_VERSION, m_settings.dataCentre));
         return {};
@@ -148,7 +148,7 @@
             if (ec)
                 return;
             if (m_drainState.isDraining.exchange(true)) {
-                m_drainState.mustHurry = true;
+                m_drainState.mustStopNow = true;
                 return;
             }
             asio::co_spawn(m_contexts.getNext(), stop(), asio::detached);
@@ -158,17 +158,17 @@
 
     asio::awaitable<void> stop()
     {
-        co_await daemon::drain(m_node, m_drainState, m_hosts, m_groups, *m_callers);
+        co_await daemon::drain(m_node, m_drainState, m_hosts, m_groups, *m_callerServer);
         m_peerServer->stop();
         m_contexts.stop();
     }
 
     base::Settings m_settings;
-    base::Contexts m_contexts;
-    links::PeerCuts m_cuts;
+    base::IoContextPool m_contexts;
+    links::BlockedPeers m_blockedPeers;
     daemon::DrainState m_drainState;
     std::unique_ptr<base::TimerService> m_timers;
-    std::unique_ptr<links::PeerClient> m_peers;
+    std::unique_ptr<links::PeerClient> m_peerClient;
     controllers::Node m_node;
     controllers::ConfigurationController m_configuration;
     controllers::HostsController m_hosts;
@@ -177,8 +177,8 @@
     daemon::OperatorServices m_operatorServices;
     asio::signal_set m_signals;
     std::unique_ptr<links::PeerServer> m_peerServer;
-    std::unique_ptr<links::HttpServer> m_callers;
-    std::unique_ptr<links::HttpServer> m_operators;
+    std::unique_ptr<links::HttpServer> m_callerServer;
+    std::unique_ptr<links::HttpServer> m_operatorServer;
 };
 
 }
@@ -187,7 +187,7 @@
 {
     auto commandLine = readCommandLine(argc, argv);
     auto text = base::readFile(commandLine.settingsPath);
-    if (text && base::isGatewayText(*text))
+    if (text && base::hasGatewaySection(*text))
         return daemon::runGateway(commandLine.settingsPath, *text, commandLine.mustOnlyCheck);
     auto settings = base::readSettings(commandLine.settingsPath);
     if (!settings) {
@@ -195,16 +195,16 @@
         return 2;
     }
     if (commandLine.mustOnlyCheck) {
-        fmt::print("{}: settings are good\n", commandLine.settingsPath);
+        fmt::print("{}: settings are valid\n", commandLine.settingsPath);
         return 0;
     }
-    // Destruction order at exit is of no use to anybody: what must be finished was finished by the drain.
-    auto* process = new Daemon(std::move(*settings));
-    auto begun = process->begin();
-    if (!begun) {
-        fmt::print(stderr, "{}\n", begun.error());
+    // Never destroyed: the drain has completed all work, so destructors are skipped at exit.
+    auto* server = new Daemon(std::move(*settings));
+    auto started = server->start();
+    if (!started) {
+        fmt::print(stderr, "{}\n", started.error());
         return 1;
     }
-    process->run();
+    server->run();
     std::_Exit(0);
 }
--- a/src/daemon/operators.cpp
+++ b/src/daemon/operators.cpp
@@ -9,11 +9,11 @@
 namespace json = boost::json;
 using base::Clock;
 using base::milliseconds;
-using links::HttpAnswer;
+using links::HttpResponse;
 
 static constexpr std::string_view kTracePath = "/debug/trace?group=";
 
-static HttpAnswer answerJson(const json::value& body, unsigned status = 200)
+static HttpResponse answerJson(const json::value& body, unsigned status = 200)
 {
     return { status, json::serialize(body) };
 }
@@ -45,7 +45,7 @@
     it["term"] = health.status.term;
     it["fencedTerm"] = health.status.fencedTerm;
     it["position"] = health.status.log.position;
-    auto age = decisions::getAgeBound(group, health.status.log.term, health.status.log.position, Clock::now());
+    auto age = decisions::getStalenessBound(group, health.status.log.term, health.status.log.position, Clock::now());
     it["ageMs"] = age ? json::value(age->count()) : json::value(nullptr);
     return it;
 }
@@ -69,14 +69,14 @@
     auto primary = status->health.primary;
     it["primary"] = primary ? json::value(entry.record->members[*primary].name) : json::value(nullptr);
     it["failover"] = getPhaseName(status->failover.phase);
-    it["heldBack"] = status->failover.heldBack;
+    it["heldBack"] = status->failover.holdBackReason;
     it["waiting"] = status->waiting;
     it["transactions"] = status->transactions;
     json::array members;
     for (size_t i = 0; i < entry.record->members.size(); ++i) {
         auto member = describeMember(entry.record->members[i], status->health.members[i], status->health);
-        if (i < status->open.size()) {
-            member["connections"] = status->open[i];
+        if (i < status->openConnections.size()) {
+            member["connections"] = status->openConnections[i];
             member["inFlightLimit"] = status->limits[i];
         }
         members.push_back(std::move(member));
@@ -106,12 +106,12 @@
     status["refusedRecords"] = std::move(refused);
     json::object hosts;
     for (auto& [name, known] : membership->hosts)
-        hosts[name] = { { "state", decisions::getHostStateName(known.news.state) }, { "incarnation", known.news.incarnation }, { "dataCentre", known.news.dataCentre }, { "operatorAddress", known.news.operatorAddress } };
+        hosts[name] = { { "state", decisions::getHostStateName(known.info.state) }, { "incarnation", known.info.incarnation }, { "dataCentre", known.info.dataCentre }, { "operatorAddress", known.info.operatorAddress } };
     status["hosts"] = std::move(hosts);
     return status;
 }
 
-static HttpAnswer answerTimeline()
+static HttpResponse answerTimeline()
 {
     json::array events;
     for (auto& it : base::getTimeline().getEvents())
@@ -119,7 +119,7 @@
     return answerJson(json::object { { "events", std::move(events) } });
 }
 
-static HttpAnswer setCuts(const OperatorServices& services, const std::string& body)
+static HttpResponse setBlockedPeers(const OperatorServices& services, const std::string& body)
 {
     auto object = links::parseObject(body);
     if (!services.node.settings.allowFaults || !object)
@@ -129,20 +129,20 @@
         for (auto& it : hosts->get_array())
             names.insert(std::string(it.get_string()));
     }
-    services.cuts.set(std::move(names));
+    services.blockedPeers.set(std::move(names));
     return answerJson(json::object {});
 }
 
-static HttpAnswer answerTrace(const OperatorServices& services, const std::string& path)
+static HttpResponse answerTrace(const OperatorServices& services, const std::string& path)
 {
     auto table = services.groups.getTable().read();
     auto it = table->find(path.substr(kTracePath.size()));
     if (it == table->end() || !it->second.controller)
-        return answerJson(json::object { { "error", "this host is no home of such a group" } }, 404);
+        return answerJson(json::object { { "error", "this host is not a home of this group" } }, 404);
     return { 200, it->second.controller->getTrace(), "text/plain" };
 }
 
-HttpAnswer answerOperator(const OperatorServices& services, const links::HttpRequest& request)
+HttpResponse answerOperator(const OperatorServices& services, const links::HttpRequest& request)
 {
     if (request.path == "/healthz") {
         bool isReady = !services.drainState.isDraining && services.configuration.getSnapshot().read()->isLoaded;
@@ -157,7 +157,7 @@
     if (request.path.starts_with(kTracePath))
         return answerTrace(services, request.path);
     if (request.path == "/debug/cut")
-        return setCuts(services, request.body);
+        return setBlockedPeers(services, request.body);
     return answerJson(json::object { { "error", "paths are /healthz, /status, /timeline and /metrics" } }, 404);
 }
 
--- a/src/daemon/operators.h
+++ b/src/daemon/operators.h
@@ -1,4 +1,5 @@
-// The operators' address: /healthz for the balancer, /status, /metrics, /timeline, and in test set-ups /debug/cut.
+// HTTP interface for operators: /healthz for the load balancer, /status, /metrics, /timeline, /debug/trace and, if faults are
+// allowed by the settings, /debug/cut.
 #pragma once
 #include "controllers/groups.h"
 #include "daemon/drain.h"
@@ -13,9 +14,9 @@
     controllers::HostsController& hosts;
     controllers::GroupsController& groups;
     DrainState& drainState;
-    links::PeerCuts& cuts;
+    links::BlockedPeers& blockedPeers;
 };
 
-links::HttpAnswer answerOperator(const OperatorServices& services, const links::HttpRequest& request);
+links::HttpResponse answerOperator(const OperatorServices& services, const links::HttpRequest& request);
 
 }
--- a/src/decisions/health.cpp
+++ b/src/decisions/health.cpp
@@ -19,7 +19,7 @@
     return highest;
 }
 
-// The primary of the largest term in which one is known. One that promised to a later term is a primary no more.
+// Finds the primary of the highest term. A primary that granted a later term no longer counts.
 static std::optional<size_t> findPrimary(const GroupHealth& health)
 {
     std::optional<size_t> found;
@@ -33,13 +33,13 @@
     return found;
 }
 
-// A majority fenced or working above a term proves that its primary is superseded, even if we cannot reach it.
+// Once a majority is in or has granted a higher term, the primary is superseded, even if it cannot be reached.
 static bool isSuperseded(const GroupHealth& health, uint64_t term)
 {
-    auto above = std::ranges::count_if(health.members, [term](const MemberHealth& it) {
+    auto inHigherTerm = std::ranges::count_if(health.members, [term](const MemberHealth& it) {
         return it.isKnown && std::max(it.status.term, it.status.fencedTerm) > term;
     });
-    return static_cast<size_t>(above) > health.members.size() / 2;
+    return static_cast<size_t>(inHigherTerm) > health.members.size() / 2;
 }
 
 static void updatePrimary(GroupHealth& health, TimePoint now)
@@ -51,44 +51,44 @@
     if (health.primary && !found)
         health.withoutPrimarySince = now;
     if (term != health.term)
-        health.ageMarks.clear();
+        health.freshnessCheckpoints.clear();
     health.primary = found;
     health.term = term;
 }
 
-// A mark is confirmed once a majority, the primary included, stood in the term when asked at or after the mark's time.
-static void confirmAgeMarks(GroupHealth& health)
+// Confirms checkpoints for which a majority, including the primary, was active in the term in answers to later probes.
+static void confirmCheckpoints(GroupHealth& health)
 {
-    for (auto& mark : health.ageMarks) {
-        if (mark.isConfirmed)
+    for (auto& checkpoint : health.freshnessCheckpoints) {
+        if (checkpoint.isConfirmed)
             continue;
-        auto standing = std::ranges::count_if(health.members, [&](const MemberHealth& it) {
-            return it.isKnown && it.askedAt >= mark.askedAt && it.status.standsIn(health.term);
+        auto active = std::ranges::count_if(health.members, [&](const MemberHealth& it) {
+            return it.isKnown && it.askedAt >= checkpoint.askedAt && it.status.isActiveInTerm(health.term);
         });
-        mark.isConfirmed = static_cast<size_t>(standing) > health.members.size() / 2;
+        checkpoint.isConfirmed = static_cast<size_t>(active) > health.members.size() / 2;
     }
 }
 
-// Marks nearer to each other than this would push out the old ones, which lagging replicas are measured by.
-static bool isMarkDue(const GroupHealth& health, TimePoint askedAt)
+// A minimum interval keeps frequent replies from evicting the old checkpoints that lagging replicas need.
+static bool isCheckpointDue(const GroupHealth& health, TimePoint askedAt)
 {
-    return health.ageMarks.empty() || askedAt - health.ageMarks.back().askedAt >= kAgeMarkSpacing;
+    return health.freshnessCheckpoints.empty() || askedAt - health.freshnessCheckpoints.back().askedAt >= kFreshnessCheckpointInterval;
 }
 
-// Old marks go first, but the newest confirmed one always stays: dropping it would make a reachable group look ageless.
-static void addAgeMark(GroupHealth& health, const AgeMark& mark)
+// Evicts the oldest checkpoint, but never the newest confirmed one: without it, no staleness bound would be known.
+static void addCheckpoint(GroupHealth& health, const FreshnessCheckpoint& checkpoint)
 {
-    health.ageMarks.push_back(mark);
-    if (health.ageMarks.size() <= kAgeMarkLimit)
+    health.freshnessCheckpoints.push_back(checkpoint);
+    if (health.freshnessCheckpoints.size() <= kMaxFreshnessCheckpoints)
         return;
-    auto newestConfirmed = std::ranges::find_if(health.ageMarks.rbegin(), health.ageMarks.rend(), &AgeMark::isConfirmed);
-    auto victim = health.ageMarks.begin();
-    if (newestConfirmed != health.ageMarks.rend() && std::prev(newestConfirmed.base()) == victim)
+    auto newestConfirmed = std::ranges::find_if(health.freshnessCheckpoints.rbegin(), health.freshnessCheckpoints.rend(), &FreshnessCheckpoint::isConfirmed);
+    auto victim = health.freshnessCheckpoints.begin();
+    if (newestConfirmed != health.freshnessCheckpoints.rend() && std::prev(newestConfirmed.base()) == victim)
         ++victim;
-    health.ageMarks.erase(victim);
+    health.freshnessCheckpoints.erase(victim);
 }
 
-GroupHealth takeStatus(GroupHealth health, size_t index, const MemberStatus& status, TimePoint askedAt, TimePoint now)
+GroupHealth applyStatus(GroupHealth health, size_t index, const MemberStatus& status, TimePoint askedAt, TimePoint now)
 {
     auto& it = health.members[index];
     if (it.isKnown && askedAt < it.askedAt)
@@ -100,56 +100,56 @@
     it.failures = 0;
     it.refusals = 0;
     updatePrimary(health, now);
-    if (health.primary == index && isMarkDue(health, askedAt))
-        addAgeMark(health, { askedAt, status.log.position, false });
-    confirmAgeMarks(health);
+    if (health.primary == index && isCheckpointDue(health, askedAt))
+        addCheckpoint(health, { askedAt, status.log.position, false });
+    confirmCheckpoints(health);
     return health;
 }
 
-bool isInAgreement(const MemberHealth& member, const MemberGlimpse& glimpse)
+bool matchesLastStatus(const MemberHealth& member, const PiggybackedStatus& piggybacked)
 {
     auto& status = member.status;
-    return glimpse.term == status.term && glimpse.fencedTerm == status.fencedTerm && glimpse.log.term == status.log.term;
+    return piggybacked.term == status.term && piggybacked.fencedTerm == status.fencedTerm && piggybacked.log.term == status.log.term;
 }
 
-// The bound of an age stays an upper one: a glimpse of the primary shows at least the position it had when it was asked.
-GroupHealth takeGlimpse(GroupHealth health, size_t index, const MemberGlimpse& glimpse, TimePoint askedAt, TimePoint now)
+// The staleness bound stays an upper bound: the primary reports at least the position that it had at `askedAt`.
+GroupHealth applyPiggybackedStatus(GroupHealth health, size_t index, const PiggybackedStatus& piggybacked, TimePoint askedAt, TimePoint now)
 {
     auto& it = health.members[index];
-    if (!it.isReachable() || askedAt < it.askedAt || !isInAgreement(it, glimpse))
+    if (!it.isReachable() || askedAt < it.askedAt || !matchesLastStatus(it, piggybacked))
         return health;
     auto probedAt = it.probedAt;
     auto status = it.status;
-    status.log.position = std::max(status.log.position, glimpse.log.position);
-    health = takeStatus(std::move(health), index, status, askedAt, now);
+    status.log.position = std::max(status.log.position, piggybacked.log.position);
+    health = applyStatus(std::move(health), index, status, askedAt, now);
     health.members[index].probedAt = probedAt;
     return health;
 }
 
-bool isCalm(const GroupHealth& health)
+bool isGroupHealthy(const GroupHealth& health)
 {
     return health.primary && std::ranges::all_of(health.members, [&](const MemberHealth& it) {
-        return it.isReachable() && it.status.standsIn(health.term);
+        return it.isReachable() && it.status.isActiveInTerm(health.term);
     });
 }
 
-TimePoint getProbeDue(const GroupHealth& health, size_t index, TimePoint sentAt, const ProbeTimings& timings)
+TimePoint getNextProbeTime(const GroupHealth& health, size_t index, TimePoint sentAt, const ProbeTimings& timings)
 {
     auto& it = health.members[index];
     if (!it.isReachable())
-        return sentAt + timings.failedPause;
-    if (!isCalm(health))
+        return sentAt + timings.unreachableInterval;
+    if (!isGroupHealthy(health))
         return sentAt + timings.interval;
-    // Of a group that nobody uses, one home watches the primary closely; it tells the others of a new one.
-    bool isWatched = !timings.isIdle || (timings.isFirst && health.primary == index);
+    // Only the first home probes the primary of an idle group at the full rate; it notifies the others of a new primary.
+    bool isWatched = !timings.isIdle || (timings.isFirstHome && health.primary == index);
     auto interval = isWatched ? timings.interval : timings.idleInterval;
-    // Steady answers would end just before a fault, and each detection begin a whole interval after it; without them it is
-    // half of one on the mean. So the primary is given no more than that.
-    auto patience = health.primary == index ? interval / 2 : interval;
-    return std::min(std::max(sentAt + interval, it.askedAt + patience), sentAt + timings.fullInterval);
+    // Under steady traffic the last reply comes just before a fault, which would delay its detection by a whole interval.
+    // Half an interval for the primary matches the mean delay without traffic.
+    auto maxSilence = health.primary == index ? interval / 2 : interval;
+    return std::min(std::max(sentAt + interval, it.askedAt + maxSilence), sentAt + timings.fullStatusInterval);
 }
 
-GroupHealth takeFailure(GroupHealth health, size_t index, bool wasRefused, TimePoint askedAt)
+GroupHealth applyProbeFailure(GroupHealth health, size_t index, bool wasRefused, TimePoint askedAt)
 {
     auto& it = health.members[index];
     if (it.isKnown && askedAt < it.askedAt)
@@ -161,7 +161,7 @@
     return health;
 }
 
-GroupHealth changeRecord(const GroupHealth& health, const GroupRecord& before, const GroupRecord& after, TimePoint now)
+GroupHealth updateForRecord(const GroupHealth& health, const GroupRecord& before, const GroupRecord& after, TimePoint now)
 {
     auto changed = makeHealth(after, now);
     for (size_t i = 0; i < after.members.size(); ++i) {
@@ -176,14 +176,14 @@
     return changed;
 }
 
-std::optional<milliseconds> getAgeBound(const GroupHealth& health, uint64_t term, uint64_t position, TimePoint now)
+std::optional<milliseconds> getStalenessBound(const GroupHealth& health, uint64_t term, uint64_t position, TimePoint now)
 {
     if (term != health.term)
         return std::nullopt;
-    auto it = std::ranges::find_if(health.ageMarks.rbegin(), health.ageMarks.rend(), [position](const AgeMark& mark) {
-        return mark.isConfirmed && mark.position <= position;
+    auto it = std::ranges::find_if(health.freshnessCheckpoints.rbegin(), health.freshnessCheckpoints.rend(), [position](const FreshnessCheckpoint& checkpoint) {
+        return checkpoint.isConfirmed && checkpoint.position <= position;
     });
-    if (it == health.ageMarks.rend())
+    if (it == health.freshnessCheckpoints.rend())
         return std::nullopt;
     return std::chrono::ceil<milliseconds>(now - it->askedAt);
 }
--- a/src/decisions/member_queue.cpp
+++ b/src/decisions/member_queue.cpp
@@ -5,48 +5,47 @@
 
 namespace alderward::decisions {
 
-static constexpr double kCostStep = 0.1; // weight of the newest operation: some tens of them are followed
-static constexpr milliseconds kCountsHalveIn { 1000 };
-static constexpr double kLeastServed = 0.1; // of a kind's operations get a turn, whatever they cost
-static constexpr double kEnoughOffered = 5; // operations that make that share worth looking at
-static constexpr double kShortOfObjective = 0.125; // of what is left to the objective: a wait that its caller hardly notices; 0.06 to 0.2 serve as many
-static constexpr double kLongTimes = 2; // short waits: a queue that is no longer than this is waited out
-static constexpr double kShortLeast = 4; // statements' usual times: below, the member runs empty between two bursts
-// Of a long queue. Most bursts of callers that come back after a fault are over by then. With half of it, a site whose overloads last for
-// some seconds lost 0.006 of its worth (12 days), one whose overload lasts all day gained nothing.
-static constexpr milliseconds kStandsAfter { 2000 };
-static constexpr milliseconds kCalmAfter { 500 }; // without a refusal
-static constexpr double kWaitsMost = 2; // short waits; entries that others overtook for that long are given up
+static constexpr double kCostSmoothing = 0.1; // weight of the newest operation
+static constexpr milliseconds kCountHalfLife { 1000 };
+static constexpr double kMinServedShare = 0.1; // of a kind's operations; below, the kind is starved
+static constexpr double kMinOffered = 5; // arrivals needed to judge a kind's share
+static constexpr double kTolerableObjectiveShare = 0.125; // tolerable wait, as a share of the time left to the objective
+static constexpr double kOverloadWaitFactor = 2; // overload begins above this multiple of the tolerable wait
+static constexpr double kMinTolerableStatements = 4; // lower bound of the tolerable wait, in typical statement times, so that the member does not idle between bursts
+// Long enough for most bursts of callers that reconnect after a fault to pass.
+static constexpr milliseconds kOverloadStartDelay { 2000 };
+static constexpr milliseconds kOverloadEndDelay { 500 }; // time without a refusal
+static constexpr double kMaxWaitFactor = 2; // multiple of the tolerable wait after which a queued entry is refused during overload
 
 static double getMs(TimePoint::duration time)
 {
     return std::chrono::duration<double, std::milli>(time).count();
 }
 
-void takeOperation(OperationCosts& costs, const OperationKind& kind, double ms)
+void recordOperationCost(OperationCosts& costs, const OperationKind& kind, double ms)
 {
     auto& cost = costs[kind];
     ms = std::max(0.0, ms);
-    cost.ms = cost.observations == 0 ? ms : cost.ms + kCostStep * (ms - cost.ms);
+    cost.ms = cost.observations == 0 ? ms : cost.ms + kCostSmoothing * (ms - cost.ms);
     ++cost.observations;
 }
 
 double getCostMs(const OperationCosts& costs, const OperationKind& kind, double workMs)
 {
     auto it = costs.find(kind);
-    bool isKnown = it != costs.end() && it->second.observations >= kEnoughObservations;
+    bool isKnown = it != costs.end() && it->second.observations >= kMinObservations;
     return isKnown ? it->second.ms : workMs;
 }
 
 bool isStarved(const OperationCosts& costs, const OperationKind& kind)
 {
     auto it = costs.find(kind);
-    return it != costs.end() && it->second.offered >= kEnoughOffered && it->second.served < kLeastServed * it->second.offered;
+    return it != costs.end() && it->second.offered >= kMinOffered && it->second.served < kMinServedShare * it->second.offered;
 }
 
 static void halveCounts(MemberQueue& queue, TimePoint now)
 {
-    if (now - queue.countedAt < kCountsHalveIn)
+    if (now - queue.countedAt < kCountHalfLife)
         return;
     queue.countedAt = now;
     for (auto& [kind, cost] : queue.costs) {
@@ -55,104 +54,104 @@
     }
 }
 
-void noteHeld(MemberQueue& queue, TimePoint now)
+void noteQueueHeld(MemberQueue& queue, TimePoint now)
 {
-    if (!queue.overload.isStanding)
-        queue.overload.shortAt = now;
+    if (!queue.overload.isSustained)
+        queue.overload.lastTolerableAt = now;
 }
 
-Overload observeWait(Overload overload, double waitMs, double shortMs, TimePoint now)
+Overload updateOverload(Overload overload, double waitMs, double tolerableMs, TimePoint now)
 {
-    bool isShort = waitMs <= (overload.isStanding ? 1 : kLongTimes) * shortMs;
-    if (overload.shortAt == TimePoint {} || isShort)
-        overload.shortAt = now;
-    if (!overload.isStanding && now - overload.shortAt >= kStandsAfter) {
-        overload.isStanding = true;
-        overload.refusedAt = now;
+    bool isTolerable = waitMs <= (overload.isSustained ? 1 : kOverloadWaitFactor) * tolerableMs;
+    if (overload.lastTolerableAt == TimePoint {} || isTolerable)
+        overload.lastTolerableAt = now;
+    if (!overload.isSustained && now - overload.lastTolerableAt >= kOverloadStartDelay) {
+        overload.isSustained = true;
+        overload.lastRefusedAt = now;
     }
-    // A queue that is kept short is short: what shows that the load has gone is that nobody had to be refused.
-    if (overload.isStanding && isShort && now - overload.refusedAt >= kCalmAfter)
-        overload.isStanding = false;
+    // Refusals keep the wait tolerable during overload, so a tolerable wait alone does not show that the load has passed.
+    if (overload.isSustained && isTolerable && now - overload.lastRefusedAt >= kOverloadEndDelay)
+        overload.isSustained = false;
     return overload;
 }
 
-double QueueEntry::getShortMs() const
+double QueueEntry::getTolerableWaitMs() const
 {
-    return kShortOfObjective * std::max(0.0, getMs(turn.objective - arrivedAt));
+    return kTolerableObjectiveShare * std::max(0.0, getMs(scheduling.objective - arrivedAt));
 }
 
-static double getShortMs(const MemberQueue& queue, const QueueEntry& entry)
+static double getTolerableWaitMs(const MemberQueue& queue, const QueueEntry& entry)
 {
-    return std::max(entry.getShortMs(), kShortLeast * queue.workMs);
+    return std::max(entry.getTolerableWaitMs(), kMinTolerableStatements * queue.workMs);
 }
 
-bool goesBefore(const MemberQueue& queue, const QueueEntry& a, const QueueEntry& b, TimePoint now)
+bool isScheduledBefore(const MemberQueue& queue, const QueueEntry& a, const QueueEntry& b, TimePoint now)
 {
-    if (!queue.overload.isStanding)
-        return goesBefore(a.turn, b.turn, now, queue.workMs);
-    auto rank = [&](const QueueEntry& it) { return std::tuple(!it.turn.isContinuation, !isStarved(queue.costs, it.kind), it.turn.priority, it.arrivedAt); };
+    if (!queue.overload.isSustained)
+        return isScheduledBefore(a.scheduling, b.scheduling, now, queue.workMs);
+    auto rank = [&](const QueueEntry& it) { return std::tuple(!it.scheduling.isContinuation, !isStarved(queue.costs, it.kind), it.scheduling.priority, it.arrivedAt); };
     return rank(a) < rank(b);
 }
 
-// The dearer a kind is, the shorter the queue must be for it to come in. So the queue settles where the member is full, whoever is
-// cheaper comes in, and whoever is dearer is refused on arrival and not after some waiting.
-static double getShareOfShort(const MemberQueue& queue, const OperationKind& kind)
+// The more expensive a kind is, the smaller the share of the tolerable wait at which it is still admitted. Cheaper kinds fill the member,
+// and more expensive ones are refused on arrival rather than after waiting.
+static double getTolerableShare(const MemberQueue& queue, const OperationKind& kind)
 {
     if (isStarved(queue.costs, kind))
         return 1;
     auto own = getCostMs(queue.costs, kind, queue.workMs);
-    double kinds = 1;
-    double dearer = 1;
+    double kindCount = 1;
+    double costlierKinds = 1;
     for (auto& [other, cost] : queue.costs) {
-        if (other == kind || cost.offered < kEnoughOffered)
+        if (other == kind || cost.offered < kMinOffered)
             continue;
-        ++kinds;
-        dearer += getCostMs(queue.costs, other, queue.workMs) > own ? 1 : 0;
+        ++kindCount;
+        costlierKinds += getCostMs(queue.costs, other, queue.workMs) > own ? 1 : 0;
     }
-    return dearer / kinds;
+    return costlierKinds / kindCount;
 }
 
-// A statement that waits stands for its whole operation: the later ones of its transaction come before whoever waits behind it.
-static double getTimeMs(const MemberQueue& queue, const QueueEntry& entry)
+// A first statement counts with its whole operation, because later statements of its transaction are scheduled ahead of other first ones.
+static double getEstimatedMs(const MemberQueue& queue, const QueueEntry& entry)
 {
-    return entry.turn.isContinuation ? queue.workMs : getCostMs(queue.costs, entry.kind, queue.workMs);
+    return entry.scheduling.isContinuation ? queue.workMs : getCostMs(queue.costs, entry.kind, queue.workMs);
 }
 
 double getWaitMs(const MemberQueue& queue, const QueueEntry& entry, TimePoint now)
 {
     double aheadMs = 0;
     for (auto& it : queue.entries) {
-        if (it.number != entry.number && goesBefore(queue, it, entry, now))
-            aheadMs += getTimeMs(queue, it);
+        if (it.number != entry.number && isScheduledBefore(queue, it, entry, now))
+            aheadMs += getEstimatedMs(queue, it);
     }
-    return aheadMs / std::max(1U, queue.places);
+    return aheadMs / std::max(1U, queue.concurrency);
 }
 
-double getWholeWaitMs(const MemberQueue& queue)
+double getTotalWaitMs(const MemberQueue& queue)
 {
     double ms = 0;
     for (auto& it : queue.entries)
-        ms += getTimeMs(queue, it);
-    return ms / std::max(1U, queue.places);
+        ms += getEstimatedMs(queue, it);
+    return ms / std::max(1U, queue.concurrency);
 }
 
 static bool isTooLong(const MemberQueue& queue, const QueueEntry& entry, double waitMs)
 {
-    return !entry.turn.isContinuation && waitMs > getShareOfShort(queue, entry.kind) * getShortMs(queue, entry);
+    return !entry.scheduling.isContinuation && waitMs > getTolerableShare(queue, entry.kind) * getTolerableWaitMs(queue, entry);
 }
 
-// Refuses whoever would wait for too long of those that came before the load was known to last.
-static std::vector<QueueEntry> shorten(MemberQueue& queue, TimePoint now)
+// Refuses entries that were admitted before the overload was detected and would wait too long.
+static std::vector<QueueEntry> refuseExcess(MemberQueue& queue, TimePoint now)
 {
     std::vector<QueueEntry> refused;
-    std::ranges::sort(queue.entries, [&](const QueueEntry& a, const QueueEntry& b) { return goesBefore(queue, a, b, now); });
+    std::ranges::sort(queue.entries, [&](const QueueEntry& a, const QueueEntry& b) { return isScheduledBefore(queue, a, b, now); });
     double aheadMs = 0;
     std::erase_if(queue.entries, [&](const QueueEntry& it) {
-        bool isRefused = isTooLong(queue, it, aheadMs / std::max(1U, queue.places));
+        bool isRefused = isTooLong(queue, it, aheadMs / std::max(1U, queue.concurrency));
         if (isRefused)
             refused.push_back(it);
         else
-            aheadMs += getTimeMs(queue, it);
+            aheadMs += getEstimatedMs(queue, it);
         return isRefused;
     });
     return refused;
@@ -160,46 +159,46 @@
 
 static bool isAdmitted(const MemberQueue& queue, const QueueEntry& entry, TimePoint now)
 {
-    if (queue.overload.isStanding)
+    if (queue.overload.isSustained)
         return !isTooLong(queue, entry, getWaitMs(queue, entry, now));
-    auto ahead = std::ranges::count_if(queue.entries, [&](const QueueEntry& it) { return goesBefore(queue, it, entry, now); });
-    return comesInTime(entry.turn, static_cast<size_t>(ahead), queue.places, now, queue.workMs);
+    auto ahead = std::ranges::count_if(queue.entries, [&](const QueueEntry& it) { return isScheduledBefore(queue, it, entry, now); });
+    return canStartInTime(entry.scheduling, static_cast<size_t>(ahead), queue.concurrency, now, queue.workMs);
 }
 
 std::vector<QueueEntry> admit(MemberQueue& queue, const QueueEntry& entry, TimePoint now)
 {
     halveCounts(queue, now);
-    if (!entry.turn.isContinuation)
+    if (!entry.scheduling.isContinuation)
         queue.costs[entry.kind].offered += 1;
-    bool wasStanding = queue.overload.isStanding;
-    queue.overload = observeWait(queue.overload, getWholeWaitMs(queue), getShortMs(queue, entry), now);
+    bool wasSustained = queue.overload.isSustained;
+    queue.overload = updateOverload(queue.overload, getTotalWaitMs(queue), getTolerableWaitMs(queue, entry), now);
     if (!isAdmitted(queue, entry, now)) {
-        queue.overload.refusedAt = now;
+        queue.overload.lastRefusedAt = now;
         return { entry };
     }
     queue.entries.push_back(entry);
-    bool hasBegun = queue.overload.isStanding && !wasStanding;
-    return hasBegun ? shorten(queue, now) : std::vector<QueueEntry>();
+    bool hasBegun = queue.overload.isSustained && !wasSustained;
+    return hasBegun ? refuseExcess(queue, now) : std::vector<QueueEntry>();
 }
 
-std::vector<QueueEntry> takeExpired(MemberQueue& queue, TimePoint now)
+std::vector<QueueEntry> removeExpired(MemberQueue& queue, TimePoint now)
 {
     std::vector<QueueEntry> expired;
     std::erase_if(queue.entries, [&](const QueueEntry& it) {
-        bool isOvertaken = queue.overload.isStanding && !it.turn.isContinuation && getMs(now - it.arrivedAt) > kWaitsMost * getShortMs(queue, it);
-        bool isLate = now >= it.turn.deadline;
-        if (isOvertaken || isLate)
+        bool hasWaitedTooLong = queue.overload.isSustained && !it.scheduling.isContinuation && getMs(now - it.arrivedAt) > kMaxWaitFactor * getTolerableWaitMs(queue, it);
+        bool isLate = now >= it.scheduling.deadline;
+        if (hasWaitedTooLong || isLate)
             expired.push_back(it);
-        return isOvertaken || isLate;
+        return hasWaitedTooLong || isLate;
     });
     return expired;
 }
 
-std::optional<QueueEntry> takeNext(MemberQueue& queue, TimePoint now, const std::function<bool(const QueueEntry&)>& isRunnable)
+std::optional<QueueEntry> popNextRunnable(MemberQueue& queue, TimePoint now, const std::function<bool(const QueueEntry&)>& isRunnable)
 {
     auto best = queue.entries.end();
     for (auto it = queue.entries.begin(); it != queue.entries.end(); ++it) {
-        bool isBetter = best == queue.entries.end() || goesBefore(queue, *it, *best, now);
+        bool isBetter = best == queue.entries.end() || isScheduledBefore(queue, *it, *best, now);
         if (isBetter && isRunnable(*it))
             best = it;
     }
@@ -207,7 +206,7 @@
         return std::nullopt;
     auto entry = *best;
     queue.entries.erase(best);
-    if (!entry.turn.isContinuation)
+    if (!entry.scheduling.isContinuation)
         queue.costs[entry.kind].served += 1;
     return entry;
 }
--- a/src/decisions/quota.cpp
+++ b/src/decisions/quota.cpp
@@ -4,228 +4,228 @@
 
 namespace alderward::decisions {
 
-static constexpr milliseconds kUseStep { 100 }; // operations within one such step are told as one slot
-static constexpr double kKeptForUnheard = 0.6; // of what may pass besides the quota
-static constexpr double kStrictAt = 0.6; // of the target: what is left lasts for the 0.3 s until all hosts know, at 7.5 times the usual demand
-static constexpr double kUnseenMost = 0.35; // of the target
-static constexpr double kCalmAt = 0.5;
-static constexpr milliseconds kSilentAfter { 750 }; // a host reports each half second at least; one that has not may have lost its lease
-static constexpr double kUnknownMost = 0.5; // of the target, where nothing at all is known of the window and the account was not near to its quota: as much is left to it as it usually needs
-static constexpr milliseconds kNearKept { 6000 }; // an account is written down for this long after it was last near to its quota: a window, and what a write takes
-static constexpr milliseconds kClosedLeast { 20 };
-static constexpr milliseconds kClosedMost { 100 }; // more may be allowed meanwhile: hosts follow the keeper that did not, or the limit is raised
-static constexpr milliseconds kUsesKept { 20000 }; // at the host: its window when it lost its lease is looked at for as long as it has none
+static constexpr milliseconds kUsageBucketWidth { 100 };
+static constexpr double kSilentHostReserve = 0.6; // of the tolerance
+static constexpr double kStrictEnterRatio = 0.6; // of the budget's limit; the rest absorbs operations that begin before all hosts know that the account is strict
+static constexpr double kMaxUnreportedRatio = 0.35; // of the admission limit
+static constexpr double kStrictLeaveRatio = 0.5; // below kStrictEnterRatio, so that accounts do not alternate between strict and not strict
+static constexpr milliseconds kReportTimeout { 750 }; // longer than the report interval, shorter than the lease
+static constexpr double kMaxUnknownRatio = 0.5; // of a host's share, assumed used where its history is unknown and the account was not near its quota
+static constexpr milliseconds kNearQuotaRetention { 6000 }; // longer than the default window by the time that a write takes
+static constexpr milliseconds kMinBlockTime { 20 };
+static constexpr milliseconds kMaxBlockTime { 100 }; // kept short because the budget can grow in the meantime
+static constexpr milliseconds kUnleasedUsageRetention { 20000 }; // on a host without a lease, which is limited by its usage in the window before the lease was lost
 
 QuotaLimits getQuotaLimits(const AccountQuota& quota, const QuotaRule& rule)
 {
     auto allowed = quota.perSecond * std::chrono::duration<double>(rule.window).count() + quota.burst;
-    auto besides = allowed * rule.over + rule.slack;
-    return { allowed + besides, allowed + besides * (1 - kKeptForUnheard) };
+    auto tolerance = allowed * rule.toleranceShare + rule.toleranceCount;
+    return { allowed + tolerance, allowed + tolerance * (1 - kSilentHostReserve) };
 }
 
 //-----------------------------------------------------------------------------
-// [SECTION] Uses
+// [SECTION] Usage
 //-----------------------------------------------------------------------------
 
-void addUse(Uses& uses, TimePoint now)
+void addUsage(UsageHistory& history, TimePoint now)
 {
-    // A slot is as old as its last operation: it counts for a little too long rather than too short.
-    auto getStep = [](TimePoint at) { return at.time_since_epoch() / kUseStep; };
-    if (uses.empty() || getStep(uses.back().at) != getStep(now)) {
-        uses.push_back({ now, 1 });
+    // A bucket carries the time of its last operation, so it expires slightly late rather than early.
+    auto getStep = [](TimePoint at) { return at.time_since_epoch() / kUsageBucketWidth; };
+    if (history.empty() || getStep(history.back().at) != getStep(now)) {
+        history.push_back({ now, 1 });
         return;
     }
-    uses.back().at = now;
-    ++uses.back().count;
+    history.back().at = now;
+    ++history.back().count;
 }
 
-void takeBackUse(Uses& uses)
+void removeLatestUsage(UsageHistory& history)
 {
-    if (uses.empty())
+    if (history.empty())
         return;
-    if (--uses.back().count == 0)
-        uses.pop_back();
+    if (--history.back().count == 0)
+        history.pop_back();
 }
 
-void forgetUses(Uses& uses, TimePoint before)
+void pruneUsage(UsageHistory& history, TimePoint before)
 {
-    while (!uses.empty() && uses.front().at < before)
-        uses.pop_front();
+    while (!history.empty() && history.front().at < before)
+        history.pop_front();
 }
 
-unsigned countUses(const Uses& uses, TimePoint after, TimePoint until)
+unsigned countUsage(const UsageHistory& history, TimePoint after, TimePoint until)
 {
     unsigned n = 0;
-    for (auto& it : uses)
+    for (auto& it : history)
         n += it.at > after && it.at <= until ? it.count : 0;
     return n;
 }
 
 //-----------------------------------------------------------------------------
-// [SECTION] Keeper
+// [SECTION] Server
 //-----------------------------------------------------------------------------
 
-enum class Standing {
-    Follows,
-    Lost, // it followed, and may go on to begin what is left to it
-    Gone, // silent for so long that it is gone, or follows another keeper
+enum class ReportingStatus {
+    Reporting,
+    Silent, // may have lost its lease; its reserved usage still counts
+    Expired, // is down or reports to another quota server; nothing is reserved for it
 };
 
-static Standing getStanding(const ReportingHost& host, TimePoint now)
+static ReportingStatus getReportingStatus(const ReportingHost& host, TimePoint now)
 {
-    auto silent = now - host.heardAt;
-    if (silent >= kQuotaLostFor)
-        return Standing::Gone;
-    return silent <= kSilentAfter ? Standing::Follows : Standing::Lost;
+    auto silentFor = now - host.lastReportAt;
+    if (silentFor >= kQuotaSilentHostTimeout)
+        return ReportingStatus::Expired;
+    return silentFor <= kReportTimeout ? ReportingStatus::Reporting : ReportingStatus::Silent;
 }
 
-static double countTold(const ToldUses& told, const QuotaRule& rule, TimePoint until, TimePoint now)
+static double countReported(const HostUsage& usage, const QuotaRule& rule, TimePoint until, TimePoint now)
 {
-    auto grants = std::ranges::count_if(told.grants, [&](auto& it) { return it.second > until - rule.window; });
-    return countUses(told.uses, until - rule.window, now) + static_cast<double>(grants);
+    auto grants = std::ranges::count_if(usage.grants, [&](auto& it) { return it.second > until - rule.window; });
+    return countUsage(usage.history, until - rule.window, now) + static_cast<double>(grants);
 }
 
-size_t countFollowers(const QuotaKeeper& keeper, TimePoint now)
+size_t countReportingHosts(const QuotaServer& server, TimePoint now)
 {
-    return static_cast<size_t>(std::ranges::count_if(keeper.hosts, [&](auto& it) { return getStanding(it.second, now) == Standing::Follows; }));
+    return static_cast<size_t>(std::ranges::count_if(server.hosts, [&](auto& it) { return getReportingStatus(it.second, now) == ReportingStatus::Reporting; }));
 }
 
-bool hasOtherFollower(const QuotaKeeper& keeper, const std::string& self, TimePoint now)
+bool hasOtherReportingHost(const QuotaServer& server, const std::string& self, TimePoint now)
 {
-    return std::ranges::any_of(keeper.hosts, [&](auto& it) { return it.first != self && getStanding(it.second, now) == Standing::Follows; });
+    return std::ranges::any_of(server.hosts, [&](auto& it) { return it.first != self && getReportingStatus(it.second, now) == ReportingStatus::Reporting; });
 }
 
-// A host that started within the window may have begun something just before that it has forgotten: its part of what a calm account uses at most, or all of its
-// share if the account came near to its quota.
-static double countUnknown(const ReportingHost& host, const QuotaRule& rule, bool wasNear, double share, TimePoint now)
+// Estimates the operations that a host began before its history starts, if that is within the window: its whole share if the account was near its
+// quota, else the part that an account far below its quota uses at most.
+static double estimateUnknown(const ReportingHost& host, const QuotaRule& rule, bool wasNearQuota, double share, TimePoint now)
 {
-    if (host.coveredSince <= now - rule.window)
+    if (host.historyStartsAt <= now - rule.window)
         return 0;
-    return wasNear ? share : kUnknownMost * share;
+    return wasNearQuota ? share : kMaxUnknownRatio * share;
 }
 
-static bool isNear(const KeptAccount& kept, milliseconds within, TimePoint now)
+static bool isNearQuota(const TrackedAccount& tracked, milliseconds within, TimePoint now)
 {
-    return kept.nearAt != TimePoint {} && now - kept.nearAt < within;
+    return tracked.nearQuotaAt != TimePoint {} && now - tracked.nearQuotaAt < within;
 }
 
-Allowance getAllowance(const QuotaKeeper& keeper, const QuotaView& view, const std::string& account, const AccountQuota& quota, TimePoint now)
+QuotaBudget getQuotaBudget(const QuotaServer& server, const QuotaConfiguration& configuration, const std::string& account, const AccountQuota& quota, TimePoint now)
 {
-    auto target = getQuotaLimits(quota, view.rule).target;
-    auto share = target / static_cast<double>(std::max({ size_t { 1 }, view.hosts, countFollowers(keeper, now) }));
-    auto kept = keeper.accounts.find(account);
-    bool wasNear = keeper.lastNear.contains(account) || (kept != keeper.accounts.end() && isNear(kept->second, view.rule.window, now));
-    Allowance allowance;
-    for (auto& [name, host] : keeper.hosts) {
-        auto standing = getStanding(host, now);
-        if (standing == Standing::Gone)
+    auto admissionLimit = getQuotaLimits(quota, configuration.rule).admissionLimit;
+    auto share = admissionLimit / static_cast<double>(std::max({ size_t { 1 }, configuration.hostCount, countReportingHosts(server, now) }));
+    auto tracked = server.accounts.find(account);
+    bool wasNearQuota = server.storedNearQuota.contains(account) || (tracked != server.accounts.end() && isNearQuota(tracked->second, configuration.rule.window, now));
+    QuotaBudget budget;
+    for (auto& [name, host] : server.hosts) {
+        auto status = getReportingStatus(host, now);
+        if (status == ReportingStatus::Expired)
             continue;
-        bool isLost = standing == Standing::Lost;
-        auto until = isLost ? host.heardAt : now; // what a lost one had told is left to it
-        double uses = 0;
-        if (kept != keeper.accounts.end()) {
-            auto told = kept->second.hosts.find(name);
-            uses = told == kept->second.hosts.end() ? 0 : countTold(told->second, view.rule, until, now);
+        bool isSilent = status == ReportingStatus::Silent;
+        auto until = isSilent ? host.lastReportAt : now; // a silent host keeps the usage it had reported
+        double reportedCount = 0;
+        if (tracked != server.accounts.end()) {
+            auto usage = tracked->second.hosts.find(name);
+            reportedCount = usage == tracked->second.hosts.end() ? 0 : countReported(usage->second, configuration.rule, until, now);
         }
-        if (isLost) {
-            allowance.most -= std::max(0.0, uses - share);
+        if (isSilent) {
+            budget.limit -= std::max(0.0, reportedCount - share);
             continue;
         }
-        allowance.most += share;
-        auto unknown = countUnknown(host, view.rule, wasNear, share, now);
-        allowance.used += uses + unknown;
-        allowance.unknown += unknown;
+        budget.limit += share;
+        auto estimated = estimateUnknown(host, configuration.rule, wasNearQuota, share, now);
+        budget.used += reportedCount + estimated;
+        budget.estimated += estimated;
     }
-    return allowance;
+    return budget;
 }
 
-// Whether that has changed.
-static bool decideStrict(QuotaKeeper& keeper, const QuotaView& view, const std::string& account, TimePoint now)
+// Returns whether the account became strict or stopped being strict.
+static bool updateStrict(QuotaServer& server, const QuotaConfiguration& configuration, const std::string& account, TimePoint now)
 {
-    auto& kept = keeper.accounts[account];
-    auto* quota = findQuota(view.accounts, account);
+    auto& tracked = server.accounts[account];
+    auto* quota = findQuota(configuration.accounts, account);
     bool isStrict = false;
     if (quota) {
-        auto allowance = getAllowance(keeper, view, account, *quota, now);
-        isStrict = allowance.used >= allowance.most * (kept.isStrict ? kCalmAt : kStrictAt);
-        if (allowance.used - allowance.unknown >= kStrictAt * getQuotaLimits(*quota, view.rule).target)
-            kept.nearAt = now;
+        auto budget = getQuotaBudget(server, configuration, account, *quota, now);
+        isStrict = budget.used >= budget.limit * (tracked.isStrict ? kStrictLeaveRatio : kStrictEnterRatio);
+        if (budget.used - budget.estimated >= kStrictEnterRatio * getQuotaLimits(*quota, configuration.rule).admissionLimit)
+            tracked.nearQuotaAt = now;
     }
-    bool hasChanged = isStrict != kept.isStrict;
-    kept.isStrict = isStrict;
+    bool hasChanged = isStrict != tracked.isStrict;
+    tracked.isStrict = isStrict;
     return hasChanged;
 }
 
-// The process that reports may have started again within the window: what the one before had told still counts.
-static void takeUses(ToldUses& told, const ReportedUses& reported, TimePoint coveredSince)
+// Replaces the usage that the report covers. Earlier usage stays: a previous process of the host reported it before a restart.
+static void applyUsage(HostUsage& usage, const ReportedUsage& reported, TimePoint historyStartsAt)
 {
-    std::erase_if(told.uses, [&](const UseSlot& it) { return it.at >= coveredSince; });
-    told.uses.insert(told.uses.end(), reported.uses.begin(), reported.uses.end());
-    std::erase_if(told.grants, [&](auto& it) { return it.first <= reported.grantsTaken; });
+    std::erase_if(usage.history, [&](const UsageBucket& it) { return it.at >= historyStartsAt; });
+    usage.history.insert(usage.history.end(), reported.history.begin(), reported.history.end());
+    std::erase_if(usage.grants, [&](auto& it) { return it.first <= reported.grantsTaken; });
 }
 
-ReportTaken takeReport(QuotaKeeper& keeper, const QuotaView& view, const QuotaReport& report, TimePoint now)
+ReportResult applyReport(QuotaServer& server, const QuotaConfiguration& configuration, const QuotaReport& report, TimePoint now)
 {
-    if (!report.isWhole && !keeper.hosts.contains(report.host))
-        return { .isKnown = false };
-    auto& host = keeper.hosts.try_emplace(report.host, ReportingHost { now, report.coveredSince }).first->second;
-    host.heardAt = now;
-    ReportTaken taken;
-    for (auto& reported : report.uses) {
-        takeUses(keeper.accounts[reported.account].hosts[report.host], reported, report.coveredSince);
-        taken.hasChanged = decideStrict(keeper, view, reported.account, now) || taken.hasChanged;
-        bool isNewlyNear = keeper.accounts[reported.account].nearAt == now && !keeper.lastNear.contains(reported.account);
-        taken.isNear = taken.isNear || isNewlyNear;
+    if (!report.isWhole && !server.hosts.contains(report.host))
+        return { .isAccepted = false };
+    auto& host = server.hosts.try_emplace(report.host, ReportingHost { now, report.historyStartsAt }).first->second;
+    host.lastReportAt = now;
+    ReportResult result;
+    for (auto& reported : report.accounts) {
+        applyUsage(server.accounts[reported.account].hosts[report.host], reported, report.historyStartsAt);
+        result.hasStrictChanged = updateStrict(server, configuration, reported.account, now) || result.hasStrictChanged;
+        bool isNewNearQuota = server.accounts[reported.account].nearQuotaAt == now && !server.storedNearQuota.contains(reported.account);
+        result.hasNewNearQuota = result.hasNewNearQuota || isNewNearQuota;
     }
-    return taken;
+    return result;
 }
 
-bool sweepKeeper(QuotaKeeper& keeper, const QuotaView& view, TimePoint now)
+bool sweepQuotaServer(QuotaServer& server, const QuotaConfiguration& configuration, TimePoint now)
 {
     bool hasChanged = false;
-    std::erase_if(keeper.hosts, [&](auto& it) { return now - it.second.heardAt > kQuotaLostFor + view.rule.window; });
-    for (auto& [account, kept] : keeper.accounts) {
-        for (auto& [host, told] : kept.hosts) {
-            auto known = keeper.hosts.find(host);
-            bool isLost = known != keeper.hosts.end() && getStanding(known->second, now) == Standing::Lost;
-            auto windowBegan = (isLost ? known->second.heardAt : now) - view.rule.window;
-            forgetUses(told.uses, windowBegan);
-            std::erase_if(told.grants, [&](auto& it) { return it.second < windowBegan; });
+    std::erase_if(server.hosts, [&](auto& it) { return now - it.second.lastReportAt > kQuotaSilentHostTimeout + configuration.rule.window; });
+    for (auto& [account, tracked] : server.accounts) {
+        for (auto& [host, usage] : tracked.hosts) {
+            auto known = server.hosts.find(host);
+            bool isSilent = known != server.hosts.end() && getReportingStatus(known->second, now) == ReportingStatus::Silent;
+            auto windowStart = (isSilent ? known->second.lastReportAt : now) - configuration.rule.window;
+            pruneUsage(usage.history, windowStart);
+            std::erase_if(usage.grants, [&](auto& it) { return it.second < windowStart; });
         }
-        std::erase_if(kept.hosts, [](auto& it) { return it.second.uses.empty() && it.second.grants.empty(); });
+        std::erase_if(tracked.hosts, [](auto& it) { return it.second.history.empty() && it.second.grants.empty(); });
     }
-    std::erase_if(keeper.accounts, [&](auto& it) { return it.second.hosts.empty() && !it.second.isStrict && !isNear(it.second, kNearKept, now); });
-    for (auto& [name, kept] : keeper.accounts) // all of them: hosts that are not heard any more take allowance away
-        hasChanged = decideStrict(keeper, view, name, now) || hasChanged;
+    std::erase_if(server.accounts, [&](auto& it) { return it.second.hosts.empty() && !it.second.isStrict && !isNearQuota(it.second, kNearQuotaRetention, now); });
+    for (auto& [name, tracked] : server.accounts) // all accounts, because silent hosts reduce the budget of each
+        hasChanged = updateStrict(server, configuration, name, now) || hasChanged;
     return hasChanged;
 }
 
-std::vector<std::string> getStrictAccounts(const QuotaKeeper& keeper)
+std::vector<std::string> getStrictAccounts(const QuotaServer& server)
 {
     std::vector<std::string> strict;
-    for (auto& [name, kept] : keeper.accounts) {
-        if (kept.isStrict)
+    for (auto& [name, tracked] : server.accounts) {
+        if (tracked.isStrict)
             strict.push_back(name);
     }
     return strict;
 }
 
-std::set<std::string> getAccountsToWrite(const QuotaKeeper& keeper, TimePoint now)
+std::set<std::string> getNearQuotaAccounts(const QuotaServer& server, TimePoint now)
 {
     std::set<std::string> names;
-    for (auto& [name, kept] : keeper.accounts) {
-        if (isNear(kept, kNearKept, now))
+    for (auto& [name, tracked] : server.accounts) {
+        if (isNearQuota(tracked, kNearQuotaRetention, now))
             names.insert(name);
     }
     return names;
 }
 
-// When the first operation of the window leaves it.
-static milliseconds getClosedFor(const KeptAccount& kept, const QuotaRule& rule, TimePoint now)
+// The time until the oldest operation in the window expires, clamped.
+static milliseconds getBlockTime(const TrackedAccount& tracked, const QuotaRule& rule, TimePoint now)
 {
     auto first = now;
-    for (auto& [name, told] : kept.hosts) {
-        for (auto& it : told.uses) {
+    for (auto& [name, usage] : tracked.hosts) {
+        for (auto& it : usage.history) {
             if (it.at > now - rule.window) {
                 first = std::min(first, it.at);
                 break;
@@ -233,23 +233,23 @@
         }
     }
     auto left = std::chrono::duration_cast<milliseconds>(first + rule.window - now);
-    return std::clamp(left, kClosedLeast, kClosedMost);
+    return std::clamp(left, kMinBlockTime, kMaxBlockTime);
 }
 
-QuotaGrant askKeeper(QuotaKeeper& keeper, const QuotaView& view, const std::string& host, const std::string& account, TimePoint now)
+QuotaGrant requestGrant(QuotaServer& server, const QuotaConfiguration& configuration, const std::string& host, const std::string& account, TimePoint now)
 {
-    auto* quota = findQuota(view.accounts, account);
-    auto& kept = keeper.accounts[account];
-    auto& told = kept.hosts[host];
+    auto* quota = findQuota(configuration.accounts, account);
+    auto& tracked = server.accounts[account];
+    auto& usage = tracked.hosts[host];
     bool isGranted = true;
     if (quota) {
-        auto allowance = getAllowance(keeper, view, account, *quota, now);
-        isGranted = allowance.used + 1 <= allowance.most;
+        auto budget = getQuotaBudget(server, configuration, account, *quota, now);
+        isGranted = budget.used + 1 <= budget.limit;
     }
     if (!isGranted)
-        return { false, 0, getClosedFor(kept, view.rule, now) };
-    told.grants[++keeper.lastGrant] = now;
-    return { true, keeper.lastGrant, {} };
+        return { false, 0, getBlockTime(tracked, configuration.rule, now) };
+    usage.grants[++server.lastGrantNumber] = now;
+    return { true, server.lastGrantNumber, {} };
 }
 
 //-----------------------------------------------------------------------------
@@ -258,64 +258,64 @@
 
 bool hasLease(const QuotaHost& host, TimePoint now)
 {
-    return host.leaseSentAt != TimePoint {} && now - host.leaseSentAt < kQuotaLease;
+    return host.leaseStartedAt != TimePoint {} && now - host.leaseStartedAt < kQuotaLeaseTime;
 }
 
-Admission admitOperation(const QuotaHost& host, const std::string& account, const AccountQuota& quota, const QuotaRule& rule, size_t hosts, TimePoint now)
+Admission admitOperation(const QuotaHost& host, const std::string& account, const AccountQuota& quota, const QuotaRule& rule, size_t hostCount, TimePoint now)
 {
     auto it = host.accounts.find(account);
-    if (it != host.accounts.end() && now < it->second.closedUntil)
+    if (it != host.accounts.end() && now < it->second.blockedUntil)
         return Admission::Refuse;
-    if (!hasLease(host, now) || host.strict.contains(account))
-        return Admission::Ask;
-    // Keepers may have been lost since: all hosts together begin no more unseen than a calm account has left.
-    auto unseenMost = std::max(1.0, kUnseenMost * getQuotaLimits(quota, rule).target / static_cast<double>(std::max<size_t>(1, hosts)));
-    auto unseen = it == host.accounts.end() ? 0 : countUses(it->second.uses, host.leaseSentAt, now);
-    return unseen < unseenMost ? Admission::Begin : Admission::Ask;
+    if (!hasLease(host, now) || host.strictAccounts.contains(account))
+        return Admission::RequestGrant;
+    // The quota server may have failed since the lease was renewed, so unreported operations of all hosts together must fit into the rest of the budget.
+    auto maxUnreported = std::max(1.0, kMaxUnreportedRatio * getQuotaLimits(quota, rule).admissionLimit / static_cast<double>(std::max<size_t>(1, hostCount)));
+    auto unreported = it == host.accounts.end() ? 0 : countUsage(it->second.history, host.leaseStartedAt, now);
+    return unreported < maxUnreported ? Admission::Begin : Admission::RequestGrant;
 }
 
-bool mayBeginAlone(const QuotaHost& host, const std::string& account, const AccountQuota& quota, const QuotaRule& rule, size_t hosts, TimePoint now)
+bool mayBeginWithoutQuotaServer(const QuotaHost& host, const std::string& account, const AccountQuota& quota, const QuotaRule& rule, size_t hostCount, TimePoint now)
 {
-    if (now - std::max(host.leaseSentAt, host.beganAt) < kQuotaLease)
+    if (now - std::max(host.leaseStartedAt, host.startedAt) < kQuotaLeaseTime)
         return false;
     auto it = host.accounts.find(account);
     auto limits = getQuotaLimits(quota, rule);
-    auto share = static_cast<unsigned>(limits.target / static_cast<double>(std::max<size_t>(1, hosts)));
+    auto share = static_cast<unsigned>(limits.admissionLimit / static_cast<double>(std::max<size_t>(1, hostCount)));
     if (it == host.accounts.end())
         return share > 0;
-    auto& uses = it->second.uses;
-    bool isCountedFor = host.leaseSentAt != TimePoint {} && now - host.leaseSentAt < kQuotaLostFor;
-    auto told = !isCountedFor ? 0 : countUses(uses, host.leaseSentAt - rule.window, host.leaseSentAt);
-    return countUses(uses, now - rule.window, now) < std::max(told, share);
+    auto& history = it->second.history;
+    bool isUsageReserved = host.leaseStartedAt != TimePoint {} && now - host.leaseStartedAt < kQuotaSilentHostTimeout;
+    auto lastReported = !isUsageReserved ? 0 : countUsage(history, host.leaseStartedAt - rule.window, host.leaseStartedAt);
+    return countUsage(history, now - rule.window, now) < std::max(lastReported, share);
 }
 
-void noteBegun(QuotaHost& host, const std::string& account, TimePoint now)
+void recordOperation(QuotaHost& host, const std::string& account, TimePoint now)
 {
     auto& used = host.accounts[account];
-    addUse(used.uses, now);
-    used.isChanged = true;
+    addUsage(used.history, now);
+    used.isUnreported = true;
 }
 
-void noteNotBegun(QuotaHost& host, const std::string& account)
+void revertOperation(QuotaHost& host, const std::string& account)
 {
     auto it = host.accounts.find(account);
     if (it == host.accounts.end())
         return;
-    takeBackUse(it->second.uses);
-    it->second.isChanged = true;
+    removeLatestUsage(it->second.history);
+    it->second.isUnreported = true;
 }
 
-void noteClosed(QuotaHost& host, const std::string& account, milliseconds closedFor, TimePoint now)
+void blockAccount(QuotaHost& host, const std::string& account, milliseconds blockedFor, TimePoint now)
 {
-    host.accounts[account].closedUntil = now + closedFor;
+    host.accounts[account].blockedUntil = now + blockedFor;
 }
 
-void forgetUses(QuotaHost& host, const QuotaRule& rule, TimePoint now)
+void pruneUsage(QuotaHost& host, const QuotaRule& rule, TimePoint now)
 {
-    auto kept = hasLease(host, now) ? rule.window : std::max(kUsesKept, rule.window);
+    auto retention = hasLease(host, now) ? rule.window : std::max(kUnleasedUsageRetention, rule.window);
     for (auto& [account, used] : host.accounts)
-        forgetUses(used.uses, now - kept);
-    std::erase_if(host.accounts, [&](auto& it) { return it.second.uses.empty() && now >= it.second.closedUntil && !it.second.isChanged; });
+        pruneUsage(used.history, now - retention);
+    std::erase_if(host.accounts, [&](auto& it) { return it.second.history.empty() && now >= it.second.blockedUntil && !it.second.isUnreported; });
 }
 
 }
--- a/src/decisions/quota.h
+++ b/src/decisions/quota.h
@@ -1,19 +1,17 @@
-// Quotas of client accounts over all hosts: how many operations of an account may begin in any window of time, wherever they come in.
+// Distributed rate limiting: bounds the operations of a client account that begin on all hosts together within any time window.
 //
-// The load that this answers: an account that sends several times its quota from one moment to the next, through all hosts, each of which sees little of it.
-// A few hosts, the keepers, count for all. Each host follows one keeper, tells it what it has begun, and holds a lease while it answers: under it,
-// operations of accounts that are far below their quota begin at once. An account that comes near to its quota is strict: each of its operations is
-// asked for before it begins. A keeper may give out the equal shares of the hosts that follow it. A host without a lease begins no more than its own share, or what it
-// had told when its lease was renewed last, and keepers leave it that.
-// docs/design/0011-accounts.md has the bound and its proof.
+// A few hosts act as quota servers. Each host reports the operations it has begun to one quota server and holds a lease while its reports are answered.
+// Under a lease, operations begin without a request unless the account is strict, that is, near its quota: then each operation needs a grant.
+// A host without a lease is limited to its equal share of the quota or to the usage it had last reported, whichever is more; quota servers reserve that much.
+// docs/design/0011-accounts.md states the bound and its proof.
 //
 // COMMON MISTAKES
-//   - Telling what was begun since the last time. A report that is lost or comes twice would be lost or counted twice: a host tells all of its window.
+//   - Reporting increments. A lost or duplicated report would be missed or counted twice; each report holds the whole window.
 //
-// [SECTION] Limits   what a quota allows
-// [SECTION] Uses     operations that began
-// [SECTION] Keeper   counts for all hosts
-// [SECTION] Host     decides what begins here
+// [SECTION] Limits        what a quota allows
+// [SECTION] Usage         operations that have begun
+// [SECTION] Server        counts for all hosts
+// [SECTION] Host          admits operations on this host
 #pragma once
 #include "decisions/accounts.h"
 #include "decisions/freshness.h"
@@ -29,161 +27,160 @@
 // [SECTION] Limits
 //-----------------------------------------------------------------------------
 
-// How strictly operators hold quotas, the same for all accounts.
+// Settings for enforcing quotas, common to all accounts.
 struct QuotaRule {
     milliseconds window { 5000 };
-    double over { 0.1 }; // share of the quota that may pass besides
-    double slack { 20 }; // operations that may pass besides
+    double toleranceShare { 0.1 }; // of the quota, allowed in excess of it
+    double toleranceCount { 20 }; // operations allowed in excess of the quota, in addition to toleranceShare
     friend bool operator==(const QuotaRule&, const QuotaRule&) = default;
 };
 
 struct QuotaLimits {
-    double bound { 0 }; // operations in any window; more breaks the promise
-    double target { 0 }; // that keepers let begin; what lies between is for hosts that they do not hear and for what is under way
+    double hardLimit { 0 }; // guaranteed maximum of operations in any window
+    double admissionLimit { 0 }; // operations that quota servers admit per window; the rest is reserved for unreachable hosts and for unreported operations
 };
 
 QuotaLimits getQuotaLimits(const AccountQuota& quota, const QuotaRule& rule);
 
 //-----------------------------------------------------------------------------
-// [SECTION] Uses
+// [SECTION] Usage
 //-----------------------------------------------------------------------------
 
-// Operations that began close to each other.
-struct UseSlot {
-    TimePoint at {}; // the last of them
+// Operations that began within the same short interval.
+struct UsageBucket {
+    TimePoint at {}; // when the last one began
     unsigned count { 0 };
-    friend bool operator==(const UseSlot&, const UseSlot&) = default;
+    friend bool operator==(const UsageBucket&, const UsageBucket&) = default;
 };
 
-using Uses = std::deque<UseSlot>; // oldest first
+using UsageHistory = std::deque<UsageBucket>; // oldest first
 
-void addUse(Uses& uses, TimePoint now);
-// The newest one did not begin after all.
-void takeBackUse(Uses& uses);
-void forgetUses(Uses& uses, TimePoint before);
-// Those behind `after`, up to `until`.
-unsigned countUses(const Uses& uses, TimePoint after, TimePoint until);
+void addUsage(UsageHistory& history, TimePoint now);
+// Removes the latest operation, which was counted but did not begin.
+void removeLatestUsage(UsageHistory& history);
+void pruneUsage(UsageHistory& history, TimePoint before);
+// Counts the operations in (after, until].
+unsigned countUsage(const UsageHistory& history, TimePoint after, TimePoint until);
 
 //-----------------------------------------------------------------------------
-// [SECTION] Keeper
+// [SECTION] Server
 //-----------------------------------------------------------------------------
 
-inline constexpr milliseconds kQuotaLease { 1250 }; // from the moment at which a report was sent that a keeper answered: two answers may be lost
-inline constexpr milliseconds kQuotaReportInterval { 250 }; // at most, between an operation's begin and the word of it
-inline constexpr milliseconds kQuotaLeaseInterval { 500 }; // between two reports where nothing began
-inline constexpr milliseconds kQuotaLostFor { 12000 }; // what a silent host may begin is counted this long; its entry in the platform's store lapses after about as much
+inline constexpr milliseconds kQuotaLeaseTime { 1250 }; // from the sending of an answered report; long enough to survive two lost answers
+inline constexpr milliseconds kQuotaReportInterval { 250 }; // maximum delay before an operation is reported
+inline constexpr milliseconds kQuotaIdleReportInterval { 500 }; // between reports while no operations begin
+inline constexpr milliseconds kQuotaSilentHostTimeout { 12000 }; // how long usage stays reserved for a silent host; similar to the lifetime of its entry in the platform's store
 
-// What one host says of one account, as a keeper has it.
-struct ToldUses {
-    Uses uses {};
-    std::map<uint64_t, TimePoint> grants {}; // given, and not in `uses` yet: by number
+// The usage of one account by one host, as known to a quota server.
+struct HostUsage {
+    UsageHistory history {};
+    std::map<uint64_t, TimePoint> grants {}; // by number: granted and not yet reported in `history`
 };
 
-struct KeptAccount {
-    std::map<std::string, ToldUses> hosts {};
+struct TrackedAccount {
+    std::map<std::string, HostUsage> hosts {};
     bool isStrict { false };
-    TimePoint nearAt {}; // when it was last known to have come near to its quota; it can be strict for what is not known, too
+    TimePoint nearQuotaAt {}; // when reported usage was last near the quota; estimates can make an account strict without it
 };
 
 struct ReportingHost {
-    TimePoint heardAt {};
-    TimePoint coveredSince {}; // what it has begun before this is not known
+    TimePoint lastReportAt {};
+    TimePoint historyStartsAt {}; // its earlier operations are unknown
 };
 
-struct QuotaKeeper {
-    std::map<std::string, KeptAccount> accounts {};
+struct QuotaServer {
+    std::map<std::string, TrackedAccount> accounts {};
     std::map<std::string, ReportingHost> hosts {};
-    std::set<std::string> lastNear {}; // accounts that came near to their quotas lately, as the shard's keepers have written it down
-    uint64_t lastGrant { 0 };
+    std::set<std::string> storedNearQuota {}; // accounts recently near their quotas, as persisted by the shard's quota servers
+    uint64_t lastGrantNumber { 0 };
 };
 
-// What a host has begun of one account within the window, on the keeper's clock.
-struct ReportedUses {
+// The operations of one account that a host has begun within the window, in the quota server's time.
+struct ReportedUsage {
     std::string account {};
-    Uses uses {};
-    uint64_t grantsTaken { 0 }; // grants up to this number are in `uses`, or were given back
+    UsageHistory history {};
+    uint64_t grantsTaken { 0 }; // grants up to this number are included in `history` or were returned
 };
 
 struct QuotaReport {
     std::string host {};
-    TimePoint coveredSince {}; // the host's process has begun nothing before this that it knows of
-    bool isWhole { false }; // it names all accounts of which the host has begun something in the window, not only what has changed
-    std::vector<ReportedUses> uses {};
+    TimePoint historyStartsAt {}; // the report covers operations since then
+    bool isWhole { false }; // lists all accounts used within the window, not just those that changed
+    std::vector<ReportedUsage> accounts {};
 };
 
-// What a keeper goes by besides what it was told.
-struct QuotaView {
+// Configuration that a quota server applies.
+struct QuotaConfiguration {
     QuotaRule rule {};
     const Accounts& accounts;
-    size_t hosts { 1 }; // that there are, this one included
+    size_t hostCount { 1 }; // in the system, this one included
 };
 
-struct ReportTaken {
-    bool isKnown { true }; // false: the keeper lacks what the host told before, and takes only a whole report
-    bool hasChanged { false }; // an account has become strict, or is strict no longer
-    bool isNear { false }; // an account that came near to its quota is not written down as one yet
+struct ReportResult {
+    bool isAccepted { true }; // false: the quota server does not know the host and needs a whole report
+    bool hasStrictChanged { false }; // an account became strict or stopped being strict
+    bool hasNewNearQuota { false }; // an account near its quota is not persisted as such yet
 };
 
-ReportTaken takeReport(QuotaKeeper& keeper, const QuotaView& view, const QuotaReport& report, TimePoint now);
-// Looks at all accounts, and forgets what is too old to matter. Returns whether one has become strict, or is strict no longer. Call it every few hundred ms.
-bool sweepKeeper(QuotaKeeper& keeper, const QuotaView& view, TimePoint now);
-std::vector<std::string> getStrictAccounts(const QuotaKeeper& keeper);
-// What is to be written down where it outlasts all hosts, so that those that start anew know which accounts may have used their quotas up.
-std::set<std::string> getAccountsToWrite(const QuotaKeeper& keeper, TimePoint now);
-// Hosts that follow the keeper and reported lately.
-size_t countFollowers(const QuotaKeeper& keeper, TimePoint now);
-// Whether any host but `self` does.
-bool hasOtherFollower(const QuotaKeeper& keeper, const std::string& self, TimePoint now);
+ReportResult applyReport(QuotaServer& server, const QuotaConfiguration& configuration, const QuotaReport& report, TimePoint now);
+// Re-evaluates all accounts and drops expired records. Returns whether an account became strict or stopped being strict. Call it every few hundred ms.
+bool sweepQuotaServer(QuotaServer& server, const QuotaConfiguration& configuration, TimePoint now);
+std::vector<std::string> getStrictAccounts(const QuotaServer& server);
+// The accounts to persist, so that quota servers know after a restart of all hosts which accounts may have exhausted their quotas.
+std::set<std::string> getNearQuotaAccounts(const QuotaServer& server, TimePoint now);
+// Hosts whose last report is recent.
+size_t countReportingHosts(const QuotaServer& server, TimePoint now);
+// Whether any host other than `self` has reported recently.
+bool hasOtherReportingHost(const QuotaServer& server, const std::string& self, TimePoint now);
 
-// Of the hosts that follow the keeper.
-struct Allowance {
-    double used { 0 }; // operations of the window, and what may have begun unseen
-    double unknown { 0 }; // of these, the latter
-    double most { 0 };
+// Usage and limit of one account in a window, over the hosts that report to the quota server.
+struct QuotaBudget {
+    double used { 0 }; // operations, including `estimated`
+    double estimated { 0 }; // allowance for unknown operations of hosts that started within the window
+    double limit { 0 };
 };
 
-Allowance getAllowance(const QuotaKeeper& keeper, const QuotaView& view, const std::string& account, const AccountQuota& quota, TimePoint now);
+QuotaBudget getQuotaBudget(const QuotaServer& server, const QuotaConfiguration& configuration, const std::string& account, const AccountQuota& quota, TimePoint now);
 
 struct QuotaGrant {
     bool isGranted { false };
-    uint64_t number { 0 }; // of the grant, for the host's report
-    milliseconds closedFor { 0 }; // refused: no operation of the account can begin before
+    uint64_t number { 0 }; // identifies the grant in the host's reports
+    milliseconds blockedFor { 0 }; // if refused: no operation of the account is admitted for this long
 };
 
-QuotaGrant askKeeper(QuotaKeeper& keeper, const QuotaView& view, const std::string& host, const std::string& account, TimePoint now);
+QuotaGrant requestGrant(QuotaServer& server, const QuotaConfiguration& configuration, const std::string& host, const std::string& account, TimePoint now);
 
 //-----------------------------------------------------------------------------
 // [SECTION] Host
 //-----------------------------------------------------------------------------
 
 enum class Admission {
-    Begin, // at once
-    Ask, // a keeper decides
+    Begin, // without a grant
+    RequestGrant, // the quota server decides
     Refuse,
 };
 
-struct UsedAccount {
-    Uses uses {};
-    TimePoint closedUntil {}; // as a keeper said
-    bool isChanged { false }; // since it was last told
+struct AccountUsage {
+    UsageHistory history {};
+    TimePoint blockedUntil {}; // as the quota server requested
+    bool isUnreported { false }; // changed since the last report
 };
 
-// What a host knows of quotas, for the accounts of one shard.
+// The quota state of a host for the accounts of one shard.
 struct QuotaHost {
-    TimePoint beganAt {}; // when its process began
-    std::map<std::string, UsedAccount> accounts {};
-    std::set<std::string> strict {};
-    TimePoint leaseSentAt {}; // when the newest report was sent that a keeper answered
+    TimePoint startedAt {}; // of the host's process
+    std::map<std::string, AccountUsage> accounts {};
+    std::set<std::string> strictAccounts {};
+    TimePoint leaseStartedAt {}; // when the latest answered report was sent
 };
 
 bool hasLease(const QuotaHost& host, TimePoint now);
-// `hosts`: that there are.
-Admission admitOperation(const QuotaHost& host, const std::string& account, const AccountQuota& quota, const QuotaRule& rule, size_t hosts, TimePoint now);
-// Whether an operation may begin though no keeper answers. None may until the lease has ended: keepers have left it nothing before.
-bool mayBeginAlone(const QuotaHost& host, const std::string& account, const AccountQuota& quota, const QuotaRule& rule, size_t hosts, TimePoint now);
-void noteBegun(QuotaHost& host, const std::string& account, TimePoint now);
-void noteNotBegun(QuotaHost& host, const std::string& account);
-void noteClosed(QuotaHost& host, const std::string& account, milliseconds closedFor, TimePoint now);
-void forgetUses(QuotaHost& host, const QuotaRule& rule, TimePoint now);
+Admission admitOperation(const QuotaHost& host, const std::string& account, const AccountQuota& quota, const QuotaRule& rule, size_t hostCount, TimePoint now);
+// Whether an operation may begin while no quota server answers. None may before the lease has expired, because quota servers reserve nothing for the host until then.
+bool mayBeginWithoutQuotaServer(const QuotaHost& host, const std::string& account, const AccountQuota& quota, const QuotaRule& rule, size_t hostCount, TimePoint now);
+void recordOperation(QuotaHost& host, const std::string& account, TimePoint now);
+void revertOperation(QuotaHost& host, const std::string& account);
+void blockAccount(QuotaHost& host, const std::string& account, milliseconds blockedFor, TimePoint now);
+void pruneUsage(QuotaHost& host, const QuotaRule& rule, TimePoint now);
 
 }
--- a/src/decisions/trace.cpp
+++ b/src/decisions/trace.cpp
@@ -8,7 +8,7 @@
 namespace json = boost::json;
 using std::chrono::microseconds;
 
-TimePoint roundDown(TimePoint time)
+TimePoint truncateToMicroseconds(TimePoint time)
 {
     return std::chrono::floor<microseconds>(time);
 }
@@ -31,10 +31,10 @@
         return fmt::format("promote {} in term {}", getName(record, promote->member), promote->term);
     if (auto* follow = std::get_if<SendFollow>(&action))
         return fmt::format("{} follow {} in term {}", getName(record, follow->member), getName(record, follow->primary), follow->term);
-    if (auto* announce = std::get_if<Announce>(&action))
+    if (auto* announce = std::get_if<AnnouncePrimary>(&action))
         return fmt::format("announce {} in term {}", getName(record, announce->primary), announce->term);
-    auto& note = std::get<Note>(action);
-    return fmt::format("note {}: {}", note.kind, note.cause);
+    auto& entry = std::get<AddTimelineEntry>(action);
+    return fmt::format("note {}: {}", entry.kind, entry.cause);
 }
 
 // ---- writing ----
@@ -48,7 +48,7 @@
     for (auto& [name, age] : record.readKinds)
         reads[name] = { { "maximumAgeMs", age.count() } };
     json::array hosts(record.hosts.begin(), record.hosts.end());
-    json::object promotion { { "mode", record.promotion.mode == PromotionMode::Off ? "off" : "automatic" }, { "leastIntervalMs", record.promotion.leastInterval.count() }, { "mostPerHour", record.promotion.mostPerHour } };
+    json::object promotion { { "mode", record.promotion.mode == PromotionMode::Off ? "off" : "automatic" }, { "leastIntervalMs", record.promotion.minInterval.count() }, { "mostPerHour", record.promotion.maxPerHour } };
     return { { "schema", 2 }, { "members", std::move(members) }, { "hosts", std::move(hosts) }, { "connectionLimit", record.connectionLimit }, { "slots", record.slots }, { "reads", std::move(reads) }, { "acknowledge", record.acknowledge == Acknowledge::Primary ? "primary" : "replicated" }, { "promotion", std::move(promotion) }, { "retired", record.isRetired } };
 }
 
@@ -67,12 +67,12 @@
 
 namespace {
 
-// Writes the fields of one event; the name of the event is field "event".
+// Writes an event's fields to a line; "event" holds its name.
 struct EventWriter {
     json::object& line;
     TimePoint origin;
 
-    void operator()(const RoleChanged& it) const
+    void operator()(const GroupConfigurationChanged& it) const
     {
         json::array leaving;
         for (bool isLeaving : it.isLeaving)
@@ -83,24 +83,24 @@
         line["leaving"] = std::move(leaving);
         line["rank"] = it.rank;
     }
-    void operator()(const WorkBegan&) const { line["event"] = "began"; }
+    void operator()(const ServingStarted&) const { line["event"] = "began"; }
     void operator()(const StatusAnswered& it) const
     {
         auto& status = it.status;
         line["event"] = "status";
         line["member"] = it.member;
         line["askedUs"] = getOffset(it.askedAt, origin);
-        line["status"] = { { "member", status.member }, { "term", status.term }, { "fencedTerm", status.fencedTerm }, { "primary", status.primary }, { "isPrimary", status.role == Role::Primary }, { "log", formatLog(status.log) }, { "heardAgoMs", status.heardPrimaryAgo.count() }, { "fence", status.canFence } };
+        line["status"] = { { "member", status.member }, { "term", status.term }, { "fencedTerm", status.fencedTerm }, { "primary", status.primary }, { "isPrimary", status.role == Role::Primary }, { "log", formatLog(status.log) }, { "heardAgoMs", status.primaryContactAge.count() }, { "fence", status.canFence } };
     }
-    void operator()(const GlimpseAnswered& it) const
+    void operator()(const PiggybackedStatusReceived& it) const
     {
         line["event"] = "glimpse";
         line["member"] = it.member;
         line["askedUs"] = getOffset(it.askedAt, origin);
-        line["term"] = it.glimpse.term;
-        line["fencedTerm"] = it.glimpse.fencedTerm;
-        line["logTerm"] = it.glimpse.log.term;
-        line["position"] = it.glimpse.log.position;
+        line["term"] = it.status.term;
+        line["fencedTerm"] = it.status.fencedTerm;
+        line["logTerm"] = it.status.log.term;
+        line["position"] = it.status.log.position;
     }
     void operator()(const ProbeFailed& it) const
     {
@@ -145,11 +145,11 @@
     return json::serialize(line);
 }
 
-// ---- reading: any fault throws and is reported with its line by parseTrace() ----
+// ---- reading: errors are thrown, and parseTrace() reports them with their line ----
 
 static TimePoint readTime(const json::value& value)
 {
-    // Any origin will do, as long as times before it stay above the clock's zero, which means "never".
+    // The origin is arbitrary, but times before it must stay above the clock's zero, which means "never".
     return TimePoint {} + std::chrono::hours(1) + microseconds(value.to_number<int64_t>());
 }
 
@@ -166,12 +166,12 @@
     return log;
 }
 
-static RoleChanged readRole(const json::object& line)
+static GroupConfigurationChanged readGroupConfiguration(const json::object& line)
 {
     auto record = parseGroupRecord(readText(line.at("group")), json::serialize(line.at("record")));
     if (!record)
         throw std::runtime_error(formatProblem(record.error()));
-    RoleChanged event { std::move(*record), {}, line.at("rank").to_number<size_t>() };
+    GroupConfigurationChanged event { std::move(*record), {}, line.at("rank").to_number<size_t>() };
     for (auto& it : line.at("leaving").as_array())
         event.isLeaving.push_back(it.as_bool());
     return event;
@@ -187,15 +187,15 @@
     status.role = object.at("isPrimary").as_bool() ? Role::Primary : Role::Replica;
     status.log = readLog(object.at("log"));
     status.primary = readText(object.at("primary"));
-    status.heardPrimaryAgo = milliseconds(object.at("heardAgoMs").to_number<int64_t>());
+    status.primaryContactAge = milliseconds(object.at("heardAgoMs").to_number<int64_t>());
     status.canFence = object.at("fence").as_bool();
     return { line.at("member").to_number<size_t>(), std::move(status), readTime(line.at("askedUs")) };
 }
 
-static GlimpseAnswered readGlimpse(const json::object& line)
+static PiggybackedStatusReceived readPiggybackedStatus(const json::object& line)
 {
-    MemberGlimpse glimpse { line.at("term").to_number<uint64_t>(), line.at("fencedTerm").to_number<uint64_t>(), { line.at("logTerm").to_number<uint64_t>(), line.at("position").to_number<uint64_t>() } };
-    return { line.at("member").to_number<size_t>(), glimpse, readTime(line.at("askedUs")) };
+    PiggybackedStatus piggybacked { line.at("term").to_number<uint64_t>(), line.at("fencedTerm").to_number<uint64_t>(), { line.at("logTerm").to_number<uint64_t>(), line.at("position").to_number<uint64_t>() } };
+    return { line.at("member").to_number<size_t>(), piggybacked, readTime(line.at("askedUs")) };
 }
 
 static FenceAnswered readFence(const json::object& line)
@@ -210,13 +210,13 @@
 {
     auto name = readText(line.at("event"));
     if (name == "role")
-        return readRole(line);
+        return readGroupConfiguration(line);
     if (name == "began")
-        return WorkBegan {};
+        return ServingStarted {};
     if (name == "status")
         return readStatus(line);
     if (name == "glimpse")
-        return readGlimpse(line);
+        return readPiggybackedStatus(line);
     if (name == "failed")
         return ProbeFailed { line.at("member").to_number<size_t>(), line.at("refused").as_bool(), readTime(line.at("askedUs")) };
     if (name == "tick")
@@ -227,7 +227,7 @@
         return FailoverEvent { readFence(line) };
     if (name == "promote")
         return FailoverEvent { PromoteAnswered { line.at("term").to_number<uint64_t>(), line.at("done").as_bool() } };
-    throw std::runtime_error("no event is called " + name);
+    throw std::runtime_error("unknown event: " + name);
 }
 
 static TraceEntry readEntry(const std::string& text)
@@ -264,20 +264,20 @@
 
 // ---- replay ----
 
-Replay replayTrace(const std::vector<TraceEntry>& entries)
+ReplayResult replayTrace(const std::vector<TraceEntry>& entries)
 {
-    Replay replay;
+    ReplayResult result;
     for (size_t i = 0; i < entries.size(); ++i) {
-        auto step = stepGroup(std::move(replay.state), entries[i].event, entries[i].now);
-        replay.state = std::move(step.state);
+        auto step = stepGroup(std::move(result.state), entries[i].event, entries[i].now);
+        result.state = std::move(step.state);
         std::vector<std::string> actions;
         for (auto& it : step.actions)
-            actions.push_back(formatAction(it, replay.state.record));
-        if (replay.difference.empty() && actions != entries[i].actions)
-            replay.difference = fmt::format("entry {}: recorded [{}], now [{}]", i + 1, fmt::join(entries[i].actions, "; "), fmt::join(actions, "; "));
-        std::ranges::move(actions, std::back_inserter(replay.actions));
+            actions.push_back(formatAction(it, result.state.record));
+        if (result.firstDifference.empty() && actions != entries[i].actions)
+            result.firstDifference = fmt::format("entry {}: recorded [{}], now [{}]", i + 1, fmt::join(entries[i].actions, "; "), fmt::join(actions, "; "));
+        std::ranges::move(actions, std::back_inserter(result.actions));
     }
-    return replay;
+    return result;
 }
 
 }
--- a/src/gateway/caller_session.cpp
+++ b/src/gateway/caller_session.cpp
@@ -1,7 +1,7 @@
 #include "gateway/caller_session.h"
 #include "base/event_log.h"
 #include "decisions/hashing.h"
-#include "decisions/turns.h"
+#include "decisions/scheduling.h"
 
 namespace alderward::gateway {
 
@@ -12,8 +12,8 @@
 using decisions::Statement;
 using decisions::StatementKind;
 
-static constexpr size_t kPreparedMost = 256; // names in one session; bounds its memory
-static constexpr size_t kValuesMost = 256;
+static constexpr size_t kMaxPreparedStatements = 256; // in one session; limits its memory
+static constexpr size_t kMaxVariables = 256;
 
 CallerSession::CallerSession(SessionContext context, uint64_t number)
     : m_context(std::move(context))
@@ -22,69 +22,69 @@
 {
 }
 
-void CallerSession::begin(boost::asio::ip::tcp::socket socket)
+void CallerSession::start(boost::asio::ip::tcp::socket socket)
 {
     auto self = shared_from_this();
-    m_channel->begin(
-        std::move(socket), [self](std::string_view message) { self->takeMessage(message); }, [self](const std::string& reason) { self->close(reason); });
+    m_channel->start(
+        std::move(socket), [self](std::string_view message) { self->handleMessage(message); }, [self](const std::string& reason) { self->close(reason); });
 }
 
-void CallerSession::takeMessage(std::string_view message)
+void CallerSession::handleMessage(std::string_view message)
 {
-    auto parsed = m_context.codec.parseCaller(message);
-    if (auto* hello = std::get_if<links::OpenSession>(&parsed); hello && !m_isOpen) {
-        open(*hello);
+    auto parsed = m_context.codec.parseCallerMessage(message);
+    if (auto* opening = std::get_if<links::OpenSession>(&parsed); opening && !m_isOpen) {
+        open(*opening);
     } else if (auto* statement = std::get_if<Statement>(&parsed); statement && m_isOpen) {
-        take(*statement);
+        handleStatement(*statement);
     } else if (std::holds_alternative<links::EndSession>(parsed)) {
         close("ended by the caller");
     } else {
-        m_channel->send(m_context.codec.formatError({ ErrorKind::BadRequest, "the message is not understood here" }));
-        m_channel->finish();
+        m_channel->send(m_context.codec.formatError({ ErrorKind::BadRequest, "unknown message, or not allowed in this state of the session" }));
+        m_channel->closeAfterWrite();
         close("bad message");
     }
 }
 
-// A host that has just started knows within some tens of ms whether the database exists. Afterwards its store is away, and nobody waits for that.
-bool CallerSession::mustWait() const
+// A host that has just started usually has its configuration soon. After the deadline the store is probably unreachable, and callers are refused.
+bool CallerSession::mustWaitForConfiguration() const
 {
-    return m_context.view.configuration.version == 0 && !m_context.isDraining && Clock::now() < m_context.waitsUntil;
+    return m_context.view.configuration.version == 0 && !m_context.isDraining && Clock::now() < m_context.configurationDeadline;
 }
 
 void CallerSession::open(const links::OpenSession& message)
 {
-    if (mustWait()) {
-        m_opening = message;
-        m_channel->setPaused(true);
+    if (mustWaitForConfiguration()) {
+        m_pendingOpen = message;
+        m_channel->setReadingPaused(true);
         return;
     }
     m_database = message.database;
     auto& configuration = m_context.view.configuration;
     auto it = configuration.routes.find(m_database);
-    m_key = message.key;
+    m_keyDigest = message.key;
     if (it != configuration.routes.end())
         m_route = it->second;
     auto account = findOwnAccount();
     std::optional<decisions::Error> refusal;
     if (m_context.isDraining)
         refusal = { ErrorKind::Draining, "this host is stopping" };
-    else if (configuration.version == 0) // the balancer sends callers to hosts that are not ready if it has no others
+    else if (configuration.version == 0) // load balancers use hosts that are not ready if there are no others
         refusal = { ErrorKind::NotConfigured, "this host has no configuration yet" };
-    else if (!account) // before the database is looked at: strangers learn nothing of what there is
-        refusal = { ErrorKind::UnknownKey, "the key is not known" };
+    else if (!account) // checked before the database, so that unauthorised callers cannot find out which databases exist
+        refusal = { ErrorKind::UnknownKey, "unknown API key" };
     else if (it == configuration.routes.end())
         refusal = { ErrorKind::UnknownGroup, "no such database" };
     if (refusal) {
         m_channel->send(m_context.codec.formatError(*refusal));
-        m_channel->finish();
+        m_channel->closeAfterWrite();
         close("refused");
         return;
     }
     m_account = *account;
-    m_keyCheckedIn = configuration.version;
+    m_keyCheckedVersion = configuration.version;
     m_isOpen = true;
     m_channel->send(m_context.codec.formatReady(SessionState::Idle));
-    m_channel->setPaused(false);
+    m_channel->setReadingPaused(false);
 }
 
 std::optional<std::string> CallerSession::findOwnAccount() const
@@ -92,23 +92,23 @@
     auto& accounts = m_context.view.configuration.accounts;
     if (!accounts)
         return std::string();
-    if (auto* account = decisions::findAccount(*accounts, m_key))
+    if (auto* account = decisions::findAccount(*accounts, m_keyDigest))
         return account->name;
     return m_route.isPublic ? std::optional<std::string>("") : std::nullopt;
 }
 
-// A key can be taken away, or given to another account, while its session is open. Between transactions a key that moved counts for its new account.
-bool CallerSession::hasLostKey()
+// A key can be removed, or moved to another account, while its session is open. Between transactions the session then continues under the new account.
+bool CallerSession::checkKeyLost()
 {
     auto version = m_context.view.configuration.version;
-    if (!m_isOpen || version == m_keyCheckedIn)
+    if (!m_isOpen || version == m_keyCheckedVersion)
         return false;
     auto account = findOwnAccount();
     bool isInTransaction = m_state != SessionState::Idle;
     if (!account || (isInTransaction && *account != m_account))
         return true;
     m_account = *account;
-    m_keyCheckedIn = version;
+    m_keyCheckedVersion = version;
     return false;
 }
 
@@ -117,27 +117,27 @@
     base::logEvent(LogClass::Failure, "key-lost", { { "session", std::string_view(m_name) }, { "database", std::string_view(m_database) }, { "account", std::string_view(m_account) }, { "configuration", static_cast<int64_t>(m_context.view.configuration.version) } });
 }
 
-// The caller hears it in answer to what it asked, and nothing of an open transaction is kept.
-void CallerSession::refuseKey()
+// Rolls back an open transaction and answers the current statement with an error.
+void CallerSession::answerLostKey()
 {
     logLostKey();
     if (m_transaction)
         m_context.router.end(*m_transaction);
     m_transaction.reset();
     m_state = SessionState::Idle;
-    send(decisions::makeFailure(ErrorKind::UnknownKey, "the key is not known any more"));
-    close("the key is not known any more");
+    send(decisions::makeFailure(ErrorKind::UnknownKey, "the API key is no longer valid"));
+    close("the API key is no longer valid");
 }
 
-// Nothing was asked: an error says why the session ends.
-void CallerSession::endWithoutKey()
+// No statement is running: an error message tells why the session ends.
+void CallerSession::closeForLostKey()
 {
     logLostKey();
-    m_channel->send(m_context.codec.formatError({ ErrorKind::UnknownKey, "the key is not known any more" }));
-    close("the key is not known any more");
+    m_channel->send(m_context.codec.formatError({ ErrorKind::UnknownKey, "the API key is no longer valid" }));
+    close("the API key is no longer valid");
 }
 
-// Between transactions, the route is the one in force now.
+// Takes the route from the current configuration. Called between transactions only.
 void CallerSession::refreshRoute()
 {
     auto it = m_context.view.configuration.routes.find(m_database);
@@ -147,27 +147,27 @@
         m_route = {};
 }
 
-void CallerSession::take(const Statement& statement)
+void CallerSession::handleStatement(const Statement& statement)
 {
     m_isRunning = true;
-    m_channel->setPaused(true); // one at a time: the next one's answer depends on this one's
+    m_channel->setReadingPaused(true); // one statement at a time, as the next may depend on its result
     if (m_state == SessionState::Idle)
         refreshRoute();
-    if (hasLostKey()) {
-        refuseKey();
+    if (checkKeyLost()) {
+        answerLostKey();
         return;
     }
     if (m_route.database.empty()) {
-        answerError(ErrorKind::UnknownGroup, "no such database any more");
+        answerError(ErrorKind::UnknownGroup, "the database no longer exists");
         return;
     }
     if (m_state == SessionState::Failed) {
-        endFailed(statement);
+        endFailedTransaction(statement);
         return;
     }
     switch (statement.kind) {
-    case StatementKind::SetValue:
-        setValue(statement);
+    case StatementKind::SetVariable:
+        setVariable(statement);
         break;
     case StatementKind::Prepare:
         prepare(statement);
@@ -183,26 +183,26 @@
         rollback(statement);
         break;
     case StatementKind::Unknown:
-        answerError(ErrorKind::BadRequest, "the statement is not understood");
+        answerError(ErrorKind::BadRequest, "unknown statement");
         break;
     default:
         runOnTarget(statement);
     }
 }
 
-void CallerSession::setValue(const Statement& statement)
+void CallerSession::setVariable(const Statement& statement)
 {
-    if (m_values.size() >= kValuesMost && !m_values.contains(statement.name)) {
-        answerError(ErrorKind::BadRequest, "too many values in one session");
+    if (m_variables.size() >= kMaxVariables && !m_variables.contains(statement.name)) {
+        answerError(ErrorKind::BadRequest, "too many variables in one session");
         return;
     }
-    m_values[statement.name] = statement.argument;
+    m_variables[statement.name] = statement.argument;
     answerOk();
 }
 
 void CallerSession::prepare(const Statement& statement)
 {
-    if (m_prepared.size() >= kPreparedMost && !m_prepared.contains(statement.name)) {
+    if (m_prepared.size() >= kMaxPreparedStatements && !m_prepared.contains(statement.name)) {
         answerError(ErrorKind::BadRequest, "too many prepared statements in one session");
         return;
     }
@@ -213,22 +213,22 @@
 void CallerSession::deallocate(const Statement& statement)
 {
     if (m_prepared.erase(statement.name) == 0)
-        answerError(ErrorKind::UnknownStatement, "nothing is prepared under this name");
+        answerError(ErrorKind::UnknownStatement, "no prepared statement has this name");
     else
         answerOk();
 }
 
-// No target hears of it before the first statement: a transaction that rests holds no connection.
+// The transaction begins at a target with its first statement; until then it needs no connection.
 void CallerSession::beginTransaction(const Statement& statement)
 {
     if (m_state != SessionState::Idle) {
-        answerError(ErrorKind::BadRequest, "a transaction is open");
+        answerError(ErrorKind::BadRequest, "a transaction is already open");
         return;
     }
     m_state = SessionState::InTransaction;
     m_isReadOnly = statement.kind == StatementKind::BeginReadOnly;
     m_hasWritten = false;
-    m_spent = {};
+    m_transactionTime = {};
     m_transaction.reset();
     answerOk();
 }
@@ -246,43 +246,43 @@
     answerOk();
 }
 
-// The transaction was rolled back when it failed; here the caller ends it for itself.
-void CallerSession::endFailed(const Statement& statement)
+// The transaction was rolled back when it failed. The caller must still end it.
+void CallerSession::endFailedTransaction(const Statement& statement)
 {
     bool isEnd = statement.kind == StatementKind::Commit || statement.kind == StatementKind::Rollback;
     if (!isEnd) {
-        answerError(ErrorKind::BadRequest, "the transaction failed; end it first");
+        answerError(ErrorKind::BadRequest, "the transaction failed: commit or roll back before other statements");
         return;
     }
     m_state = SessionState::Idle;
     if (statement.kind == StatementKind::Rollback)
         answerOk();
     else
-        answerError(ErrorKind::TransactionAborted, "the transaction had failed and was rolled back");
+        answerError(ErrorKind::TransactionAborted, "the transaction failed earlier and was rolled back");
 }
 
-bool CallerSession::fillRouted(RoutedStatement& routed, const Statement& statement)
+bool CallerSession::fillRoutedStatement(RoutedStatement& routed, const Statement& statement)
 {
     auto now = Clock::now();
-    m_askedAt = now;
+    m_statementArrivedAt = now;
     routed.route = m_route;
     routed.session = m_name;
     routed.arrivedAt = now;
-    routed.order.statement = statement;
-    routed.order.values = m_values;
-    routed.order.priority = m_route.priority;
-    routed.order.account = m_account;
-    routed.order.database = static_cast<uint32_t>(decisions::getHash(m_route.database));
+    routed.request.statement = statement;
+    routed.request.variables = m_variables;
+    routed.request.priority = m_route.priority;
+    routed.request.account = m_account;
+    routed.request.database = static_cast<uint32_t>(decisions::getHash(m_route.database));
     bool isInTransaction = m_state == SessionState::InTransaction;
-    routed.order.objective = decisions::getObjectiveEnd(now, m_route.objective, isInTransaction ? m_spent : TimePoint::duration());
-    routed.order.deadline = now + m_route.statementLimit;
+    routed.request.objective = decisions::getObjectiveEnd(now, m_route.objective, isInTransaction ? m_transactionTime : TimePoint::duration());
+    routed.request.deadline = now + m_route.statementLimit;
     if (statement.kind != StatementKind::Execute)
         return true;
     auto it = m_prepared.find(statement.name);
     if (it == m_prepared.end())
         return false;
-    routed.order.shape = it->second;
-    routed.order.statement.isWrite = it->second.isWrite;
+    routed.request.shape = it->second;
+    routed.request.statement.isWrite = it->second.isWrite;
     return true;
 }
 
@@ -294,55 +294,55 @@
         answerError(ErrorKind::BadRequest, "no transaction is open");
         return;
     }
-    if (!fillRouted(routed, statement)) {
-        answerError(ErrorKind::UnknownStatement, "nothing is prepared under this name");
+    if (!fillRoutedStatement(routed, statement)) {
+        answerError(ErrorKind::UnknownStatement, "no prepared statement has this name");
         return;
     }
     auto self = shared_from_this();
-    auto ran = routed.order.statement;
-    auto done = [self, ran](const Outcome& outcome, const std::optional<TransactionHandle>& transaction) { self->takeOutcome(ran, outcome, transaction); };
+    auto resolvedStatement = routed.request.statement;
+    auto done = [self, resolvedStatement](const Outcome& outcome, const std::optional<TransactionHandle>& transaction) { self->handleOutcome(resolvedStatement, outcome, transaction); };
     if (m_transaction) {
         m_context.router.runNext(*m_transaction, std::move(routed), done);
         return;
     }
-    bool isOpening = m_state == SessionState::InTransaction;
-    routed.order.kind = isOpening ? OrderKind::Begin : OrderKind::Single;
-    bool readsOnly = isOpening ? m_isReadOnly : !ran.isWrite;
-    routed.needsLeader = !readsOnly || m_route.consistency == decisions::Consistency::Primary;
-    if (!routed.needsLeader) {
+    bool isFirstInTransaction = m_state == SessionState::InTransaction;
+    routed.request.kind = isFirstInTransaction ? RequestKind::Begin : RequestKind::Single;
+    bool isReadOnly = isFirstInTransaction ? m_isReadOnly : !resolvedStatement.isWrite;
+    routed.needsPrimary = !isReadOnly || m_route.consistency == decisions::Consistency::Primary;
+    if (!routed.needsPrimary) {
         auto mark = decisions::getReadMark(m_route, m_context.view.groups[m_route.group].floors, m_lastCommit, routed.arrivedAt);
-        routed.needsLeader = !mark; // no floor is young enough: the leader itself proves freshness
-        routed.need = mark.value_or(Mark {});
+        routed.needsPrimary = !mark; // no floor is recent enough: only the primary can prove freshness
+        routed.requiredMark = mark.value_or(Mark {});
     }
-    routed.order.isReadOnly = readsOnly && !routed.needsLeader;
+    routed.request.isReadOnly = isReadOnly && !routed.needsPrimary;
     m_context.router.run(std::move(routed), done);
 }
 
-// What the caller is told. A promise that nothing is kept is made only where no commit can have arrived.
-decisions::Error CallerSession::translate(const Statement& statement, const decisions::Error& error, bool wasSent) const
+// The error reported to the caller. An unclear outcome becomes TransactionAborted only if no commit can have reached a target.
+decisions::Error CallerSession::translateError(const Statement& statement, const decisions::Error& error, bool wasSent) const
 {
     bool isInTransaction = m_state == SessionState::InTransaction;
     bool isCommit = statement.kind == StatementKind::Commit;
-    bool mayBeKept = (isCommit && m_hasWritten) || (!isInTransaction && statement.isWrite);
-    bool isUnclear = error.kind == ErrorKind::OutcomeUnknown || error.kind == ErrorKind::StatementTimedOut || error.kind == ErrorKind::Internal;
-    if (isUnclear && mayBeKept && wasSent)
+    bool mayBeCommitted = (isCommit && m_hasWritten) || (!isInTransaction && statement.isWrite);
+    bool isOutcomeUnclear = error.kind == ErrorKind::OutcomeUnknown || error.kind == ErrorKind::StatementTimedOut || error.kind == ErrorKind::Internal;
+    if (isOutcomeUnclear && mayBeCommitted && wasSent)
         return { ErrorKind::OutcomeUnknown, error.message };
-    if (isUnclear)
+    if (isOutcomeUnclear)
         return { ErrorKind::TransactionAborted, error.message };
     return error;
 }
 
-void CallerSession::takeOutcome(const Statement& statement, const Outcome& outcome, const std::optional<TransactionHandle>& transaction)
+void CallerSession::handleOutcome(const Statement& statement, const Outcome& outcome, const std::optional<TransactionHandle>& transaction)
 {
     bool isCommit = statement.kind == StatementKind::Commit;
     bool wasInTransaction = m_state == SessionState::InTransaction;
     auto answer = outcome;
     if (answer.error)
-        answer.error = translate(statement, *answer.error, answer.wasSent);
+        answer.error = translateError(statement, *answer.error, answer.wasSent);
     if (!answer.error && (isCommit ? m_hasWritten : !wasInTransaction && statement.isWrite))
         m_lastCommit = std::max(m_lastCommit, answer.position);
     if (wasInTransaction) {
-        m_spent += Clock::now() - m_askedAt;
+        m_transactionTime += Clock::now() - m_statementArrivedAt;
         if (!m_transaction && transaction && !answer.error)
             m_transaction = transaction;
         m_hasWritten = m_hasWritten || statement.isWrite;
@@ -353,7 +353,7 @@
         m_state = isCommit ? SessionState::Idle : answer.error ? SessionState::Failed
                                                                : SessionState::InTransaction;
     }
-    if (!m_channel->isOpen() && m_transaction) { // the caller left while its statement ran
+    if (!m_channel->isOpen() && m_transaction) { // the caller disconnected while its statement was running
         m_context.router.end(*m_transaction);
         m_transaction.reset();
     }
@@ -379,48 +379,48 @@
 void CallerSession::send(const Outcome& outcome)
 {
     m_isRunning = false;
-    m_restingSince = Clock::now();
+    m_idleSince = Clock::now();
     m_channel->send(m_context.codec.formatAnswer(outcome, m_state));
     if (m_isDraining && m_state == SessionState::Idle) {
-        m_channel->finish();
+        m_channel->closeAfterWrite();
         close("this host is stopping");
         return;
     }
-    m_channel->setPaused(false);
+    m_channel->setReadingPaused(false);
 }
 
 void CallerSession::drain()
 {
     m_isDraining = true;
     if (!isBusy()) {
-        m_channel->finish();
+        m_channel->closeAfterWrite();
         close("this host is stopping");
     }
 }
 
 void CallerSession::abort()
 {
-    m_channel->finish();
+    m_channel->closeAfterWrite();
     close("this host is stopping");
 }
 
 void CallerSession::sweep(TimePoint now)
 {
-    if (m_opening && !mustWait()) {
-        auto message = std::move(*m_opening);
-        m_opening.reset();
+    if (m_pendingOpen && !mustWaitForConfiguration()) {
+        auto message = std::move(*m_pendingOpen);
+        m_pendingOpen.reset();
         open(message);
         return;
     }
-    if (!m_isRunning && hasLostKey()) {
-        endWithoutKey();
+    if (!m_isRunning && checkKeyLost()) {
+        closeForLostKey();
         return;
     }
     auto limit = m_context.view.configuration.transactionIdle;
-    bool isResting = m_state == SessionState::InTransaction && !m_isRunning && m_transaction;
-    if (limit.count() == 0 || !isResting || now - m_restingSince < limit)
+    bool isIdleInTransaction = m_state == SessionState::InTransaction && !m_isRunning && m_transaction;
+    if (limit.count() == 0 || !isIdleInTransaction || now - m_idleSince < limit)
         return;
-    base::logEvent(LogClass::Failure, "transaction-ended", { { "session", std::string_view(m_name) }, { "reason", "it rested for too long" } });
+    base::logEvent(LogClass::Failure, "transaction-ended", { { "session", std::string_view(m_name) }, { "reason", "the transaction was idle for too long" } });
     m_context.router.end(*m_transaction);
     m_transaction.reset();
     m_state = SessionState::Failed;
@@ -429,7 +429,7 @@
 void CallerSession::close(const std::string&)
 {
     if (m_channel->isOpen() && !m_isDraining)
-        m_channel->finish();
+        m_channel->closeAfterWrite();
     if (m_transaction && !m_isRunning) {
         m_context.router.end(*m_transaction);
         m_transaction.reset();
--- a/src/gateway/caller_session.h
+++ b/src/gateway/caller_session.h
@@ -1,4 +1,5 @@
-// A caller's session: one connection, its values, prepared statements and transaction. Answers by itself what no target has to see.
+// A caller's session: one connection with its variables, prepared statements and transaction. Statements that only change the session are
+// answered here; all others go to a target.
 #pragma once
 #include "gateway/statement_router.h"
 
@@ -10,7 +11,7 @@
     ClusterView& view;
     StatementRouter& router;
     const bool& isDraining;
-    base::TimePoint waitsUntil; // for the first configuration of this process
+    base::TimePoint configurationDeadline; // until then, new sessions wait for the first configuration of this process
     std::function<void(const std::shared_ptr<class CallerSession>&)> onEnd;
 };
 
@@ -18,42 +19,45 @@
 public:
     CallerSession(SessionContext context, uint64_t number);
 
-    void begin(boost::asio::ip::tcp::socket socket);
-    // Closes the session as soon as nothing of it is in flight: a planned stop.
+    void start(boost::asio::ip::tcp::socket socket);
+    // Closes the session once it has no running statement and no open transaction.
     void drain();
-    // Rolls an open transaction back and closes.
+    // Rolls back an open transaction and closes the session.
     void abort();
-    // Ends what waited for too long.
+    // Periodic check: opens a session that waited for the configuration, closes it if its key is no longer valid, and rolls back a
+    // transaction that was idle for too long.
     void sweep(TimePoint now);
 
     bool isBusy() const { return m_isRunning || m_state != decisions::SessionState::Idle; }
     bool isRunning() const { return m_isRunning; }
 
 private:
-    void takeMessage(std::string_view message);
+    void handleMessage(std::string_view message);
     void open(const links::OpenSession& message);
-    bool mustWait() const;
-    void take(const decisions::Statement& statement);
-    void setValue(const decisions::Statement& statement);
+    bool mustWaitForConfiguration() const;
+    void handleStatement(const decisions::Statement& statement);
+    void setVariable(const decisions::Statement& statement);
     void prepare(const decisions::Statement& statement);
     void deallocate(const decisions::Statement& statement);
     void beginTransaction(const decisions::Statement& statement);
     void rollback(const decisions::Statement& statement);
-    void endFailed(const decisions::Statement& statement);
+    void endFailedTransaction(const decisions::Statement& statement);
     void runOnTarget(const decisions::Statement& statement);
-    bool fillRouted(RoutedStatement& routed, const decisions::Statement& statement);
-    void takeOutcome(const decisions::Statement& statement, const Outcome& outcome, const std::optional<TransactionHandle>& transaction);
-    decisions::Error translate(const decisions::Statement& statement, const decisions::Error& error, bool wasSent) const;
+    bool fillRoutedStatement(RoutedStatement& routed, const decisions::Statement& statement);
+    void handleOutcome(const decisions::Statement& statement, const Outcome& outcome, const std::optional<TransactionHandle>& transaction);
+    decisions::Error translateError(const decisions::Statement& statement, const decisions::Error& error, bool wasSent) const;
     void answerOk();
     void answerError(decisions::ErrorKind kind, const std::string& message);
     void send(const Outcome& outcome);
     void close(const std::string& reason);
     void refreshRoute();
-    // Who the caller is by the configuration in force now; nullopt if its key opens nothing.
+    // Looks up the caller's account in the current configuration. Empty string: the database is public or there are no accounts; nullopt:
+    // the key is not valid.
     std::optional<std::string> findOwnAccount() const;
-    bool hasLostKey();
-    void refuseKey();
-    void endWithoutKey();
+    // Looks the key up again after a change of the configuration. Returns whether the session must end.
+    bool checkKeyLost();
+    void answerLostKey();
+    void closeForLostKey();
     void logLostKey() const;
 
     SessionContext m_context;
@@ -61,20 +65,20 @@
     std::shared_ptr<links::Channel> m_channel;
     std::string m_database;
     decisions::DatabaseRoute m_route;
-    decisions::KeyDigest m_key {};
-    std::string m_account; // empty: none, on a platform without accounts or a public route
-    uint64_t m_keyCheckedIn { 0 }; // version of the configuration in which the key was last looked up
-    decisions::SessionValues m_values;
+    decisions::KeyDigest m_keyDigest {};
+    std::string m_account; // empty: the database is public or the platform has no accounts
+    uint64_t m_keyCheckedVersion { 0 }; // version of the configuration in which the key was last looked up
+    decisions::SessionVariables m_variables;
     std::map<std::string, decisions::PreparedShape> m_prepared;
     decisions::SessionState m_state { decisions::SessionState::Idle };
-    bool m_isReadOnly { false }; // the transaction
-    bool m_hasWritten { false }; // the transaction
-    TimePoint::duration m_spent {}; // under the transaction's statements so far
-    TimePoint m_askedAt {}; // when the statement that runs came
+    bool m_isReadOnly { false }; // of the transaction
+    bool m_hasWritten { false }; // in the transaction
+    TimePoint::duration m_transactionTime {}; // spent on statements so far
+    TimePoint m_statementArrivedAt {}; // of the running statement
     std::optional<TransactionHandle> m_transaction; // empty until its first statement
     Mark m_lastCommit;
-    TimePoint m_restingSince {};
-    std::optional<links::OpenSession> m_opening; // waits for the configuration
+    TimePoint m_idleSince {};
+    std::optional<links::OpenSession> m_pendingOpen; // waiting for the configuration
     bool m_isOpen { false };
     bool m_isRunning { false };
     bool m_isDraining { false };
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -18,35 +18,35 @@
 using decisions::ErrorKind;
 using std::chrono::microseconds;
 
-static constexpr milliseconds kSweepInterval { 20 }; // how late a limit may be noticed
-static constexpr milliseconds kProofInterval { 250 }; // how old the newest floor may get while nothing else renews it
-static constexpr milliseconds kPositionInterval { 100 }; // how late a carrier notices that a replica which was far behind has caught up
-static constexpr milliseconds kTroubleFor { 500 }; // a member that this host could not reach is left to others this long
-static constexpr milliseconds kInquiryLimit { 350 }; // a busy target answers a status within some tens of ms; ordinary answers count as well
-static constexpr milliseconds kUnlistedFor { 4000 }; // an unlisted member is forgotten then; entries that lapsed are back before
-static constexpr milliseconds kStartTakes { 1000 }; // callers of a host that starts wait this long for its configuration; 20 to 220 ms where the store answers
-static constexpr milliseconds kNoticeTime { 2200 }; // the balancer asks once a second and needs two refusals
-static constexpr milliseconds kEndReserve { 700 }; // of the grace time, for the last answers
-static constexpr milliseconds kLastAnswers { 50 }; // for bytes that wait in sockets before the process ends
-static constexpr milliseconds kListedAgain { 2500 }; // entries that lapsed with the store are back within this
-static constexpr milliseconds kPartnersInterval { 500 }; // between two choices of partners while no host came or went
-static constexpr milliseconds kPlacementInterval { 500 }; // at most, between two looks at what this host carries while nothing that decides it changed
-static constexpr milliseconds kForgetInterval { 500 }; // between two looks for members that have been unlisted for kUnlistedFor
-static constexpr milliseconds kSessionsInterval { 100 }; // how late a transaction that rested too long is ended; operators allow it seconds
-static constexpr milliseconds kRelayAskedFor { 2000 }; // a host that others ask what it hears goes on relaying this long
-static constexpr milliseconds kLeadAskInterval { 500 }; // between two questions to a listed primary while nobody is known to lead; a change of primary takes longer
-static constexpr unsigned kSpareConnections = 2; // of a member's limit, for inquiries and newcomers
+static constexpr milliseconds kSweepInterval { 20 }; // the longest delay in noticing a timeout
+static constexpr milliseconds kProofInterval { 250 }; // the maximum age of a group's newest floor while no statement renews it
+static constexpr milliseconds kPositionInterval { 100 }; // between position queries to a replica that is far behind
+static constexpr milliseconds kUnreachableCooldown { 500 }; // statements avoid this host's connections to a member for this long after a failure
+static constexpr milliseconds kStatusQueryTimeout { 350 };
+static constexpr milliseconds kUnlistedRetention { 4000 }; // must exceed the time in which expired entries are written again
+static constexpr milliseconds kInitialConfigurationWait { 1000 }; // callers of a host that starts wait this long for its configuration
+static constexpr milliseconds kLoadBalancerNoticeTime { 2200 }; // until the load balancer has seen enough failed readiness checks
+static constexpr milliseconds kShutdownReserve { 700 }; // part of the grace period that is kept for the last answers
+static constexpr milliseconds kSocketFlushTime { 50 }; // for unsent bytes in sockets before the process ends
+static constexpr milliseconds kRelistTime { 2500 }; // expired entries of hosts are written again within this
+static constexpr milliseconds kPartnersInterval { 500 }; // between choices of partners while the set of hosts does not change
+static constexpr milliseconds kForwardingUpdateInterval { 500 };
+static constexpr milliseconds kUnlistedSweepInterval { 500 };
+static constexpr milliseconds kSessionSweepInterval { 100 }; // the longest delay in ending an idle transaction
+static constexpr milliseconds kRelayRequestLifetime { 2000 }; // a host remains a relay for this long after the last request
+static constexpr milliseconds kPrimaryClaimCheckInterval { 500 }; // between status queries to a member that claims to be primary while none is known
+static constexpr unsigned kReservedConnections = 2; // of a member's limit, for status queries and hosts that have just started
 
 Gateway::Gateway(asio::io_context& context, base::TimerService& timers, base::GatewaySettings settings, std::unique_ptr<links::PlatformAdapter> platform)
     : m_context(context)
     , m_settings(std::move(settings))
     , m_platform(std::move(platform))
     , m_self { m_settings.name, m_settings.peerAddress, m_settings.dataCentre, static_cast<uint64_t>(base::getRandom() * 1e15) + 1 }
-    , m_peers(context, m_settings.name, makePeerService())
-    , m_quotas({ m_view, m_peers, m_settings.name, m_self.incarnation, getQuotaRule(), m_isDraining, [this](size_t shard, const std::set<std::string>& accounts, std::function<void(bool)> done) { writeNearAccounts(shard, accounts, std::move(done)); } })
-    , m_router({ context, m_view, m_peers, m_settings.name, m_settings.dataCentre, [this](const TargetAddress& it) { return getPool(it); }, [this](const TargetAddress& it) { return isTroubled(it); }, [this](const std::string& group) { raiseAlarm(group, "no primary is known"); }, [this] { return !decisions::mayJudge(m_peers.countInReach()); }, getDrainTime(), m_quotas })
-    , m_directory(context, *m_platform, m_self, { milliseconds(m_settings.callLimitMs), milliseconds(m_settings.watchWaitMs), milliseconds(m_settings.longWatchWaitMs), milliseconds(m_settings.leaseMs) }, makeDirectoryEvents())
-    , m_promoter({ context, m_view, m_peers, *m_platform, { m_self.name, m_self.incarnation }, [this](const TargetAddress& it, std::function<void(const StatusReport&)> done) { inquire(it, std::move(done)); }, [this](const std::string&, const std::string& member, milliseconds time) { holdWrites(member, time); }, [this] { return m_directory.isReachable(); }, [this](const std::string& group, const decisions::Lead& before, std::string_view source) { noteLead(group, before, source); }, m_isDraining })
+    , m_peers(context, m_settings.name, makePeerCallbacks())
+    , m_quotas({ m_view, m_peers, m_settings.name, m_self.incarnation, getQuotaRule(), m_isDraining, [this](size_t shard, const std::set<std::string>& accounts, std::function<void(bool)> done) { writeNearQuotaAccounts(shard, accounts, std::move(done)); } })
+    , m_router({ context, m_view, m_peers, m_settings.name, m_settings.dataCentre, [this](const TargetAddress& it) { return getPool(it); }, [this](const TargetAddress& it) { return isUnreachable(it); }, [this](const std::string& group) { raiseAlarm(group, "no primary is known"); }, [this] { return !decisions::canJudgePrimary(m_peers.getReachability()); }, getDrainTime(), m_quotas })
+    , m_directory(context, *m_platform, m_self, { milliseconds(m_settings.storeCallTimeoutMs), milliseconds(m_settings.watchWaitMs), milliseconds(m_settings.longWatchWaitMs), milliseconds(m_settings.leaseMs) }, makeDirectoryEvents())
+    , m_promoter({ context, m_view, m_peers, *m_platform, { m_self.name, m_self.incarnation }, [this](const TargetAddress& it, std::function<void(const StatusReport&)> done) { queryStatus(it, std::move(done)); }, [this](const std::string&, const std::string& member, milliseconds time) { holdWrites(member, time); }, [this] { return m_directory.isReachable(); }, [this](const std::string& group, const decisions::KnownPrimary& before, std::string_view source) { notifyPrimaryChange(group, before, source); }, m_isDraining })
     , m_acceptor(context)
     , m_timers(timers)
 {
@@ -54,89 +54,89 @@
 
 Gateway::~Gateway() = default;
 
-tl::expected<void, std::string> Gateway::begin()
+tl::expected<void, std::string> Gateway::start()
 {
     m_startedAt = Clock::now();
-    takeHost(m_view, m_self);
+    updateHost(m_view, m_self);
     if (auto listening = m_peers.listen(m_settings.peerAddress); !listening)
         return listening;
-    if (auto listening = links::beginListening(m_acceptor, m_settings.callerAddress); !listening)
+    if (auto listening = links::listenOn(m_acceptor, m_settings.callerAddress); !listening)
         return listening;
     accept();
-    auto ready = links::beginHttpServer(m_context, m_settings.readyAddress, [this](links::HttpRequest request) { return answerReady(std::move(request)); });
+    auto ready = links::startHttpServer(m_context, m_settings.readyAddress, [this](links::HttpRequest request) { return handleReadinessRequest(std::move(request)); });
     if (!ready)
         return tl::make_unexpected(ready.error());
-    m_ready = std::move(*ready);
+    m_readinessServer = std::move(*ready);
     if (!m_settings.metricsAddress.empty()) {
-        auto metrics = links::beginHttpServer(m_context, m_settings.metricsAddress, [this](links::HttpRequest) -> asio::awaitable<links::HttpAnswer> {
-            measure();
-            links::HttpAnswer answer;
-            answer.contentType = "text/plain; version=0.0.4";
-            answer.body = base::formatFamilies();
-            co_return answer;
+        auto metrics = links::startHttpServer(m_context, m_settings.metricsAddress, [this](links::HttpRequest) -> asio::awaitable<links::HttpResponse> {
+            updateGauges();
+            links::HttpResponse response;
+            response.contentType = "text/plain; version=0.0.4";
+            response.body = base::formatMetricFamilies();
+            co_return response;
         });
         if (!metrics)
             return tl::make_unexpected(metrics.error());
-        m_metrics = std::move(*metrics);
+        m_metricsServer = std::move(*metrics);
     }
-    m_directory.begin();
-    m_sweep = m_timers.subscribe(m_context.get_executor(), kSweepInterval, [this] { sweep(); });
+    m_directory.start();
+    m_sweepTimer = m_timers.subscribe(m_context.get_executor(), kSweepInterval, [this] { sweep(); });
     base::logEvent(LogClass::State, "start", { { "version", std::string_view(ALDERWARD_VERSION) }, { "data_centre", std::string_view(m_settings.dataCentre) }, { "incarnation", static_cast<int64_t>(m_self.incarnation) } });
     return {};
 }
 
-// Gauges are set when somebody asks for them.
-void Gateway::measure() const
+// Called for each scrape of the metrics endpoint.
+void Gateway::updateGauges() const
 {
-    using base::Family;
+    using base::MetricFamily;
     auto now = Clock::now();
-    for (auto family : { Family::PoolConnections, Family::PoolWaiting, Family::PoolRunning, Family::FloorAge, Family::Term, Family::LeavingPrimary })
-        base::clear(family);
+    for (auto family : { MetricFamily::PoolConnections, MetricFamily::PoolWaiting, MetricFamily::PoolRunning, MetricFamily::FloorAge, MetricFamily::Term, MetricFamily::LeavingPrimary })
+        base::clearMetric(family);
     for (auto& [member, pool] : m_pools) {
         auto load = pool->getLoad();
-        base::setTo(Family::PoolConnections, { { "member", member } }, static_cast<double>(pool->getOpen()));
-        base::setTo(Family::PoolWaiting, { { "member", member } }, load.waiting);
-        base::setTo(Family::PoolRunning, { { "member", member } }, load.running);
+        base::setGauge(MetricFamily::PoolConnections, { { "member", member } }, static_cast<double>(pool->countOpenSessions()));
+        base::setGauge(MetricFamily::PoolWaiting, { { "member", member } }, load.waiting);
+        base::setGauge(MetricFamily::PoolRunning, { { "member", member } }, load.running);
     }
     for (auto& [name, group] : m_view.groups) {
-        base::setTo(Family::Term, { { "group", name } }, static_cast<double>(group.lead.term));
+        base::setGauge(MetricFamily::Term, { { "group", name } }, static_cast<double>(group.primary.term));
         if (!group.floors.isEmpty())
-            base::setTo(Family::FloorAge, { { "group", name } }, std::chrono::duration<double>(now - group.floors.floors.back().since).count());
-        auto primary = m_view.members.find(group.lead.member);
+            base::setGauge(MetricFamily::FloorAge, { { "group", name } }, std::chrono::duration<double>(now - group.floors.floors.back().coveredUntil).count());
+        auto primary = m_view.members.find(group.primary.member);
         if (primary != m_view.members.end() && primary->second.leavingSince)
-            base::setTo(Family::LeavingPrimary, { { "group", name } }, std::chrono::duration<double>(now - *primary->second.leavingSince).count());
+            base::setGauge(MetricFamily::LeavingPrimary, { { "group", name } }, std::chrono::duration<double>(now - *primary->second.leavingSince).count());
     }
-    base::setTo(Family::ConfigurationVersion, {}, static_cast<double>(m_view.configuration.version));
-    base::setTo(Family::Sessions, {}, static_cast<double>(m_sessions.size()));
-    base::setTo(Family::Ready, {}, isReady() ? 1 : 0);
-    base::setTo(Family::InvariantViolations, {}, static_cast<double>(base::getCount(base::Counter::InvariantViolations)));
+    base::setGauge(MetricFamily::ConfigurationVersion, {}, static_cast<double>(m_view.configuration.version));
+    base::setGauge(MetricFamily::Sessions, {}, static_cast<double>(m_sessions.size()));
+    base::setGauge(MetricFamily::Ready, {}, isReady() ? 1 : 0);
+    base::setGauge(MetricFamily::InvariantViolations, {}, static_cast<double>(base::getCount(base::Counter::InvariantViolations)));
     auto lines = base::getLogCounts();
-    base::setTo(Family::LogLines, { { "result", "written" } }, static_cast<double>(lines.written));
-    base::setTo(Family::LogLines, { { "result", "left-out" } }, static_cast<double>(lines.leftOut));
-    base::measureProcess();
+    base::setGauge(MetricFamily::LogLines, { { "result", "written" } }, static_cast<double>(lines.written));
+    base::setGauge(MetricFamily::LogLines, { { "result", "left-out" } }, static_cast<double>(lines.droppedLines));
+    base::updateProcessMetrics();
 }
 
-asio::awaitable<links::HttpAnswer> Gateway::answerReady(links::HttpRequest request)
+asio::awaitable<links::HttpResponse> Gateway::handleReadinessRequest(links::HttpRequest request)
 {
-    links::HttpAnswer answer;
+    links::HttpResponse response;
     if (request.path != m_platform->getReadyPath())
-        answer.status = 404;
+        response.status = 404;
     else if (!isReady())
-        answer.status = 503;
-    co_return answer;
+        response.status = 503;
+    co_return response;
 }
 
 bool Gateway::isReady() const
 {
-    return m_view.configuration.version > 0 && m_view.hasMembers && !m_isDraining;
+    return m_view.configuration.version > 0 && m_view.hasListedMembers && !m_isDraining;
 }
 
-HostPlace Gateway::getPlace() const
+LocalHost Gateway::getLocalHost() const
 {
-    return { m_self.name, m_settings.dataCentre, m_isDraining, m_directory.isReachable(), Clock::now() - m_askedToRelayAt < kRelayAskedFor };
+    return { m_self.name, m_settings.dataCentre, m_isDraining, m_directory.isReachable(), Clock::now() - m_relayRequestedAt < kRelayRequestLifetime };
 }
 
-void Gateway::noteReadiness()
+void Gateway::logReadinessChange()
 {
     if (isReady() == m_wasReady)
         return;
@@ -150,10 +150,10 @@
         if (!m_acceptor.is_open())
             return;
         if (!ec) {
-            SessionContext context { m_context, m_platform->getCodec(), m_view, m_router, m_isEnding, m_startedAt + kStartTakes, [this](const std::shared_ptr<CallerSession>& it) { m_sessions.erase(it); } };
-            auto session = std::make_shared<CallerSession>(std::move(context), ++m_lastSession);
+            SessionContext context { m_context, m_platform->getCodec(), m_view, m_router, m_isClosingSessions, m_startedAt + kInitialConfigurationWait, [this](const std::shared_ptr<CallerSession>& it) { m_sessions.erase(it); } };
+            auto session = std::make_shared<CallerSession>(std::move(context), ++m_lastSessionId);
             m_sessions.insert(session);
-            session->begin(std::move(socket));
+            session->start(std::move(socket));
         }
         accept();
     });
@@ -163,11 +163,11 @@
 {
     auto& pool = m_pools[target.member];
     if (!pool) {
-        pool = std::make_shared<TargetPool>(m_context.get_executor(), m_platform->getCodec(), target, m_settings.name, makeObserver());
-        pool->setLimits(getLimits(target));
+        pool = std::make_shared<TargetPool>(m_context.get_executor(), m_platform->getCodec(), target, m_settings.name, makePoolObserver());
+        pool->setLimits(getPoolLimits(target));
         auto member = m_view.members.find(target.member);
-        pool->setTakesNew(member != m_view.members.end() && takesNewOperations(member->second, getDrainTime(), Clock::now()));
-        pool->setComparison(getComparison(target));
+        pool->setAcceptsNewOperations(member != m_view.members.end() && acceptsNewOperations(member->second, getDrainTime(), Clock::now()));
+        pool->setLogComparison(ensureComparison(target));
     }
     return pool;
 }
@@ -175,83 +175,83 @@
 decisions::QuotaRule Gateway::getQuotaRule() const
 {
     auto window = std::chrono::duration<double>(m_settings.quotaWindowSeconds);
-    return { std::chrono::duration_cast<milliseconds>(window), m_settings.quotaOver, m_settings.quotaSlack };
+    return { std::chrono::duration_cast<milliseconds>(window), m_settings.quotaOverrunShare, m_settings.quotaSlackOperations };
 }
 
-// Half of the operators' limit, as two hosts may carry to one member while they disagree on who does.
-PoolLimits Gateway::getLimits(const TargetAddress& target) const
+// Half of the configured limit, because two hosts may forward to one member while they disagree on which of them should.
+PoolLimits Gateway::getPoolLimits(const TargetAddress& target) const
 {
     auto group = m_view.configuration.groups.find(target.group);
-    auto most = group == m_view.configuration.groups.end() ? 0U : group->second.connectionsPerMember;
+    auto configuredLimit = group == m_view.configuration.groups.end() ? 0U : group->second.connectionsPerMember;
     auto member = m_view.members.find(target.member);
-    auto slots = member == m_view.members.end() ? 1U : std::max(1U, member->second.listed.slots);
-    return { std::max(2U, (most - std::min(most, kSpareConnections)) / 2), slots + 1, m_view.configuration.accounts.has_value() };
+    auto slots = member == m_view.members.end() ? 1U : std::max(1U, member->second.registration.slots);
+    return { std::max(2U, (configuredLimit - std::min(configuredLimit, kReservedConnections)) / 2), slots + 1, m_view.configuration.accounts.has_value() };
 }
 
-PoolObserver Gateway::makeObserver()
+PoolObserver Gateway::makePoolObserver()
 {
     PoolObserver observer;
-    observer.getKnown = [this](const TargetAddress& target) { return getKnownMark(m_view.groups[target.group]); };
+    observer.getKnownMark = [this](const TargetAddress& target) { return getNewestKnownMark(m_view.groups[target.group]); };
     observer.onLostLog = [this](const TargetAddress& target, const Mark& position) {
         base::logEvent(LogClass::State, "primary-lost-log", { { "group", std::string_view(target.group) }, { "member", std::string_view(target.member) }, { "term", static_cast<int64_t>(position.term) }, { "position", static_cast<int64_t>(position.position) } });
-        takeLead(target.group, decisions::takeDenial(m_view.groups[target.group].lead, target.member), "denied");
+        setKnownPrimary(target.group, decisions::applyPrimaryDenial(m_view.groups[target.group].primary, target.member), "denied");
     };
-    observer.leads = [this](const TargetAddress& target) { return m_view.groups[target.group].lead.member == target.member; };
-    observer.onLeads = [this](const TargetAddress& target, const Mark& position, TimePoint sentAt) {
-        takeShown(target.group, target.member, position.term, sentAt, ShownTo::ThisHost);
-        if (m_view.groups[target.group].lead.member == target.member) {
-            takeFloor(target.group, { position, sentAt });
-            m_view.groups[target.group].provenAt = Clock::now();
-            m_promoter.noteProof(target.group, Clock::now());
+    observer.isKnownPrimary = [this](const TargetAddress& target) { return m_view.groups[target.group].primary.member == target.member; };
+    observer.onPrimaryProven = [this](const TargetAddress& target, const Mark& position, TimePoint sentAt) {
+        handlePrimaryProof(target.group, target.member, position.term, sentAt, ProofRecipient::ThisHost);
+        if (m_view.groups[target.group].primary.member == target.member) {
+            recordFloor(target.group, { position, sentAt });
+            m_view.groups[target.group].lastProofAt = Clock::now();
+            m_promoter.onPrimaryConfirmed(target.group, Clock::now());
         }
     };
-    observer.onFollows = [this](const TargetAddress& target) {
+    observer.onReplicaReported = [this](const TargetAddress& target) {
         auto& group = m_view.groups[target.group];
-        auto before = group.lead;
-        denyLead(group, target.member, Clock::now());
-        noteLead(target.group, before, "denied");
+        auto before = group.primary;
+        denyPrimary(group, target.member, Clock::now());
+        notifyPrimaryChange(target.group, before, "denied");
     };
     observer.onPosition = [this](const TargetAddress& target, const Mark& position) {
         auto it = m_view.members.find(target.member);
         if (it == m_view.members.end())
             return;
-        it->second.progress = decisions::takePosition(it->second.progress, position, Clock::now());
+        it->second.progress = decisions::applyPosition(it->second.progress, position, Clock::now());
     };
     observer.onAnswer = [this](const TargetAddress& target) {
         auto it = m_view.members.find(target.member);
         if (it == m_view.members.end())
             return;
-        it->second.answeredAt = Clock::now();
-        it->second.troubleAt = {};
+        it->second.lastAnswerAt = Clock::now();
+        it->second.lastFailureAt = {};
     };
-    observer.onTrouble = [this](const TargetAddress& target, const std::string& reason) {
+    observer.onConnectionFailure = [this](const TargetAddress& target, const std::string& reason) {
         auto it = m_view.members.find(target.member);
         if (it == m_view.members.end())
             return;
-        it->second.troubleAt = Clock::now();
+        it->second.lastFailureAt = Clock::now();
         base::logEvent(LogClass::State, "target-trouble", { { "member", std::string_view(target.member) }, { "group", std::string_view(target.group) }, { "reason", std::string_view(reason) } });
-        if (m_view.groups[target.group].lead.member == target.member)
+        if (m_view.groups[target.group].primary.member == target.member)
             raiseAlarm(target.group, reason);
     };
-    observer.onRefused = [](const TargetAddress& target, size_t open, const std::string& reason) {
+    observer.onConnectionRefused = [](const TargetAddress& target, size_t open, const std::string& reason) {
         base::logEvent(LogClass::State, "connection-refused", { { "member", std::string_view(target.member) }, { "group", std::string_view(target.group) }, { "open", static_cast<int64_t>(open) }, { "reason", std::string_view(reason) } });
     };
     return observer;
 }
 
-// Whoever is in charge of the group looks into it.
+// Reports a possible failure of the group's primary to the group's coordinators.
 void Gateway::raiseAlarm(const std::string& group, const std::string& reason)
 {
     m_promoter.raiseAlarm(group, reason);
     auto now = Clock::now();
-    auto& alarmedAt = m_alarmedAt[group];
-    if (now - alarmedAt < decisions::getAlarmInterval(m_view.hosts.size()))
+    auto& lastSentAt = m_alarmsSentAt[group];
+    if (now - lastSentAt < decisions::getAlarmInterval(m_view.hosts.size()))
         return;
-    alarmedAt = now;
-    auto& leader = m_view.groups[group].lead.member;
-    for (auto& name : m_promoter.getOrderers(group)) {
+    lastSentAt = now;
+    auto& primary = m_view.groups[group].primary.member;
+    for (auto& name : m_promoter.getCoordinators(group)) {
         if (name != m_self.name)
-            m_peers.sendAlarm(name, group, leader, reason);
+            m_peers.sendAlarm(name, group, primary, reason);
     }
 }
 
@@ -261,10 +261,10 @@
         it->second->holdWrites(Clock::now() + time);
 }
 
-bool Gateway::isTroubled(const TargetAddress& target) const
+bool Gateway::isUnreachable(const TargetAddress& target) const
 {
     auto it = m_view.members.find(target.member);
-    return it != m_view.members.end() && it->second.troubleAt != TimePoint {} && Clock::now() - it->second.troubleAt < kTroubleFor;
+    return it != m_view.members.end() && it->second.lastFailureAt != TimePoint {} && Clock::now() - it->second.lastFailureAt < kUnreachableCooldown;
 }
 
 void Gateway::fillStatus(peer::Pong& message) const
@@ -272,112 +272,112 @@
     message.set_configuration(m_view.configuration.version);
     message.set_change(m_directory.getNewestChange());
     message.set_is_leaving(m_isDraining);
-    auto ability = m_promoter.getAbility();
-    message.set_lacks_store(!ability.hasStore);
-    message.set_lacks_orders(!ability.hasOrders);
+    auto capabilities = m_promoter.getCapabilities();
+    message.set_lacks_store(!capabilities.hasStore);
+    message.set_lacks_orders(!capabilities.canOrder);
 }
 
-void Gateway::takeStatus(const peer::Pong& message, TimePoint sentAt)
+void Gateway::handlePong(const peer::Pong& message, TimePoint sentAt)
 {
     if (message.entries_until() != 0)
-        m_directory.takeChanges(readChanges(message, sentAt));
+        m_directory.applyRelayedChanges(decodeChanges(message, sentAt));
     m_directory.refreshConfiguration(message.configuration());
-    m_directory.hearChange(message.change());
-    auto leadTimes = findLeadTimes(message, sentAt);
+    m_directory.applyReportedRevision(message.change());
+    auto evidenceTimes = findEvidenceTimes(message, sentAt);
     for (int i = 0; i < message.leads_size(); ++i) {
         auto& it = message.leads(i);
-        auto& askedAt = leadTimes[static_cast<size_t>(i)];
+        auto& askedAt = evidenceTimes[static_cast<size_t>(i)];
         if (!m_view.members.contains(it.member()))
             continue;
         if (askedAt)
-            takeShown(it.group(), it.member(), it.term(), *askedAt, ShownTo::AnotherHost);
+            handlePrimaryProof(it.group(), it.member(), it.term(), *askedAt, ProofRecipient::AnotherHost);
         else
-            takeAssumed(it.group(), it.member(), it.term());
+            handleAssumedPrimary(it.group(), it.member(), it.term());
     }
-    takePositions(m_view, message, sentAt);
+    applyPositions(m_view, message, sentAt);
     for (auto& it : message.floors()) {
         auto provenAt = sentAt - microseconds(it.age_us());
-        takeFloor(it.group(), { { it.mark().term(), it.mark().position() }, provenAt });
-        m_promoter.noteProof(it.group(), provenAt);
+        recordFloor(it.group(), { { it.mark().term(), it.mark().position() }, provenAt });
+        m_promoter.onPrimaryConfirmed(it.group(), provenAt);
     }
 }
 
-PeerService Gateway::makePeerService()
+PeerCallbacks Gateway::makePeerCallbacks()
 {
-    PeerService service;
-    service.findPool = [this](const std::string& id) -> std::shared_ptr<TargetPool> {
+    PeerCallbacks callbacks;
+    callbacks.findPool = [this](const std::string& id) -> std::shared_ptr<TargetPool> {
         auto member = m_view.members.find(id);
         return member == m_view.members.end() ? nullptr : getPool(member->second.getTarget());
     };
-    service.isTroubled = [this](const TargetAddress& target) { return isTroubled(target); };
-    service.inquire = [this](const TargetAddress& target, std::function<void(const StatusReport&)> done) { inquire(target, std::move(done)); };
-    service.onAlarm = [this](const std::string& group, const std::string& member, const std::string& reason) {
-        if (m_view.groups[group].lead.member == member || member.empty())
+    callbacks.isUnreachable = [this](const TargetAddress& target) { return isUnreachable(target); };
+    callbacks.queryStatus = [this](const TargetAddress& target, std::function<void(const StatusReport&)> done) { queryStatus(target, std::move(done)); };
+    callbacks.onAlarm = [this](const std::string& group, const std::string& member, const std::string& reason) {
+        if (m_view.groups[group].primary.member == member || member.empty())
             m_promoter.raiseAlarm(group, reason);
     };
-    service.onHoldWrites = [this](const std::string&, const std::string& member, milliseconds time) { holdWrites(member, time); };
-    service.onLead = [this](const std::string& host, const std::string& group, const std::string& member, uint64_t term) {
-        m_promoter.noteOrder(group, host);
+    callbacks.onHoldWrites = [this](const std::string&, const std::string& member, milliseconds time) { holdWrites(member, time); };
+    callbacks.onPrimaryAnnounced = [this](const std::string& host, const std::string& group, const std::string& member, uint64_t term) {
+        m_promoter.onPromotionOrdered(group, host);
         if (!m_view.members.contains(member))
             return;
-        takeOrdered(group, member, term);
+        handlePromotionOrder(group, member, term);
     };
-    service.fillPing = [this](peer::Ping& ping) {
+    callbacks.fillPing = [this](peer::Ping& ping) {
         ping.set_configuration(m_view.configuration.version);
         ping.set_change(m_directory.getNewestChange());
         ping.set_is_leaving(m_isDraining);
         if (ping.wants_loads())
             ping.set_known_revision(m_directory.getRevision());
     };
-    service.fillPong = [this](const peer::Ping& ping, peer::Pong& pong) {
+    callbacks.fillPong = [this](const peer::Ping& ping, peer::Pong& pong) {
         auto now = Clock::now();
         fillStatus(pong);
-        writeGroups(pong, m_view, ping.wants_heard(), now);
+        writeGroupStatus(pong, m_view, ping.wants_heard(), now);
         if (ping.wants_heard()) {
-            m_partnersDue = m_partnersDue || now - m_askedToRelayAt > kRelayAskedFor;
-            m_askedToRelayAt = now;
-            m_peers.writeHeard(pong, ping.wants_loads());
+            m_isPartnerChoiceDue = m_isPartnerChoiceDue || now - m_relayRequestedAt > kRelayRequestLifetime;
+            m_relayRequestedAt = now;
+            m_peers.writePartnerReports(pong, ping.wants_loads());
             if (ping.known_revision() != 0)
-                writeChanges(pong, m_directory.getChanges(ping.known_revision()), now);
+                encodeChanges(pong, m_directory.getChanges(ping.known_revision()), now);
         }
         for (auto& [member, pool] : m_pools) {
-            bool isOfUse = pool->isCarrier() || isTroubled(pool->getTarget());
-            if (!isOfUse)
+            bool isReported = pool->isForwarder() || isUnreachable(pool->getTarget());
+            if (!isReported)
                 continue;
-            writeLoad(*pong.add_loads(), member, pool->getLoad(), isTroubled(pool->getTarget()));
+            encodeLoad(*pong.add_loads(), member, pool->getLoad(), isUnreachable(pool->getTarget()));
         }
         for (auto& wire : *pong.mutable_loads())
             writePosition(wire, m_view, now);
     };
-    service.onPing = [this](const std::string&, const peer::Ping& ping) {
+    callbacks.onPing = [this](const std::string&, const peer::Ping& ping) {
         m_directory.refreshConfiguration(ping.configuration());
-        m_directory.hearChange(ping.change());
+        m_directory.applyReportedRevision(ping.change());
     };
-    service.onPong = [this](const std::string&, const peer::Pong& pong, TimePoint sentAt) { takeStatus(pong, sentAt); };
-    service.answerMembers = [this](const peer::MembersQuestion& question, peer::MembersAnswer& answer) {
+    callbacks.onPong = [this](const std::string&, const peer::Pong& pong, TimePoint sentAt) { handlePong(pong, sentAt); };
+    callbacks.fillMembersAnswer = [this](const peer::MembersQuestion& question, peer::MembersAnswer& answer) {
         answer.set_lacks_store(m_directory.mayMissChanges());
         if (!answer.lacks_store())
-            writeMembers(answer, m_view, question.since(), Clock::now());
+            encodeMembers(answer, m_view, question.since(), Clock::now());
     };
-    service.onMembers = [this](const std::string&, const peer::MembersAnswer& answer, TimePoint sentAt) { takeMembers(answer, sentAt); };
-    service.takeQuotaReport = [this](const peer::QuotaReport& report) { return m_quotas.takeReport(report); };
-    service.answerQuotaAsk = [this](const peer::QuotaAsk& ask) { return m_quotas.answerAsk(ask); };
-    service.onQuotaState = [this](const std::string& host, const peer::QuotaState& state) { m_quotas.takeState(host, state); };
-    service.onQuotaAnswer = [this](const std::string& host, const peer::QuotaAnswer& answer) { m_quotas.takeAnswer(host, answer); };
-    service.onLink = [](const std::string& host, bool isUp, const std::string& reason) { base::addTo(base::Family::HostChanges, {{"peer", host}, {"change", isUp ? "regained" : "lost"}}); base::logEvent(LogClass::State, isUp ? "host-regained" : "host-lost", { { "peer", std::string_view(host) }, { "reason", std::string_view(reason) } }); };
-    return service;
+    callbacks.onMembersAnswer = [this](const std::string&, const peer::MembersAnswer& answer, TimePoint sentAt) { handleMembersAnswer(answer, sentAt); };
+    callbacks.handleQuotaReport = [this](const peer::QuotaReport& report) { return m_quotas.handleReport(report); };
+    callbacks.handleQuotaAsk = [this](const peer::QuotaAsk& ask) { return m_quotas.handleAsk(ask); };
+    callbacks.onQuotaState = [this](const std::string& host, const peer::QuotaState& state) { m_quotas.handleState(host, state); };
+    callbacks.onQuotaAnswer = [this](const std::string& host, const peer::QuotaAnswer& answer) { m_quotas.handleAnswer(host, answer); };
+    callbacks.onHostChange = [](const std::string& host, bool isUp, const std::string& reason) { base::incrementCounter(base::MetricFamily::HostChanges, {{"peer", host}, {"change", isUp ? "regained" : "lost"}}); base::logEvent(LogClass::State, isUp ? "host-regained" : "host-lost", { { "peer", std::string_view(host) }, { "reason", std::string_view(reason) } }); };
+    return callbacks;
 }
 
-// The least that any route lets its reads miss; 0: none lets them miss anything.
-static milliseconds getLeastAge(const links::GatewayConfiguration& configuration)
+// The lowest staleness limit of all routes that allow stale reads; 0: none does.
+static milliseconds getMinStalenessLimit(const links::GatewayConfiguration& configuration)
 {
-    milliseconds least { 0 };
+    milliseconds minLimit { 0 };
     for (auto& [database, route] : configuration.routes) {
-        bool mayMiss = route.consistency != decisions::Consistency::Primary && route.maximumAge.count() > 0;
-        if (mayMiss && (least.count() == 0 || route.maximumAge < least))
-            least = route.maximumAge;
+        bool allowsStaleReads = route.consistency != decisions::Consistency::Primary && route.maximumAge.count() > 0;
+        if (allowsStaleReads && (minLimit.count() == 0 || route.maximumAge < minLimit))
+            minLimit = route.maximumAge;
     }
-    return least;
+    return minLimit;
 }
 
 DirectoryEvents Gateway::makeDirectoryEvents()
@@ -386,118 +386,119 @@
     events.onConfiguration = [this](const links::GatewayConfiguration& configuration) {
         base::logEvent(LogClass::State, "configuration", { { "version", static_cast<int64_t>(configuration.version) }, { "before", static_cast<int64_t>(m_view.configuration.version) }, { "routes", static_cast<int64_t>(configuration.routes.size()) } });
         m_view.configuration = configuration;
-        m_view.isPlacementDue = true;
-        m_quietInterval = decisions::getPingInterval(getLeastAge(configuration));
-        m_partnersDue = true;
+        m_view.isForwardingUpdateDue = true;
+        m_basePingInterval = decisions::getPingInterval(getMinStalenessLimit(configuration));
+        m_isPartnerChoiceDue = true;
     };
-    events.onMember = [this](const links::ListedMember& member, uint64_t revision, std::optional<TimePoint> changedAt) {
-        takeListed(member, revision, changedAt ? *changedAt : decisions::assumeLeavingSince(getDrainTime(), Clock::now()), "listed");
+    events.onMemberChanged = [this](const links::RegisteredMember& member, uint64_t revision, std::optional<TimePoint> changedAt) {
+        handleMemberListed(member, revision, changedAt ? *changedAt : decisions::estimateLeavingSince(getDrainTime(), Clock::now()), "listed");
     };
-    events.onMemberGone = [this](const std::string& id, uint64_t revision) { takeUnlisted(id, revision, "listed"); };
-    events.onMembersRead = [this] { m_view.hasMembers = true; };
-    events.onHost = [this](const links::ListedHost& host) {
+    events.onMemberRemoved = [this](const std::string& id, uint64_t revision) { handleMemberUnlisted(id, revision, "listed"); };
+    events.onMembersListed = [this] { m_view.hasListedMembers = true; };
+    events.onHostChanged = [this](const links::RegisteredHost& host) {
         if (host.name == m_self.name)
             return;
-        m_hostsGoneAt.erase(host.name);
-        takeHost(m_view, host);
-        m_hostsDue = true;
+        m_hostsRemovedAt.erase(host.name);
+        updateHost(m_view, host);
+        m_isPeerUpdateDue = true;
     };
-    events.onHostGone = [this](const std::string& name) {
+    events.onHostRemoved = [this](const std::string& name) {
         if (name != m_self.name && m_view.hosts.contains(name))
-            m_hostsGoneAt[name] = Clock::now();
+            m_hostsRemovedAt[name] = Clock::now();
     };
-    events.onSuccession = [this](const std::string& group, const links::StoreItem& item) { m_promoter.takeSuccession(group, item); };
-    events.onNearAccounts = [this](size_t shard, const std::set<std::string>& accounts) { m_quotas.takeWritten(shard, accounts); };
+    events.onCoordinatorRecord = [this](const std::string& group, const links::StoreItem& item) { m_promoter.applyCoordinatorRecord(group, item); };
+    events.onNearQuotaAccounts = [this](size_t shard, const std::set<std::string>& accounts) { m_quotas.applyStoredNearQuota(shard, accounts); };
     return events;
 }
 
-void Gateway::writeNearAccounts(size_t shard, const std::set<std::string>& accounts, std::function<void(bool)> done)
+void Gateway::writeNearQuotaAccounts(size_t shard, const std::set<std::string>& accounts, std::function<void(bool)> done)
 {
-    asio::co_spawn(m_context, m_directory.writeNearAccounts(shard, accounts), [done = std::move(done)](const std::exception_ptr& error, bool isDone) { done(!error && isDone); });
+    asio::co_spawn(m_context, m_directory.writeNearQuotaAccounts(shard, accounts), [done = std::move(done)](const std::exception_ptr& error, bool isDone) { done(!error && isDone); });
 }
 
-void Gateway::tellPeers()
+void Gateway::updatePeerHosts()
 {
-    std::vector<links::ListedHost> hosts;
+    std::vector<links::RegisteredHost> hosts;
     for (auto& [name, it] : m_view.hosts)
         hosts.push_back(it);
     m_peers.setHosts(hosts);
-    m_hostsDue = false;
-    m_partnersDue = true;
+    m_isPeerUpdateDue = false;
+    m_isPartnerChoiceDue = true;
 }
 
-// An entry may have lapsed with the store: a host stays while it answers, or until it had time to be listed again.
+// Removes hosts whose entries are gone and updates partners and relays. An entry may have expired because the store was unreachable: its host
+// is kept while it answers, or until it had time to write the entry again.
 void Gateway::sweepHosts(TimePoint now)
 {
-    auto gone = m_hostsGoneAt;
-    for (auto& [name, since] : gone) {
-        if (m_peers.isAnswering(name) || (now - since < kListedAgain && m_peers.isUp(name)))
+    auto removedHosts = m_hostsRemovedAt;
+    for (auto& [name, since] : removedHosts) {
+        if (m_peers.isAnswering(name) || (now - since < kRelistTime && m_peers.isUp(name)))
             continue;
-        m_hostsGoneAt.erase(name);
-        dropHost(m_view, name);
-        m_hostsDue = true;
+        m_hostsRemovedAt.erase(name);
+        removeHost(m_view, name);
+        m_isPeerUpdateDue = true;
     }
-    if (m_hostsDue)
-        tellPeers();
-    if (!m_partnersDue && now - m_partnersAt < kPartnersInterval)
+    if (m_isPeerUpdateDue)
+        updatePeerHosts();
+    if (!m_isPartnerChoiceDue && now - m_partnersChosenAt < kPartnersInterval)
         return;
-    m_partnersDue = false;
-    m_partnersAt = now;
-    // Decided anew with the partners: a watcher that stops or falls silent is replaced by the next.
-    auto partners = choosePartners(m_view, m_peers, getPlace(), m_promoter.getOrdererPlace(), m_quietInterval);
+    m_isPartnerChoiceDue = false;
+    m_partnersChosenAt = now;
+    // Chosen together with the partners: a relay that stops or does not answer is replaced by the next host.
+    auto partners = choosePartners(m_view, m_peers, getLocalHost(), m_promoter.getCoordinatorRole(), m_basePingInterval);
     m_peers.setPartners(partners);
-    auto relays = getRelays(m_view, m_peers, getPlace());
-    bool isWatcher = std::ranges::find(relays, m_self.name) != relays.end() || getPlace().isAskedToRelay;
-    bool hasRelay = std::ranges::any_of(partners, [](auto& it) { return it.second.tellsLoads; });
+    auto relays = getRelays(m_view, m_peers, getLocalHost());
+    bool isWatcher = std::ranges::find(relays, m_self.name) != relays.end() || getLocalHost().isAskedToRelay;
+    bool hasRelay = std::ranges::any_of(partners, [](auto& it) { return it.second.reportsLoads; });
     m_directory.setWatcher(isWatcher, hasRelay);
-    m_directory.setLostByRelays(std::ranges::none_of(partners, [this](auto& it) { return it.second.isRelay && m_peers.getAbility(it.first).hasStore; }));
+    m_directory.setStoreLostByRelays(std::ranges::none_of(partners, [this](auto& it) { return it.second.isRelay && m_peers.getCapabilities(it.first).hasStore; }));
     if (relays == m_relays)
         return;
     m_relays = relays;
     base::logEvent(LogClass::State, "relays", { { "hosts", std::string_view(fmt::format("{}", fmt::join(relays, " "))) } });
 }
 
-// Asks a member for its status on a connection of its own. Any answer to ordinary statements meanwhile shows that it lives, too.
-void Gateway::inquire(const TargetAddress& target, std::function<void(const StatusReport&)> done)
+// Queries a member's status on a separate connection. An answer to any statement in the meantime counts as a reachable member, too.
+void Gateway::queryStatus(const TargetAddress& target, std::function<void(const StatusReport&)> done)
 {
     auto session = std::make_shared<TargetSession>(m_context.get_executor(), m_platform->getCodec());
-    auto began = Clock::now();
-    auto shared = std::make_shared<std::function<void(const StatusReport&)>>(std::move(done));
-    auto timer = std::make_shared<asio::steady_timer>(m_context, kInquiryLimit);
-    auto finish = [this, shared, session, timer, target, began](const StatusReport& finding) {
-        if (!*shared)
+    auto startedAt = Clock::now();
+    auto callback = std::make_shared<std::function<void(const StatusReport&)>>(std::move(done));
+    auto timer = std::make_shared<asio::steady_timer>(m_context, kStatusQueryTimeout);
+    auto finish = [this, callback, session, timer, target, startedAt](const StatusReport& report) {
+        if (!*callback)
             return;
-        auto found = finding;
+        auto result = report;
         auto member = m_view.members.find(target.member);
-        if (member != m_view.members.end() && member->second.answeredAt > began)
-            found.wasReached = true;
-        auto call = std::move(*shared);
-        *shared = nullptr;
+        if (member != m_view.members.end() && member->second.lastAnswerAt > startedAt)
+            result.wasReached = true;
+        auto call = std::move(*callback);
+        *callback = nullptr;
         timer->cancel();
         session->close();
-        call(found);
+        call(result);
     };
     timer->async_wait([finish](boost::system::error_code ec) {
         if (!ec)
             finish({});
     });
     session->open(
-        target, m_settings.name, kInquiryLimit, [this, session, finish](const Outcome& outcome) {
+        target, m_settings.name, kStatusQueryTimeout, [this, session, finish](const Outcome& outcome) {
             if (outcome.error) {
-                // A member that refuses lives; one that is another than expected does not count.
-                StatusReport finding;
-                finding.wasReached = outcome.error->kind == ErrorKind::TooManyConnections || outcome.error->kind == ErrorKind::Overloaded;
-                finish(finding);
+                // A refusal for lack of capacity shows that the member is alive. Other errors, such as another member at the address, do not.
+                StatusReport report;
+                report.wasReached = outcome.error->kind == ErrorKind::TooManyConnections || outcome.error->kind == ErrorKind::Overloaded;
+                finish(report);
                 return;
             }
-            session->ask(m_platform->getCodec().formatStatusQuestion(), [this, finish](const Outcome& answer) {
-                StatusReport finding;
-                finding.wasReached = !answer.error || answer.error->kind == ErrorKind::Overloaded;
+            session->sendStatement(m_platform->getCodec().formatStatusQuery(), [this, finish](const Outcome& answer) {
+                StatusReport report;
+                report.wasReached = !answer.error || answer.error->kind == ErrorKind::Overloaded;
                 if (!answer.error && !answer.rows.empty()) {
                     if (auto status = m_platform->getCodec().parseStatus(answer.rows.front()))
-                        finding.status = *status;
+                        report.status = *status;
                 }
-                finish(finding);
+                finish(report);
             }); },
         [finish](const std::string&) { finish({}); });
 }
@@ -505,9 +506,9 @@
 void Gateway::sweep()
 {
     auto now = Clock::now();
-    noteReadiness();
+    logReadinessChange();
     sweepHosts(now);
-    askForMembers(now);
+    refreshMembersFromPeers(now);
     sweepPools(now);
     m_peers.sweep(now);
     m_quotas.sweep(now);
@@ -515,77 +516,77 @@
     m_promoter.sweep(now);
     sweepSessions(now);
     if (m_isDraining)
-        sweepStop(now);
+        advanceShutdown(now);
     base::flushEventLog();
 }
 
-// What a session waits for lasts seconds, but for its host's first configuration.
+// Session timeouts are seconds long, so the interval can be coarse, except while sessions wait for the host's first configuration.
 void Gateway::sweepSessions(TimePoint now)
 {
-    bool isStarting = now < m_startedAt + kStartTakes;
-    if (!isStarting && now - m_sessionsAt < kSessionsInterval)
+    bool isStarting = now < m_startedAt + kInitialConfigurationWait;
+    if (!isStarting && now - m_sessionsSweptAt < kSessionSweepInterval)
         return;
-    m_sessionsAt = now;
+    m_sessionsSweptAt = now;
     auto sessions = std::vector(m_sessions.begin(), m_sessions.end());
     for (auto& it : sessions)
         it->sweep(now);
 }
 
-void Gateway::forgetUnlisted(TimePoint now)
+void Gateway::sweepUnlistedMembers(TimePoint now)
 {
-    if (now - m_forgottenAt < kForgetInterval)
+    if (now - m_unlistedSweptAt < kUnlistedSweepInterval)
         return;
-    m_forgottenAt = now;
-    for (auto& id : forgetMembers(m_view, kUnlistedFor, now)) {
+    m_unlistedSweptAt = now;
+    for (auto& id : removeUnlistedMembers(m_view, kUnlistedRetention, now)) {
         auto it = m_pools.find(id);
         if (it == m_pools.end())
             continue;
-        it->second->shutDown("the member is gone");
+        it->second->shutDown("the member is no longer listed");
         m_pools.erase(it);
     }
 }
 
 void Gateway::sweepPools(TimePoint now)
 {
-    forgetUnlisted(now);
-    bool isPlacementDue = m_view.isPlacementDue || m_placedVersion != m_peers.getVersion() || now - m_placedAt >= kPlacementInterval;
-    if (isPlacementDue)
-        placePools(now);
+    sweepUnlistedMembers(now);
+    bool isUpdateDue = m_view.isForwardingUpdateDue || m_forwardingHostsVersion != m_peers.getVersion() || now - m_forwardingUpdatedAt >= kForwardingUpdateInterval;
+    if (isUpdateDue)
+        updateForwarding(now);
     for (auto& [id, pool] : m_pools) {
         auto member = m_view.members.find(id);
         bool isKnown = member != m_view.members.end();
-        pool->setTakesNew(isKnown && takesNewOperations(member->second, getDrainTime(), now));
-        bool isBehind = isKnown && (mustShow(member->second) || isFarBehind(m_view.groups[member->second.listed.group], member->second, now));
-        pool->setPositionInterval(isBehind && pool->isCarrier() ? kPositionInterval : milliseconds(0));
+        pool->setAcceptsNewOperations(isKnown && acceptsNewOperations(member->second, getDrainTime(), now));
+        bool isBehind = isKnown && (mustReportPosition(member->second) || isFarBehind(m_view.groups[member->second.registration.group], member->second, now));
+        pool->setPositionInterval(isBehind && pool->isForwarder() ? kPositionInterval : milliseconds(0));
         pool->sweep(now);
     }
 }
 
-// What this host carries changes when a host or a member comes, goes or changes its role. Walking all members each 20 ms for it took a fifth of an
-// idle host's processor time at 295 hosts and 60 members.
-void Gateway::placePools(TimePoint now)
+// Determines the members that this host forwards to. Runs on changes of hosts, members or roles and else at kForwardingUpdateInterval, because
+// the cost grows with the number of hosts and members.
+void Gateway::updateForwarding(TimePoint now)
 {
-    m_view.isPlacementDue = false;
-    m_placedVersion = m_peers.getVersion();
-    m_placedAt = now;
-    auto place = getPlace();
+    m_view.isForwardingUpdateDue = false;
+    m_forwardingHostsVersion = m_peers.getVersion();
+    m_forwardingUpdatedAt = now;
+    auto localHost = getLocalHost();
     for (auto& [id, member] : m_view.members) {
-        // Asked again while nobody is known to lead: one answer that is missing or came too early would leave this host's callers without a primary for good.
-        if (m_view.groups[member.listed.group].lead.member.empty() && now - member.leadAskedAt >= kLeadAskInterval)
-            askWhetherItLeads(member);
-        bool leads = m_view.groups[member.listed.group].lead.member == id;
-        if ((leads || mustShow(member)) && isCarrier(m_view, m_peers, place, member))
+        // Repeated until a primary is known: after a lost or premature answer this host's callers would stay without a primary.
+        if (m_view.groups[member.registration.group].primary.member.empty() && now - member.primaryQueriedAt >= kPrimaryClaimCheckInterval)
+            verifyPrimaryClaim(member);
+        bool isPrimary = m_view.groups[member.registration.group].primary.member == id;
+        if ((isPrimary || mustReportPosition(member)) && isForwarder(m_view, m_peers, localHost, member))
             getPool(member.getTarget());
     }
     for (auto& [id, pool] : m_pools) {
         auto member = m_view.members.find(id);
         bool isKnown = member != m_view.members.end();
-        bool leads = isKnown && m_view.groups[member->second.listed.group].lead.member == id;
-        pool->setLimits(getLimits(pool->getTarget())); // configuration and list may have come after the pool
-        pool->setComparison(getComparison(pool->getTarget()));
-        bool carries = isKnown && isCarrier(m_view, m_peers, place, member->second);
-        pool->setCarrier(carries);
-        pool->setProofInterval(leads && carries ? kProofInterval : milliseconds(0));
+        bool isPrimary = isKnown && m_view.groups[member->second.registration.group].primary.member == id;
+        pool->setLimits(getPoolLimits(pool->getTarget())); // configuration and members may have changed since the pool was created
+        pool->setLogComparison(ensureComparison(pool->getTarget()));
+        bool isForwarding = isKnown && isForwarder(m_view, m_peers, localHost, member->second);
+        pool->setForwarder(isForwarding);
+        pool->setProofInterval(isPrimary && isForwarding ? kProofInterval : milliseconds(0));
     }
 }
 
@@ -598,46 +599,46 @@
     m_settings = settings;
 }
 
-void Gateway::beginStop()
+void Gateway::startShutdown()
 {
     if (m_isDraining)
         return;
     m_isDraining = true;
-    m_view.isPlacementDue = true;
-    m_stopBegan = Clock::now();
-    base::logEvent(LogClass::State, "stop-begins", { { "sessions", static_cast<int64_t>(m_sessions.size()) }, { "grace_ms", static_cast<int64_t>(m_settings.graceMs) } });
+    m_view.isForwardingUpdateDue = true;
+    m_shutdownStartedAt = Clock::now();
+    base::logEvent(LogClass::State, "stop-begins", { { "sessions", static_cast<int64_t>(m_sessions.size()) }, { "grace_ms", static_cast<int64_t>(m_settings.stopGraceMs) } });
 }
 
-// The balancer needs a while to send no more callers; then sessions are closed as they come to rest, and at half of the grace time
-// transactions are ended.
-void Gateway::sweepStop(TimePoint now)
+// Serves new callers until the load balancer has noticed the stop. Then closes sessions when they become idle, and aborts open transactions
+// after half of the grace period.
+void Gateway::advanceShutdown(TimePoint now)
 {
-    auto passed = now - m_stopBegan;
-    auto grace = milliseconds(m_settings.graceMs);
-    if (passed < std::min(kNoticeTime, grace / 2))
+    auto elapsed = now - m_shutdownStartedAt;
+    auto gracePeriod = milliseconds(m_settings.stopGraceMs);
+    if (elapsed < std::min(kLoadBalancerNoticeTime, gracePeriod / 2))
         return;
-    if (!m_isEnding)
+    if (!m_isClosingSessions)
         base::logEvent(LogClass::State, "stop-closing", { { "sessions", static_cast<int64_t>(m_sessions.size()) } });
-    m_isEnding = true;
+    m_isClosingSessions = true;
     auto sessions = std::vector(m_sessions.begin(), m_sessions.end());
     for (auto& it : sessions) {
         it->drain();
-        if (passed > grace / 2 && it->isBusy() && !it->isRunning())
+        if (elapsed > gracePeriod / 2 && it->isBusy() && !it->isRunning())
             it->abort();
     }
-    if (!m_sessions.empty() && passed < grace - kEndReserve)
+    if (!m_sessions.empty() && elapsed < gracePeriod - kShutdownReserve)
         return;
-    m_sweep.stop();
-    asio::co_spawn(m_context, finishStop(), asio::detached);
+    m_sweepTimer.stop();
+    asio::co_spawn(m_context, finishShutdown(), asio::detached);
 }
 
-asio::awaitable<void> Gateway::finishStop()
+asio::awaitable<void> Gateway::finishShutdown()
 {
-    auto cut = static_cast<int64_t>(m_sessions.size());
+    auto closedSessions = static_cast<int64_t>(m_sessions.size());
     m_peers.stop();
-    co_await m_directory.end();
-    co_await base::sleepFor(kLastAnswers);
-    base::logEvent(LogClass::State, "stop", { { "sessions_cut", cut } });
+    co_await m_directory.stop();
+    co_await base::sleepFor(kSocketFlushTime);
+    base::logEvent(LogClass::State, "stop", { { "sessions_cut", closedSessions } });
     base::flushEventLog();
     m_context.stop();
 }
--- a/src/gateway/member_exchange.cpp
+++ b/src/gateway/member_exchange.cpp
@@ -4,38 +4,38 @@
 
 namespace alderward::gateway {
 
-static void writeMember(peer::MemberEntry& wire, const MemberBelief& member, TimePoint now)
+static void encodeMember(peer::MemberEntry& wire, const MemberView& member, TimePoint now)
 {
-    auto& listed = member.listed;
-    wire.set_id(listed.id);
-    wire.set_group(listed.group);
-    wire.set_address(listed.address);
-    wire.set_data_centre(listed.dataCentre);
-    wire.set_slots(listed.slots);
-    wire.set_is_leaving(listed.isLeaving);
-    wire.set_says_primary(listed.saysPrimary);
+    auto& registration = member.registration;
+    wire.set_id(registration.id);
+    wire.set_group(registration.group);
+    wire.set_address(registration.address);
+    wire.set_data_centre(registration.dataCentre);
+    wire.set_slots(registration.slots);
+    wire.set_is_leaving(registration.isLeaving);
+    wire.set_says_primary(registration.saysPrimary);
     wire.set_revision(member.revision);
-    wire.set_born(listed.life.born);
-    wire.set_sequence(listed.life.sequence);
+    wire.set_born(registration.incarnation.startedAtMs);
+    wire.set_sequence(registration.incarnation.sequence);
     wire.set_is_unlisted(member.unlistedAt.has_value());
     if (member.leavingSince)
         wire.set_leaving_ms(static_cast<uint64_t>(std::chrono::duration_cast<milliseconds>(now - *member.leavingSince).count()));
 }
 
-void writeMembers(peer::MembersAnswer& wire, const ClusterView& view, uint64_t since, TimePoint now)
+void encodeMembers(peer::MembersAnswer& wire, const ClusterView& view, uint64_t since, TimePoint now)
 {
-    bool isWhole = view.forgottenRevision > since;
-    wire.set_is_whole(isWhole);
+    bool isComplete = view.removedRevision > since;
+    wire.set_is_whole(isComplete);
     wire.set_revision(view.membersRevision);
     for (auto& [id, member] : view.members) {
-        if (isWhole || member.revision > since)
-            writeMember(*wire.add_members(), member, now);
+        if (isComplete || member.revision > since)
+            encodeMember(*wire.add_members(), member, now);
     }
 }
 
-links::ListedMember readMember(const peer::MemberEntry& wire)
+links::RegisteredMember decodeMember(const peer::MemberEntry& wire)
 {
-    links::ListedMember member;
+    links::RegisteredMember member;
     member.id = wire.id();
     member.group = wire.group();
     member.address = wire.address();
@@ -43,14 +43,14 @@
     member.slots = wire.slots();
     member.isLeaving = wire.is_leaving();
     member.saysPrimary = wire.says_primary();
-    member.life = { wire.born(), wire.sequence() };
+    member.incarnation = { wire.born(), wire.sequence() };
     return member;
 }
 
-void writeChanges(peer::Pong& wire, const ToldChanges& told, TimePoint now)
+void encodeChanges(peer::Pong& wire, const RelayedChanges& batch, TimePoint now)
 {
-    wire.set_entries_until(told.until);
-    for (auto& it : told.changes) {
+    wire.set_entries_until(batch.untilRevision);
+    for (auto& it : batch.changes) {
         auto& entry = *wire.add_entries();
         entry.set_key(it.item.key);
         entry.set_revision(it.item.revision);
@@ -59,35 +59,35 @@
         if (!it.isLarge)
             entry.set_value(it.item.value);
         entry.set_is_old(!it.changedAt);
-        entry.set_age_us(static_cast<uint64_t>(std::chrono::duration_cast<std::chrono::microseconds>(now - it.heardAt).count()));
+        entry.set_age_us(static_cast<uint64_t>(std::chrono::duration_cast<std::chrono::microseconds>(now - it.receivedAt).count()));
     }
 }
 
-ToldChanges readChanges(const peer::Pong& wire, TimePoint sentAt)
+RelayedChanges decodeChanges(const peer::Pong& wire, TimePoint sentAt)
 {
-    ToldChanges told;
-    told.until = wire.entries_until();
+    RelayedChanges batch;
+    batch.untilRevision = wire.entries_until();
     for (auto& it : wire.entries()) {
-        auto heardAt = sentAt - std::chrono::microseconds(it.age_us());
+        auto receivedAt = sentAt - std::chrono::microseconds(it.age_us());
         links::StoreItem item { .key = it.key(), .value = it.value(), .revision = it.revision(), .isDeleted = it.is_deleted() };
-        told.changes.push_back({ std::move(item), it.is_old() ? std::nullopt : std::optional(heardAt), heardAt, it.is_large() });
+        batch.changes.push_back({ std::move(item), it.is_old() ? std::nullopt : std::optional(receivedAt), receivedAt, it.is_large() });
     }
-    return told;
+    return batch;
 }
 
-std::vector<std::string> findMissing(const peer::MembersAnswer& wire, const ClusterView& view)
+std::vector<std::string> findAbsentMembers(const peer::MembersAnswer& wire, const ClusterView& view)
 {
-    std::vector<std::string> missing;
+    std::vector<std::string> absent;
     if (!wire.is_whole())
-        return missing;
-    std::set<std::string> told;
+        return absent;
+    std::set<std::string> listedIds;
     for (auto& it : wire.members())
-        told.insert(it.id());
+        listedIds.insert(it.id());
     for (auto& [id, member] : view.members) {
-        if (!told.contains(id) && member.revision <= wire.revision())
-            missing.push_back(id);
+        if (!listedIds.contains(id) && member.revision <= wire.revision())
+            absent.push_back(id);
     }
-    return missing;
+    return absent;
 }
 
 }
--- a/src/gateway/member_exchange.h
+++ b/src/gateway/member_exchange.h
@@ -1,7 +1,5 @@
-// What a host that has the platform's store tells one that has lost it: which members there are and which of them leave. Without it such a host sends
-// its callers to members that have ended, and knows none that came since.
-//
-// Asked for, not sent around: it costs nothing while the store is there. Hearsay is not passed on; only a host that reads the store itself answers.
+// Messages by which hosts that read the platform's store report members to hosts that can't reach it, and changes to hosts that they relay to.
+// Without them, a host that has lost the store would send statements to members that have ended. Received reports of members are not passed on.
 #pragma once
 #include "gateway/cluster_view.h"
 #include "gateway/directory.h"
@@ -9,18 +7,17 @@
 
 namespace alderward::gateway {
 
-// All that changed since the revision, or everything if some member was forgotten since then.
-void writeMembers(peer::MembersAnswer& wire, const ClusterView& view, uint64_t since, TimePoint now);
+// Members changed after revision `since`, or all members if one was removed after it.
+void encodeMembers(peer::MembersAnswer& wire, const ClusterView& view, uint64_t since, TimePoint now);
 
-// One entry that another host told.
-links::ListedMember readMember(const peer::MemberEntry& wire);
+links::RegisteredMember decodeMember(const peer::MemberEntry& wire);
 
-// Changes in the store that a relay tells.
-void writeChanges(peer::Pong& wire, const ToldChanges& told, TimePoint now);
-// `sentAt`: before the time at which they were told.
-ToldChanges readChanges(const peer::Pong& wire, TimePoint sentAt);
+// Changes in the store that a relay forwards. Times are encoded as ages, as clocks of hosts differ.
+void encodeChanges(peer::Pong& wire, const RelayedChanges& batch, TimePoint now);
+// `sentAt`: when the ping was sent that the message answers, so that changes never seem newer than they are.
+RelayedChanges decodeChanges(const peer::Pong& wire, TimePoint sentAt);
 
-// Members that the answer says by their absence are gone.
-std::vector<std::string> findMissing(const peer::MembersAnswer& wire, const ClusterView& view);
+// Ids of known members that are absent from a complete answer, that is, removed. Members changed after the answer's revision are left out.
+std::vector<std::string> findAbsentMembers(const peer::MembersAnswer& wire, const ClusterView& view);
 
 }
