--- a/src/gateway/promoter_evidence.cpp
+++ b/src/gateway/promoter_evidence.cpp
@@ -1,4 +1,4 @@
-// What an orderer finds out before it replaces a primary: who reaches it, and what its replicas hold.
+// Evidence gathered before a primary is replaced: which hosts reach it, and what its replicas hold.
 #include "gateway/promoter_evidence.h"
 #include "base/event_log.h"
 #include <algorithm>
@@ -12,17 +12,17 @@
 using base::Clock;
 using base::LogClass;
 
-static constexpr milliseconds kCatchUpLimit { 800 }; // a planned change waits this long for a replica
-static constexpr milliseconds kHeardAfter { 60 }; // until all hosts have heard that writes wait, and what they had sent has run: one way is 20 ms at most on the sites that were seen
-static constexpr milliseconds kCatchUpPause { 30 }; // between two looks at the replicas, which are 50 ms behind in calm
-static constexpr milliseconds kHoldTime { 1800 }; // writes wait this long at most in a planned change
-static constexpr size_t kWitnesses = 6; // besides this host: a primary that is cut off from two thirds of the hosts is taken for dead once in twenty times
-static constexpr milliseconds kAnswerLimit { 1000 }; // an inquiry ends by itself before; this bounds a host that freezes
-static constexpr size_t kFarWitnesses = 2; // of other data centres, asked about replicas too
+static constexpr milliseconds kCatchUpTimeout { 800 }; // how long a handover waits for a replica to catch up
+static constexpr milliseconds kHoldPropagationTime { 60 }; // until all hosts hold their writes and the writes already sent have run
+static constexpr milliseconds kCatchUpPollInterval { 30 };
+static constexpr milliseconds kWriteHoldTime { 1800 }; // the longest that a handover holds writes
+static constexpr size_t kMaxWitnesses = 6; // besides this host; more of them make it less likely that a partly isolated primary is declared dead
+static constexpr milliseconds kStatusQueryTimeout { 1000 }; // guards against a frozen host: others end the query earlier themselves
+static constexpr size_t kMaxReplicaWitnesses = 2; // from other data centres where possible; also asked about replicas
 
-// What one host found out about one member.
-struct Answer {
-    explicit Answer(const asio::any_io_executor& executor)
+// A status query about one member, at one host.
+struct PendingStatusQuery {
+    explicit PendingStatusQuery(const asio::any_io_executor& executor)
         : latch(executor, 1)
     {
     }
@@ -30,160 +30,160 @@
     StatusReport finding {};
 };
 
-asio::awaitable<StatusReport> Promoter::ask(std::string host, TargetAddress target)
+asio::awaitable<StatusReport> Promoter::queryStatus(std::string host, TargetAddress target)
 {
-    auto answer = std::make_shared<Answer>(m_context.context.get_executor());
-    auto done = [answer](const StatusReport& finding) {
-        answer->finding = finding;
-        answer->latch.countDown();
+    auto query = std::make_shared<PendingStatusQuery>(m_context.context.get_executor());
+    auto done = [query](const StatusReport& finding) {
+        query->finding = finding;
+        query->latch.countDown();
     };
     if (host == m_context.self.host)
-        m_context.inquire(target, done);
+        m_context.queryLocalStatus(target, done);
     else
-        m_context.peers.inquire(host, target, done);
-    co_await answer->latch.waitFor(kAnswerLimit);
-    co_return answer->finding;
+        m_context.peers.queryStatus(host, target, done);
+    co_await query->latch.waitFor(kStatusQueryTimeout);
+    co_return query->finding;
 }
 
-// A few hosts besides this one, of other data centres if there are any.
+// Reachable hosts besides this one, from different data centres where possible.
 std::vector<std::string> Promoter::chooseWitnesses() const
 {
     std::vector<std::string> witnesses;
-    std::set<std::string> used;
+    std::set<std::string> usedDataCentres;
     auto own = m_context.view.hosts.find(m_context.self.host);
     if (own != m_context.view.hosts.end())
-        used.insert(own->second.dataCentre);
-    auto up = m_context.peers.getUpHosts();
+        usedDataCentres.insert(own->second.dataCentre);
+    auto upHosts = m_context.peers.getAnsweringHosts();
     for (bool anyDataCentre : { false, true }) {
-        for (auto& name : up) {
+        for (auto& name : upHosts) {
             auto host = m_context.view.hosts.find(name);
-            bool isIn = std::ranges::find(witnesses, name) != witnesses.end();
-            if (host == m_context.view.hosts.end() || isIn || witnesses.size() >= kFarWitnesses)
+            bool isChosen = std::ranges::find(witnesses, name) != witnesses.end();
+            if (host == m_context.view.hosts.end() || isChosen || witnesses.size() >= kMaxReplicaWitnesses)
                 continue;
-            if (!anyDataCentre && used.contains(host->second.dataCentre))
+            if (!anyDataCentre && usedDataCentres.contains(host->second.dataCentre))
                 continue;
-            used.insert(host->second.dataCentre);
+            usedDataCentres.insert(host->second.dataCentre);
             witnesses.push_back(name);
         }
     }
     return witnesses;
 }
 
-// What witnesses found out about a primary; open as soon as one reached it.
-struct Promoter::Examination {
-    Examination(const asio::any_io_executor& executor, size_t witnesses)
+// The witnesses' status queries about a primary. The latch opens as soon as one confirms it.
+struct Promoter::PrimaryExamination {
+    PrimaryExamination(const asio::any_io_executor& executor, size_t witnesses)
         : latch(executor, witnesses)
     {
     }
     base::Latch latch;
     std::string reachedBy {};
-    std::string deniedBy {}; // it answered there that it does not lead
+    std::string deniedBy {}; // the member answered this host that it is not primary, or had lost its log
 };
 
-asio::awaitable<void> Promoter::examine(std::string witness, TargetAddress leader, std::shared_ptr<Examination> examination)
+asio::awaitable<void> Promoter::examinePrimary(std::string witness, TargetAddress primary, std::shared_ptr<PrimaryExamination> examination)
 {
-    auto known = getKnownMark(m_context.view.groups[leader.group]);
-    auto finding = co_await ask(witness, leader);
-    // One that has lost what it acknowledged is no primary to be reached.
+    auto known = getNewestKnownMark(m_context.view.groups[primary.group]);
+    auto finding = co_await queryStatus(witness, primary);
+    // A member that has lost acknowledged writes does not count as a live primary.
     bool hasLost = finding.status.term != 0 && decisions::hasLostLog(known, finding.status.received);
-    bool isDenied = hasLost || (finding.status.term != 0 && !finding.status.isPrimary);
+    bool deniesPrimary = hasLost || (finding.status.term != 0 && !finding.status.isPrimary);
     if (finding.wasReached)
-        (isDenied ? examination->deniedBy : examination->reachedBy) = witness;
-    if (finding.wasReached && !isDenied)
+        (deniesPrimary ? examination->deniedBy : examination->reachedBy) = witness;
+    if (finding.wasReached && !deniesPrimary)
         examination->latch.open();
     else
         examination->latch.countDown();
 }
 
-// Dead is what nobody reaches: a primary that only some hosts cannot reach still serves through the others.
-asio::awaitable<bool> Promoter::isDead(std::string group, TargetAddress leader)
+// Dead only if no witness reaches it: a primary that some hosts cannot reach still serves through the others.
+asio::awaitable<bool> Promoter::isPrimaryDead(std::string group, TargetAddress primary)
 {
     auto witnesses = chooseWitnesses();
-    // Those that carry to it, in their order, know it best.
-    auto member = m_context.view.members.find(leader.member);
-    auto carriers = member == m_context.view.members.end() ? std::vector<std::string>() : getCarriers(m_context.view, member->second);
-    for (auto& name : carriers) {
-        bool isIn = name == m_context.self.host || std::ranges::find(witnesses, name) != witnesses.end();
-        if (!isIn && m_context.peers.isUp(name) && witnesses.size() < kWitnesses)
+    // Its forwarders, which hold connections to it.
+    auto member = m_context.view.members.find(primary.member);
+    auto forwarders = member == m_context.view.members.end() ? std::vector<std::string>() : getForwarders(m_context.view, member->second);
+    for (auto& name : forwarders) {
+        bool isChosen = name == m_context.self.host || std::ranges::find(witnesses, name) != witnesses.end();
+        if (!isChosen && m_context.peers.isUp(name) && witnesses.size() < kMaxWitnesses)
             witnesses.push_back(name);
     }
     witnesses.push_back(m_context.self.host);
-    auto examination = std::make_shared<Examination>(m_context.context.get_executor(), witnesses.size());
+    auto examination = std::make_shared<PrimaryExamination>(m_context.context.get_executor(), witnesses.size());
     for (auto& name : witnesses)
-        asio::co_spawn(m_context.context, examine(name, leader, examination), asio::detached);
+        asio::co_spawn(m_context.context, examinePrimary(name, primary, examination), asio::detached);
     co_await examination->latch.wait();
     auto& reachedBy = examination->reachedBy;
     auto& deniedBy = examination->deniedBy;
-    base::logEvent(LogClass::State, "primary-examined", { { "group", std::string_view(group) }, { "member", std::string_view(leader.member) }, { "witnesses", static_cast<int64_t>(witnesses.size()) }, { "reached_by", std::string_view(reachedBy) }, { "denied_to", std::string_view(deniedBy) } });
+    base::logEvent(LogClass::State, "primary-examined", { { "group", std::string_view(group) }, { "member", std::string_view(primary.member) }, { "witnesses", static_cast<int64_t>(witnesses.size()) }, { "reached_by", std::string_view(reachedBy) }, { "denied_to", std::string_view(deniedBy) } });
     if (reachedBy.empty() && !deniedBy.empty()) {
-        denyLead(m_context.view.groups[group], leader.member, Clock::now());
+        denyPrimary(m_context.view.groups[group], primary.member, Clock::now());
         co_return false;
     }
     co_return reachedBy.empty();
 }
 
-// Members that the store lists: those that are gone from it have ended, or lost it for longer than a short cut takes.
-size_t Promoter::countListed(const std::string& group) const
+// Members listed in the store. Unlisted ones have stopped, or have lost the store for longer than a short network failure.
+size_t Promoter::countListedMembers(const std::string& group) const
 {
     auto& ids = m_context.view.groups.at(group).members;
     return static_cast<size_t>(std::ranges::count_if(ids, [&](const std::string& id) { return !m_context.view.members.at(id).unlistedAt; }));
 }
 
-asio::awaitable<void> Promoter::askReplica(MemberBelief member, bool isCandidate, std::shared_ptr<Replicas> replicas)
+asio::awaitable<void> Promoter::queryReplica(MemberView member, bool isCandidate, std::shared_ptr<ReplicaQuery> replicas)
 {
-    bool mayLead = isCandidate && !member.listed.isLeaving && !member.unlistedAt;
+    bool isPromotable = isCandidate && !member.registration.isLeaving && !member.unlistedAt;
     auto target = member.getTarget();
-    auto known = getKnownMark(m_context.view.groups[target.group]);
-    auto finding = co_await ask(m_context.self.host, target);
-    auto witnesses = chooseWitnesses(); // a path may be broken for this host only
+    auto known = getNewestKnownMark(m_context.view.groups[target.group]);
+    auto finding = co_await queryStatus(m_context.self.host, target);
+    auto witnesses = chooseWitnesses(); // the member may be unreachable from this host only
     if (finding.status.term == 0 && !witnesses.empty()) {
-        auto second = co_await ask(witnesses.front(), target);
+        auto second = co_await queryStatus(witnesses.front(), target);
         if (second.status.term != 0 || !finding.wasReached)
             finding = second;
     }
     bool hasLost = decisions::hasLostLog(known, finding.status.received);
-    // The platform answers an order for its present primary with "done" and changes nothing: no new term begins, and of the old one it is not believed. Where all replicas held
-    // less than it, such a primary was ordered again and again, and callers had none.
-    mayLead = mayLead && !(finding.status.isPrimary && hasLost);
-    replicas->findings.push_back({ member.listed.id, finding.wasReached, finding.status.isPrimary && !hasLost, finding.status.term, finding.status.received, mayLead });
+    // A primary that has lost its log must not be its own successor: the platform answers such an order with "done" without starting a
+    // new term, so the order would be repeated forever and callers would have no primary.
+    isPromotable = isPromotable && !(finding.status.isPrimary && hasLost);
+    replicas->findings.push_back({ member.registration.id, finding.wasReached, finding.status.isPrimary && !hasLost, finding.status.term, finding.status.received, isPromotable });
     replicas->latch.countDown();
 }
 
-void Promoter::askReplicas(const std::string& group, const std::string& leader, bool withLeader, const std::shared_ptr<Replicas>& replicas)
+void Promoter::queryReplicas(const std::string& group, const std::string& primary, bool includePrimary, const std::shared_ptr<ReplicaQuery>& replicas)
 {
     for (auto& id : m_context.view.groups[group].members) {
-        bool isLeader = id == leader;
-        if (isLeader && !withLeader)
+        bool isPrimaryMember = id == primary;
+        if (isPrimaryMember && !includePrimary)
             continue;
         replicas->latch.add();
-        asio::co_spawn(m_context.context, askReplica(m_context.view.members.at(id), !isLeader, replicas), asio::detached);
+        asio::co_spawn(m_context.context, queryReplica(m_context.view.members.at(id), !isPrimaryMember, replicas), asio::detached);
     }
     replicas->latch.countDown();
 }
 
-// Writes wait at all hosts until the best replica holds what the primary holds, so that the change takes nothing back.
-asio::awaitable<void> Promoter::waitForReplica(std::string group, std::string leader)
+// Holds writes on all hosts until a replica holds the primary's whole log, so that the handover loses no acknowledged write.
+asio::awaitable<void> Promoter::waitForReplicaCatchUp(std::string group, std::string primary)
 {
-    m_context.holdWrites(group, leader, kHoldTime);
-    m_context.peers.sendHoldWrites(group, leader, kHoldTime);
-    auto until = Clock::now() + kCatchUpLimit;
-    auto primary = m_context.view.members.find(leader);
-    if (primary == m_context.view.members.end())
+    m_context.holdWrites(group, primary, kWriteHoldTime);
+    m_context.peers.sendHoldWrites(group, primary, kWriteHoldTime);
+    auto until = Clock::now() + kCatchUpTimeout;
+    auto member = m_context.view.members.find(primary);
+    if (member == m_context.view.members.end())
         co_return;
-    auto target = primary->second.getTarget();
-    co_await base::sleepFor(kHeardAfter);
+    auto target = member->second.getTarget();
+    co_await base::sleepFor(kHoldPropagationTime);
     while (Clock::now() < until) {
-        auto now = co_await ask(m_context.self.host, target);
+        auto now = co_await queryStatus(m_context.self.host, target);
         if (!now.wasReached)
             co_return;
-        auto replicas = std::make_shared<Replicas>(m_context.context.get_executor());
-        askReplicas(group, leader, false, replicas);
+        auto replicas = std::make_shared<ReplicaQuery>(m_context.context.get_executor());
+        queryReplicas(group, primary, false, replicas);
         co_await replicas->latch.wait();
         for (auto& it : replicas->findings) {
-            if (it.wasReached && it.mayLead && it.received >= now.status.received)
+            if (it.wasReached && it.isPromotable && it.received >= now.status.received)
                 co_return;
         }
-        co_await base::sleepFor(kCatchUpPause);
+        co_await base::sleepFor(kCatchUpPollInterval);
     }
 }
 
--- a/src/gateway/quota_exchange.h
+++ b/src/gateway/quota_exchange.h
@@ -1,6 +1,6 @@
-// How hosts keep to the quotas of client accounts together (decisions/quota.h): who keeps count, and the reports, leases and grants that pass between them.
-// Accounts are dealt to a few shards. The first usable host in a ranking that all hosts compute alike keeps count for a shard; one that is told or asked does, whether
-// it would choose itself or not.
+// Network side of the quotas of client accounts (decisions/quota.h): chooses quota servers and exchanges reports, leases and grants with them.
+// Accounts are divided among a few shards. The quota server of a shard is the first usable host in a ranking that all hosts compute alike.
+// A host that receives reports or requests for a shard serves them even if it would choose another quota server itself.
 #pragma once
 #include "decisions/quota.h"
 #include "gateway/peers.h"
@@ -14,83 +14,84 @@
     uint64_t incarnation; // of its process
     decisions::QuotaRule rule;
     const bool& isDraining;
-    // Writes a shard's accounts down in the platform's store; `done` says whether that worked.
-    std::function<void(size_t shard, const std::set<std::string>& accounts, std::function<void(bool)> done)> write;
+    // Persists the accounts of a shard that are near their quotas in the platform's store; `done` receives whether that succeeded.
+    std::function<void(size_t shard, const std::set<std::string>& accounts, std::function<void(bool)> done)> storeNearQuota;
 };
 
 // `refusal` is empty if the operation may begin.
-using QuotaDone = std::function<void(const std::optional<decisions::Error>& refusal)>;
+using QuotaCallback = std::function<void(const std::optional<decisions::Error>& refusal)>;
 
 class QuotaExchange {
 public:
     explicit QuotaExchange(QuotaContext context);
 
-    // Whether an operation of the account may begin; `done` is called once, perhaps from within.
-    void begin(const std::string& account, QuotaDone done);
-    // One that was let begin was refused before any target had it.
-    void giveBack(const std::string& account);
+    // Decides whether an operation of the account may begin. Calls `done` exactly once, possibly before returning.
+    void admitOperation(const std::string& account, QuotaCallback done);
+    // Uncounts an admitted operation that was refused before it was sent to a target.
+    void revertOperation(const std::string& account);
+    // Sends reports, ends late requests and evaluates quotas. Call it periodically.
     void sweep(TimePoint now);
 
-    // What stands in the platform's store.
-    void takeWritten(size_t shard, const std::set<std::string>& accounts);
-    // As a keeper.
-    peer::QuotaState takeReport(const peer::QuotaReport& report);
-    peer::QuotaAnswer answerAsk(const peer::QuotaAsk& ask);
-    // From keepers.
-    void takeState(const std::string& keeper, const peer::QuotaState& state);
-    void takeAnswer(const std::string& keeper, const peer::QuotaAnswer& answer);
+    // Applies the accounts near their quotas that the platform's store holds for a shard.
+    void applyStoredNearQuota(size_t shard, const std::set<std::string>& accounts);
+    // On a quota server:
+    peer::QuotaState handleReport(const peer::QuotaReport& report);
+    peer::QuotaAnswer handleAsk(const peer::QuotaAsk& ask);
+    // Messages from quota servers:
+    void handleState(const std::string& server, const peer::QuotaState& state);
+    void handleAnswer(const std::string& server, const peer::QuotaAnswer& answer);
 
 private:
-    // What stands between this host and one keeper of a shard.
-    struct KeeperLink {
-        uint64_t sent { 0 }; // number of the last report
-        TimePoint sentAt {};
-        TimePoint unansweredSince {}; // none of the reports sent since then was answered
-        uint64_t incarnation { 0 }; // of the keeper's process, as it said last
-        bool needsWhole { true }; // it may lack what was told before
-        std::map<std::string, uint64_t> grantsTaken {}; // by account: the newest grant
+    // Reports of this host to one quota server of a shard.
+    struct ServerLink {
+        uint64_t lastReportNumber { 0 };
+        TimePoint lastReportSentAt {};
+        TimePoint unansweredSince {}; // when the first unanswered report was sent; zero: the last one was answered
+        uint64_t incarnation { 0 }; // of the quota server's process, as last reported
+        bool needsWholeReport { true }; // the quota server may not have the earlier reports
+        std::map<std::string, uint64_t> grantsTaken {}; // number of the newest grant, by account
     };
     struct Shard {
-        std::string rankingKey {}; // of the hosts that may keep count for it
+        std::string rankingKey {}; // key of the ranking of hosts that its quota server is chosen from
         decisions::QuotaHost host {};
-        decisions::QuotaKeeper keeper {}; // of this host, if others take it for one
-        std::map<std::string, KeeperLink> links {}; // by keeper
-        std::string followed {}; // the keeper that this host goes by
-        TimePoint reportedAt {};
-        bool isChanged { false }; // since then
-        bool hasLease { false }; // as logged
-        bool isWriting { false };
-        TimePoint writtenAt {}; // when it was last tried
+        decisions::QuotaServer server {}; // state of this host as a quota server
+        std::map<std::string, ServerLink> serverLinks {}; // by quota server
+        std::string currentServer {}; // the quota server that this host reports to; empty: none
+        TimePoint lastReportAt {};
+        bool hasUnreportedUsage { false };
+        bool hasLoggedLease { false }; // whether the last logged event says that there is a lease
+        bool isStoring { false };
+        TimePoint lastStoreAttemptAt {};
     };
-    struct Ask {
+    struct PendingAsk {
         size_t shard { 0 };
         std::string account {};
-        QuotaDone done {};
-        TimePoint limit {};
+        QuotaCallback done {};
+        TimePoint expiresAt {};
     };
 
     const decisions::AccountQuota* findQuota(const std::string& account) const;
-    decisions::QuotaView makeView() const;
-    bool isAlone(size_t shard, TimePoint now) const;
-    std::string findKeeper(size_t shard, TimePoint now);
-    void ask(size_t shard, const std::string& account, QuotaDone done);
-    void decideAlone(size_t shard, const std::string& account, const QuotaDone& done);
-    void takeGrant(size_t shard, const std::string& keeper, const std::string& account, const decisions::QuotaGrant& grant, const QuotaDone& done);
-    void refuse(const std::string& account, std::string_view reason, milliseconds comeBack, const QuotaDone& done) const;
-    void report(size_t shard, const std::string& keeper, TimePoint now);
-    peer::QuotaReport makeReport(size_t shard, const KeeperLink& link, TimePoint now) const;
+    decisions::QuotaConfiguration makeConfiguration() const;
+    bool isIsolated(size_t shard, TimePoint now) const;
+    std::string findQuotaServer(size_t shard, TimePoint now);
+    void requestGrant(size_t shard, const std::string& account, QuotaCallback done);
+    void decideWithoutServer(size_t shard, const std::string& account, const QuotaCallback& done);
+    void applyGrant(size_t shard, const std::string& server, const std::string& account, const decisions::QuotaGrant& grant, const QuotaCallback& done);
+    void refuse(const std::string& account, std::string_view reason, milliseconds blockedFor, const QuotaCallback& done) const;
+    void sendReport(size_t shard, const std::string& server, TimePoint now);
+    peer::QuotaReport makeReport(size_t shard, const ServerLink& link, TimePoint now) const;
     peer::QuotaState makeState(size_t shard) const;
-    void tellStrict(size_t shard);
-    void writeNear(size_t shard, TimePoint now);
-    void noteLease(size_t shard, TimePoint now);
-    void endLateAsks(TimePoint now);
+    void announceStrictAccounts(size_t shard);
+    void updateStoredNearQuota(size_t shard, TimePoint now);
+    void logLeaseChange(size_t shard, TimePoint now);
+    void expireAsks(TimePoint now);
 
     QuotaContext m_context;
     std::vector<Shard> m_shards;
-    std::map<uint64_t, Ask> m_asks; // by number of the call
+    std::map<uint64_t, PendingAsk> m_pendingAsks; // by number of the call
     uint64_t m_lastCall { 0 };
-    TimePoint m_beganAt;
-    TimePoint m_sweptAt {};
+    TimePoint m_startedAt;
+    TimePoint m_lastSweepAt {};
 };
 
 }
--- a/src/gateway/statement_router.h
+++ b/src/gateway/statement_router.h
@@ -1,36 +1,36 @@
-// Runs callers' statements: chooses a member and the host that carries the statement there, tries another one where the target said that
-// it did not run it, and ends within the route's limit with exactly one outcome.
+// Runs callers' statements: chooses a member and its forwarder, tries another member if the target reports that it did not run the
+// statement, and ends with exactly one outcome before the statement's deadline.
 #pragma once
 #include "gateway/quota_exchange.h"
 #include <unordered_map>
 
 namespace alderward::gateway {
 
-// An open transaction of a caller and where it lives.
+// An open transaction of a caller.
 struct TransactionHandle {
     TargetAddress target {};
-    std::string host {}; // that carries it; empty: this one
-    uint64_t number { 0 }; // at the carrier
+    std::string host {}; // the forwarder; empty: this host
+    uint64_t number { 0 }; // assigned by this host, unique per forwarder
 };
 
-// A statement on its way.
+// A statement with the state of its attempts.
 struct RoutedStatement {
     decisions::DatabaseRoute route {};
-    Order order {};
-    bool needsLeader { false };
-    Mark need {}; // reads elsewhere: what the log must hold
+    StatementRequest request {};
+    bool needsPrimary { false };
+    Mark requiredMark {}; // for reads at a replica: its log must have reached this mark
     TimePoint arrivedAt {};
-    std::vector<std::string> tried {}; // members, since the last pause
+    std::vector<std::string> triedMembers {}; // since the last retry delay
     unsigned attempts { 0 };
-    bool wasOverloaded { false }; // our queue before a member could not take it in time: once no other is left, its caller is told at once
-    bool isCounted { false }; // its operation counts against the quota of its client account
-    bool wasSent { false }; // some member may have had it
-    bool wasTurnedAway { false }; // the last member that was asked lives and was busy, and said so at once
+    bool wasQueueOverloaded { false }; // refused by a member queue, or by busy members too often: fails without waiting once no other member is left
+    bool isCounted { false }; // against the quota of its client account
+    bool wasSent { false }; // some member may have received it
+    bool wasMemberBusy { false }; // the last member asked answered that it is busy, so it is alive
     std::string session {}; // for the log
     std::string lastReason {};
 };
 
-using RoutedDone = std::function<void(const Outcome& outcome, const std::optional<TransactionHandle>& transaction)>;
+using RoutedCallback = std::function<void(const Outcome& outcome, const std::optional<TransactionHandle>& transaction)>;
 
 struct StatementRouterContext {
     boost::asio::io_context& context;
@@ -39,10 +39,10 @@
     std::string name; // of this host
     std::string dataCentre;
     std::function<std::shared_ptr<TargetPool>(const TargetAddress&)> getPool;
-    std::function<bool(const TargetAddress&)> isTroubled; // this host cannot reach the target
-    std::function<void(const std::string& group)> onNoLeader;
-    std::function<bool()> isCutOff; // this host has lost most others: they may reach what it does not
-    milliseconds drainTime; // of members that leave
+    std::function<bool(const TargetAddress&)> isUnreachable; // whether this host has failed to reach the target recently
+    std::function<void(const std::string& group)> onNoPrimary;
+    std::function<bool()> isIsolated; // this host has lost most other hosts, which may still reach the members
+    milliseconds drainTime; // how long a leaving member accepts new operations
     QuotaExchange& quotas;
 };
 
@@ -53,36 +53,36 @@
     {
     }
 
-    // A statement outside a transaction, or the first one inside.
-    void run(RoutedStatement routed, RoutedDone done);
-    // The next statement of a transaction, or its commit.
-    void runNext(const TransactionHandle& transaction, RoutedStatement routed, RoutedDone done);
+    // Runs a statement outside a transaction, or the first statement of one.
+    void run(RoutedStatement routed, RoutedCallback done);
+    // Runs the next statement of a transaction, or its commit.
+    void runNext(const TransactionHandle& transaction, RoutedStatement routed, RoutedCallback done);
     void end(const TransactionHandle& transaction);
-    // Tries again what waits for a member to become available.
+    // Retries statements whose retry delay has passed.
     void sweep(TimePoint now);
 
 private:
-    struct Waiting {
+    struct PendingRetry {
         std::shared_ptr<RoutedStatement> routed;
-        RoutedDone done;
-        TimePoint notBefore;
+        RoutedCallback done;
+        TimePoint retryAt;
     };
 
-    TimePoint::duration getWayBack(const std::string& carrier) const;
-    void attempt(const std::shared_ptr<RoutedStatement>& routed, RoutedDone done);
-    void waitOrGiveUp(const std::shared_ptr<RoutedStatement>& routed, RoutedDone done);
-    void refuse(const std::shared_ptr<RoutedStatement>& routed, RoutedDone done, const decisions::Error& refusal);
-    void giveUp(const std::shared_ptr<RoutedStatement>& routed, RoutedDone done, decisions::ErrorKind kind);
+    TimePoint::duration getReturnTime(const std::string& forwarder) const;
+    void attempt(const std::shared_ptr<RoutedStatement>& routed, RoutedCallback done);
+    void retryLaterOrFail(const std::shared_ptr<RoutedStatement>& routed, RoutedCallback done);
+    void refuse(const std::shared_ptr<RoutedStatement>& routed, RoutedCallback done, const decisions::Error& refusal);
+    void fail(const std::shared_ptr<RoutedStatement>& routed, RoutedCallback done, decisions::ErrorKind kind);
     std::optional<TargetAddress> chooseMember(const RoutedStatement& routed) const;
-    decisions::Candidate makeCandidate(const RoutedStatement& routed, const MemberBelief& member, const std::string& leader) const;
-    bool mayCarry(const std::string& host, const MemberBelief& member) const;
-    std::string chooseCarrier(const MemberBelief& member) const;
-    void noteBehind(const TargetAddress& target, const Mark& position, TimePoint now);
-    void takeOutcome(const std::shared_ptr<RoutedStatement>& routed, const TargetAddress& target, const std::optional<TransactionHandle>& transaction, const Outcome& outcome, RoutedDone done);
-    void finish(const RoutedStatement& routed, const Outcome& outcome, const std::optional<TransactionHandle>& transaction, const RoutedDone& done, const TargetAddress& target);
+    decisions::Candidate makeCandidate(const RoutedStatement& routed, const MemberView& member, const std::string& primary) const;
+    bool canForward(const std::string& host, const MemberView& member) const;
+    std::string chooseForwarder(const MemberView& member) const;
+    void recordReadRefusal(const TargetAddress& target, const Mark& position, TimePoint now);
+    void handleOutcome(const std::shared_ptr<RoutedStatement>& routed, const TargetAddress& target, const std::optional<TransactionHandle>& transaction, const Outcome& outcome, RoutedCallback done);
+    void finish(const RoutedStatement& routed, const Outcome& outcome, const std::optional<TransactionHandle>& transaction, const RoutedCallback& done, const TargetAddress& target);
 
     StatementRouterContext m_context;
-    std::vector<Waiting> m_waiting;
+    std::vector<PendingRetry> m_pendingRetries;
 };
 
 }
--- a/src/gateway/status_exchange.cpp
+++ b/src/gateway/status_exchange.cpp
@@ -6,48 +6,48 @@
 using std::chrono::duration_cast;
 using std::chrono::microseconds;
 
-static constexpr milliseconds kProofToldFor { 1000 }; // a proof of ours is told to others this long
-static constexpr milliseconds kHeardToldFor { 2000 }; // a floor that was heard; an older one helps no read
+static constexpr milliseconds kProofSharingTime { 1000 }; // how long this host's own confirmation of a primary is reported
+static constexpr milliseconds kRelayedFloorSharingTime { 2000 }; // how long a floor from another host is reported; older ones are of no use to reads
 
 static uint64_t getAgeUs(TimePoint since, TimePoint now)
 {
     return static_cast<uint64_t>(duration_cast<microseconds>(now - since).count());
 }
 
-void writeGroups(peer::Pong& wire, const ClusterView& view, bool withHeard, TimePoint now)
+void writeGroupStatus(peer::Pong& wire, const ClusterView& view, bool withRelayed, TimePoint now)
 {
     for (auto& [name, group] : view.groups) {
         if (group.floors.isEmpty())
             continue;
         auto& newest = group.floors.floors.back();
-        bool isProven = now - group.provenAt <= kProofToldFor;
-        bool isHeard = withHeard && now - newest.since <= kHeardToldFor;
-        if (!isProven && !isHeard)
+        bool isProven = now - group.lastProofAt <= kProofSharingTime;
+        bool isRelayed = withRelayed && now - newest.coveredUntil <= kRelayedFloorSharingTime;
+        if (!isProven && !isRelayed)
             continue;
         auto& floor = *wire.add_floors();
         floor.set_group(name);
-        writeMark(*floor.mutable_mark(), newest.mark);
-        floor.set_age_us(getAgeUs(newest.since, now));
-        // Hosts that the orderer has no connection to hear of an order from those that have one; after the order's time an assumed term is told no more.
-        bool isOrdered = isProven && now < group.pendingUntil;
-        if (group.lead.term != newest.mark.term && !isOrdered)
+        encodeMark(*floor.mutable_mark(), newest.mark);
+        floor.set_age_us(getAgeUs(newest.coveredUntil, now));
+        // An ordered promotion is reported while it is pending, for hosts without a connection to the coordinator. Later an assumed term is not.
+        bool isOrdered = isProven && now < group.promotionPendingUntil;
+        if (group.primary.term != newest.mark.term && !isOrdered)
             continue;
-        auto& lead = *wire.add_leads();
-        lead.set_group(name);
-        lead.set_member(group.lead.member);
-        lead.set_term(group.lead.term);
+        auto& primary = *wire.add_leads();
+        primary.set_group(name);
+        primary.set_member(group.primary.member);
+        primary.set_term(group.primary.term);
     }
 }
 
-// Floors and leads stand in the same order, a floor for each lead.
-std::vector<std::optional<TimePoint>> findLeadTimes(const peer::Pong& wire, TimePoint sentAt)
+// The fields `floors` and `leads` list groups in the same order, and each group in `leads` is also in `floors`.
+std::vector<std::optional<TimePoint>> findEvidenceTimes(const peer::Pong& wire, TimePoint sentAt)
 {
     std::vector<std::optional<TimePoint>> times;
     auto floor = wire.floors().begin();
-    for (auto& lead : wire.leads()) {
-        floor = std::find_if(floor, wire.floors().end(), [&](const peer::Floor& it) { return it.group() == lead.group(); });
-        bool isShown = floor != wire.floors().end() && floor->mark().term() == lead.term();
-        times.push_back(isShown ? std::optional(sentAt - microseconds(floor->age_us())) : std::nullopt);
+    for (auto& primary : wire.leads()) {
+        floor = std::find_if(floor, wire.floors().end(), [&](const peer::Floor& it) { return it.group() == primary.group(); });
+        bool hasEvidence = floor != wire.floors().end() && floor->mark().term() == primary.term();
+        times.push_back(hasEvidence ? std::optional(sentAt - microseconds(floor->age_us())) : std::nullopt);
     }
     return times;
 }
@@ -57,18 +57,18 @@
     auto it = view.members.find(wire.member());
     if (it == view.members.end() || it->second.progress.position.term == 0)
         return;
-    writeMark(*wire.mutable_position(), it->second.progress.position);
-    wire.set_position_age_us(getAgeUs(it->second.progress.at, now));
+    encodeMark(*wire.mutable_position(), it->second.progress.position);
+    wire.set_position_age_us(getAgeUs(it->second.progress.observedAt, now));
 }
 
-void takePositions(ClusterView& view, const peer::Pong& wire, TimePoint sentAt)
+void applyPositions(ClusterView& view, const peer::Pong& wire, TimePoint sentAt)
 {
     for (auto& it : wire.loads()) {
         auto member = view.members.find(it.member());
         if (member == view.members.end() || !it.has_position())
             continue;
         auto& progress = member->second.progress;
-        progress = decisions::takePosition(progress, readMark(it.position()), sentAt - microseconds(it.position_age_us()));
+        progress = decisions::applyPosition(progress, decodeMark(it.position()), sentAt - microseconds(it.position_age_us()));
     }
 }
 
--- a/src/links/http_server.cpp
+++ b/src/links/http_server.cpp
@@ -19,8 +19,8 @@
 namespace http = boost::beast::http;
 using asio::ip::tcp;
 
-static constexpr auto kUse = asio::as_tuple(asio::use_awaitable);
-static constexpr base::milliseconds kAnswerTimeout { 30000 }; // for a caller that does not read its answer
+static constexpr auto kUseAwaitable = asio::as_tuple(asio::use_awaitable);
+static constexpr base::milliseconds kResponseWriteTimeout { 30000 }; // for a client that does not read the response
 static constexpr size_t kHeaderLimit = 16 * 1024;
 
 tl::expected<tcp::endpoint, std::string> parseEndpoint(const std::string& address)
@@ -46,7 +46,7 @@
     }
     boost::beast::tcp_stream stream;
     uint64_t id { 0 };
-    bool isBusy { false }; // touched on the connection's strand only
+    bool isBusy { false }; // accessed only on the connection's strand
 };
 
 class BeastServer : public HttpServer, public std::enable_shared_from_this<BeastServer> {
@@ -72,7 +72,7 @@
         return ec;
     }
 
-    void begin() { asio::co_spawn(m_acceptor.get_executor(), accept(shared_from_this()), asio::detached); }
+    void start() { asio::co_spawn(m_acceptor.get_executor(), accept(shared_from_this()), asio::detached); }
 
     void stopAccepting() override
     {
@@ -106,11 +106,11 @@
     static asio::awaitable<void> accept(std::shared_ptr<BeastServer> self)
     {
         for (uint64_t next = 1;; ++next) {
-            auto [ec, socket] = co_await self->m_acceptor.async_accept(asio::make_strand(self->getNextContext()), kUse);
+            auto [ec, socket] = co_await self->m_acceptor.async_accept(asio::make_strand(self->getNextContext()), kUseAwaitable);
             if (!self->m_acceptor.is_open())
                 co_return;
             if (ec) {
-                co_await base::sleepFor(base::milliseconds(10)); // out of file descriptors: callers wait in the backlog
+                co_await base::sleepFor(base::milliseconds(10)); // out of file descriptors: clients wait in the backlog
                 continue;
             }
             boost::system::error_code ignored;
@@ -138,17 +138,17 @@
             self->m_options.onClose(connection->id);
     }
 
-    // Waits without a buffer for the first byte, so that an idle connection costs little memory.
+    // Waits for the first byte without a buffer, so that idle connections need little memory.
     asio::awaitable<bool> serveOne(std::shared_ptr<Connection> connection)
     {
         auto& stream = connection->stream;
-        auto [waitError] = co_await stream.socket().async_wait(tcp::socket::wait_read, kUse);
+        auto [waitError] = co_await stream.socket().async_wait(tcp::socket::wait_read, kUseAwaitable);
         if (waitError)
             co_return false;
         connection->isBusy = true;
-        auto goesOn = co_await readAndAnswer(*connection);
+        auto isKeptAlive = co_await readAndAnswer(*connection);
         connection->isBusy = false;
-        co_return goesOn;
+        co_return isKeptAlive;
     }
 
     asio::awaitable<bool> readAndAnswer(Connection& connection)
@@ -158,7 +158,7 @@
         http::request_parser<http::string_body> parser;
         parser.body_limit(m_options.bodyLimit);
         parser.header_limit(kHeaderLimit);
-        // Not the stream's own timeout: that closes the socket, and a slow sender is to get an answer.
+        // The stream's own timeout would close the socket before the response 408 could be sent.
         bool isLate = false;
         asio::steady_timer timer(stream.get_executor(), m_options.requestTimeout);
         timer.async_wait([&stream, &isLate](boost::system::error_code timerError) {
@@ -167,9 +167,9 @@
             isLate = true;
             stream.cancel();
         });
-        auto [ec, n] = co_await http::async_read(stream, buf, parser, kUse);
+        auto [ec, n] = co_await http::async_read(stream, buf, parser, kUseAwaitable);
         bool hasFired = timer.cancel() == 0 && !isLate;
-        if (hasFired) // its handler is queued behind us and refers to this frame
+        if (hasFired) // its handler is queued and refers to this coroutine's frame: let it run first
             co_await asio::post(stream.get_executor(), asio::use_awaitable);
         if (ec) {
             co_await answerError(stream, ec, isLate);
@@ -182,7 +182,7 @@
         for (auto& it : message)
             request.headers.emplace_back(std::string(it.name_string()), std::string(it.value()));
         auto answer = co_await m_handler(std::move(request));
-        if (answer.mustDrop)
+        if (answer.mustNotAnswer)
             co_return co_await waitForClose(stream);
         keepAlive = keepAlive && !answer.mustClose && !m_isClosing;
         co_return co_await write(stream, std::move(answer), requestId, keepAlive) && keepAlive;
@@ -197,23 +197,23 @@
             status = 408;
         else if (ec == http::error::end_of_stream || ec.category() != make_error_code(http::error::bad_method).category())
             co_return;
-        if (!m_options.answerForError || !stream.socket().is_open())
+        if (!m_options.makeErrorResponse || !stream.socket().is_open())
             co_return;
-        auto answer = m_options.answerForError(status);
+        auto answer = m_options.makeErrorResponse(status);
         if (co_await write(stream, std::move(answer), std::string(), false))
-            co_await discardRest(stream);
+            co_await drainInput(stream);
     }
 
-    // Reads what the sender is still sending, for a bounded time: closing at once would reset the connection and could
-    // take our answer with it.
-    static asio::awaitable<void> discardRest(boost::beast::tcp_stream& stream)
+    // Reads and discards remaining input for a bounded time. Closing with unread input would reset the connection, and the
+    // client could lose the response.
+    static asio::awaitable<void> drainInput(boost::beast::tcp_stream& stream)
     {
         boost::system::error_code shutdownError;
         stream.socket().shutdown(tcp::socket::shutdown_send, shutdownError);
         std::array<char, 4096> buf;
         stream.expires_after(base::milliseconds(500));
         for (;;) {
-            auto [ec, n] = co_await stream.async_read_some(asio::buffer(buf), kUse);
+            auto [ec, n] = co_await stream.async_read_some(asio::buffer(buf), kUseAwaitable);
             if (ec)
                 co_return;
         }
@@ -221,11 +221,11 @@
 
     static asio::awaitable<bool> waitForClose(boost::beast::tcp_stream& stream)
     {
-        co_await stream.socket().async_wait(tcp::socket::wait_read, kUse);
+        co_await stream.socket().async_wait(tcp::socket::wait_read, kUseAwaitable);
         co_return false;
     }
 
-    static asio::awaitable<bool> write(boost::beast::tcp_stream& stream, HttpAnswer answer, const std::string& requestId, bool keepAlive)
+    static asio::awaitable<bool> write(boost::beast::tcp_stream& stream, HttpResponse answer, const std::string& requestId, bool keepAlive)
     {
         http::response<http::string_body> message { static_cast<http::status>(answer.status), 11 };
         message.set(http::field::content_type, answer.contentType);
@@ -236,8 +236,8 @@
         message.keep_alive(keepAlive);
         message.body() = std::move(answer.body);
         message.prepare_payload();
-        stream.expires_after(kAnswerTimeout);
-        auto [ec, n] = co_await http::async_write(stream, message, kUse);
+        stream.expires_after(kResponseWriteTimeout);
+        auto [ec, n] = co_await http::async_write(stream, message, kUseAwaitable);
         stream.expires_never();
         co_return !ec;
     }
@@ -251,7 +251,7 @@
     std::unordered_set<std::shared_ptr<Connection>> m_connections;
 };
 
-// Owns the shared server for the caller; the accept loop keeps its own reference.
+// The returned owner of a server; the accept loop holds a reference of its own.
 class ServerHandle : public HttpServer {
 public:
     explicit ServerHandle(std::shared_ptr<BeastServer> server)
@@ -268,7 +268,7 @@
 
 }
 
-tl::expected<std::unique_ptr<HttpServer>, std::string> beginHttpServer(
+tl::expected<std::unique_ptr<HttpServer>, std::string> startHttpServer(
     asio::io_context& context, const std::string& address, HttpHandler handler, HttpServerOptions options)
 {
     auto endpoint = parseEndpoint(address);
@@ -277,7 +277,7 @@
     auto server = std::make_shared<BeastServer>(context, std::move(handler), std::move(options));
     if (auto ec = server->listen(*endpoint))
         return tl::make_unexpected("cannot listen on " + address + ": " + ec.message());
-    server->begin();
+    server->start();
     return std::make_unique<ServerHandle>(server);
 }
 
--- a/tests/bench/faults.cpp
+++ b/tests/bench/faults.cpp
@@ -1,4 +1,4 @@
-// Measurements of members that fail, or only look like it.
+// Benchmarks with failed, slow and lagging members.
 #include "bench/measure.h"
 #include <algorithm>
 #include <array>
@@ -19,7 +19,7 @@
 
 namespace {
 
-struct Gap {
+struct FailoverGap {
     double total { 0 };
     double detection { 0 };
     double fencing { 0 };
@@ -28,15 +28,15 @@
 
 }
 
-// Times of the first events of the newest promotion, from the time line of all hosts, relative to `hitMs`.
-static void readParts(Cluster& cluster, uint64_t hitMs, Gap& gap)
+// Reads the phases of the promotion after `faultAtMs` from the timelines of all hosts.
+static void readGapPhases(Cluster& cluster, uint64_t faultAtMs, FailoverGap& gap)
 {
     double began = 0;
     double promoted = 0;
-    for (unsigned i = 0; i < cluster.getShape().hosts; ++i) {
+    for (unsigned i = 0; i < cluster.getOptions().hosts; ++i) {
         for (auto& it : cluster.getEvents(i)) {
             auto kind = std::string(it.at("kind").get_string());
-            auto ms = static_cast<double>((it.at("stamp").to_number<uint64_t>() >> 16)) - static_cast<double>(hitMs);
+            auto ms = static_cast<double>((it.at("stamp").to_number<uint64_t>() >> 16)) - static_cast<double>(faultAtMs);
             if (ms < 0)
                 continue;
             if (kind == "promotion-began" && (began == 0 || ms < began))
@@ -50,19 +50,19 @@
     gap.promotion = gap.total - promoted;
 }
 
-static Gap measureOneGap(Shape shape, const std::string& how, bool isPlatformUp)
+static FailoverGap measureSingleGap(ClusterOptions options, const std::string& fault, bool isPlatformUp)
 {
-    shape.groups.resize(1);
-    auto group = shape.groups.front();
-    Cluster cluster(shape);
-    cluster.beginAll();
+    options.groups.resize(1);
+    auto group = options.groups.front();
+    Cluster cluster(options);
+    cluster.startAll();
     if (!isPlatformUp)
         cluster.setPlatform({ { "down", true } });
     std::atomic<bool> mustStop { false };
     std::mutex mutex;
-    std::vector<std::pair<Clock::time_point, Clock::time_point>> landed; // sent, answered
+    std::vector<std::pair<Clock::time_point, Clock::time_point>> acknowledgedWrites; // sent, answered
     std::vector<std::jthread> writers;
-    for (unsigned n = 0; n < shape.hosts; ++n) {
+    for (unsigned n = 0; n < options.hosts; ++n) {
         writers.emplace_back([&, n] {
             Caller caller(cluster.getCallerAddress(n));
             for (int i = 0; !mustStop; ++i) {
@@ -70,7 +70,7 @@
                 auto answer = caller.write(group.name, "SET k v", fmt::format("w{}-{}", n, i), 400);
                 std::lock_guard lock(mutex);
                 if (answer.status == 200)
-                    landed.emplace_back(sent, Clock::now());
+                    acknowledgedWrites.emplace_back(sent, Clock::now());
                 else
                     std::this_thread::sleep_for(milliseconds(5));
             }
@@ -78,77 +78,77 @@
     }
     std::this_thread::sleep_for(milliseconds(400));
     auto primary = group.members.front();
-    auto hitMs = static_cast<uint64_t>(std::chrono::duration_cast<milliseconds>(std::chrono::system_clock::now().time_since_epoch()).count());
-    auto hit = Clock::now();
-    if (how == "killed")
+    auto faultAtMs = static_cast<uint64_t>(std::chrono::duration_cast<milliseconds>(std::chrono::system_clock::now().time_since_epoch()).count());
+    auto faultAt = Clock::now();
+    if (fault == "killed")
         cluster.getMember(primary).signal(SIGKILL);
-    else if (how == "frozen")
+    else if (fault == "frozen")
         cluster.getMember(primary).signal(SIGSTOP);
     else {
         json::array all;
-        for (unsigned i = 0; i < shape.hosts; ++i)
+        for (unsigned i = 0; i < options.hosts; ++i)
             all.emplace_back(cluster.getHostName(i));
         for (auto& it : group.members)
             all.emplace_back(it);
         cluster.setMember(primary, { { "cut", all } });
         for (size_t i = 1; i < group.members.size(); ++i)
             cluster.setMember(group.members[i], { { "cut", json::array { json::string(primary) } } });
-        hit = Clock::now();
+        faultAt = Clock::now();
     }
     waitUntil(milliseconds(12000), [&] {
         std::lock_guard lock(mutex);
-        return !landed.empty() && landed.back().first > hit;
+        return !acknowledgedWrites.empty() && acknowledgedWrites.back().first > faultAt;
     });
     std::this_thread::sleep_for(milliseconds(200));
     mustStop = true;
     writers.clear();
-    Gap gap;
+    FailoverGap gap;
     auto first = Clock::time_point::max();
-    for (auto& [sent, answered] : landed) {
-        if (answered > hit + milliseconds(30))
+    for (auto& [sent, answered] : acknowledgedWrites) {
+        if (answered > faultAt + milliseconds(30))
             first = std::min(first, answered);
     }
-    gap.total = first == Clock::time_point::max() ? 99999 : getMs(first - hit);
-    readParts(cluster, hitMs, gap);
+    gap.total = first == Clock::time_point::max() ? 99999 : getMs(first - faultAt);
+    readGapPhases(cluster, faultAtMs, gap);
     return gap;
 }
 
-void measureGap(int runs, const std::string& onlyFault)
+void measureFailoverGap(int runs, const std::string& onlyFault)
 {
     fmt::print("{:<8} {:<10} {:>6} {:>5} {:>10} {:>10} {:>11} {:>10} {:>10}\n", "fault", "platform", "hosts", "runs", "median ms", "worst ms", "detection", "fencing", "promotion");
     for (unsigned hosts : { 7U, 9U }) {
         for (bool isPlatformUp : { true, false }) {
-            for (auto* how : { "killed", "frozen", "cut" }) {
-                if (!onlyFault.empty() && onlyFault != how)
+            for (auto* fault : { "killed", "frozen", "cut" }) {
+                if (!onlyFault.empty() && onlyFault != fault)
                     continue;
                 std::vector<double> total, detection, fencing, promotion;
                 for (int i = 0; i < runs; ++i) {
-                    auto gap = measureOneGap(hosts == 7 ? getSahyogShape(7) : getBatbayarShape(9), how, isPlatformUp);
+                    auto gap = measureSingleGap(hosts == 7 ? makeSahyogOptions(7) : makeBatbayarOptions(9), fault, isPlatformUp);
                     total.push_back(gap.total);
                     detection.push_back(gap.detection);
                     fencing.push_back(gap.fencing);
                     promotion.push_back(gap.promotion);
                 }
-                fmt::print("{:<8} {:<10} {:>6} {:>5} {:>10.0f} {:>10.0f} {:>11.0f} {:>10.0f} {:>10.0f}\n", how, isPlatformUp ? "up" : "down", hosts, runs, getMedian(total), *std::ranges::max_element(total), getMedian(detection), getMedian(fencing), getMedian(promotion));
+                fmt::print("{:<8} {:<10} {:>6} {:>5} {:>10.0f} {:>10.0f} {:>11.0f} {:>10.0f} {:>10.0f}\n", fault, isPlatformUp ? "up" : "down", hosts, runs, getMedian(total), *std::ranges::max_element(total), getMedian(detection), getMedian(fencing), getMedian(promotion));
                 std::fflush(stdout);
             }
         }
     }
 }
 
-// ---- an outage of the primary that nothing replaces ----
+// ---- outage of a primary without promotion ----
 
-// Counters of all hosts once a second; the primary is frozen for ten seconds with promotions off, then wakes.
-void measureStorm()
+// Prints the counters of all hosts once a second while the primary is frozen and resumed, with promotions off.
+void measureOutageWithoutPromotion()
 {
-    auto shape = getSmallShape();
-    shape.groups.front().promotion = R"({"mode":"off"})";
-    Cluster cluster(shape);
-    cluster.beginAll();
-    for (auto& it : shape.groups.front().members)
+    auto options = makeSmallOptions();
+    options.groups.front().promotion = R"({"mode":"off"})";
+    Cluster cluster(options);
+    cluster.startAll();
+    for (auto& it : options.groups.front().members)
         cluster.setMember(it, { { "serviceMs", 4 } });
-    LoadShape load { {}, 60, milliseconds(30000) };
-    for (unsigned i = 0; i < shape.hosts; ++i)
+    LoadOptions load { {}, 60, milliseconds(30000) };
+    for (unsigned i = 0; i < options.hosts; ++i)
         load.addresses.push_back(cluster.getCallerAddress(i));
     load.obeysRetryAfter = true;
     load.makeBody = [](unsigned caller, uint64_t) {
@@ -181,34 +181,34 @@
     }
 }
 
-// ---- no promotion without need ----
+// ---- no unnecessary promotion ----
 
-void measureQuiet(int seconds)
+void measureUnneededPromotions(int seconds)
 {
-    auto shape = getSahyogShape(7);
-    Cluster cluster(shape);
-    cluster.beginAll();
+    auto options = makeSahyogOptions(7);
+    Cluster cluster(options);
+    cluster.startAll();
     std::vector<std::string> addresses;
-    for (unsigned i = 0; i < shape.hosts; ++i)
+    for (unsigned i = 0; i < options.hosts; ++i)
         addresses.push_back(cluster.getCallerAddress(i));
     std::jthread changer([&](std::stop_token token) {
         std::mt19937 random(3);
         while (!token.stop_requested()) {
-            for (auto& group : shape.groups) {
+            for (auto& group : options.groups) {
                 for (auto& it : group.members)
                     cluster.setMember(it, { { "lagMs", random() % 800 }, { "serviceMs", random() % 60 } });
             }
             std::this_thread::sleep_for(milliseconds(700));
         }
     });
-    LoadShape load { addresses, 40, milliseconds(seconds * 1000) };
+    LoadOptions load { addresses, 40, milliseconds(seconds * 1000) };
     load.pause = milliseconds(5);
     load.makeBody = [&](unsigned caller, uint64_t n) {
-        auto group = shape.groups[caller % shape.groups.size()].name;
+        auto group = options.groups[caller % options.groups.size()].name;
         return n % 3 == 0 ? makeWrite(group, "k") : makeRead(group, "k");
     };
     auto result = runLoad(load);
-    fmt::print("{} s of load with members slowed to 0..60 ms and lagging 0..800 ms: {} statements served, {} promotions\n", seconds, result.latencies.size(), cluster.sumMetric("promotions"));
+    fmt::print("{} s of load, members with service times of 0..60 ms and lags of 0..800 ms: {} statements served, {} promotions\n", seconds, result.latencies.size(), cluster.sumMetric("promotions"));
 }
 
 }
--- a/tests/bench/limits.cpp
+++ b/tests/bench/limits.cpp
@@ -1,4 +1,4 @@
-// Measurements with more callers than slots.
+// Benchmarks with more callers than slots.
 #include "bench/measure.h"
 #include <algorithm>
 #include <array>
@@ -19,19 +19,19 @@
 
 void measureOverload()
 {
-    auto shape = getSmallShape();
-    shape.groups.front().acknowledge = "primary";
-    Cluster cluster(shape);
-    cluster.beginAll();
-    for (auto& it : shape.groups.front().members)
+    auto options = makeSmallOptions();
+    options.groups.front().acknowledge = "primary";
+    Cluster cluster(options);
+    cluster.startAll();
+    for (auto& it : options.groups.front().members)
         cluster.setMember(it, { { "serviceMs", 4 } });
     std::vector<std::string> addresses;
-    for (unsigned i = 0; i < shape.hosts; ++i)
+    for (unsigned i = 0; i < options.hosts; ++i)
         addresses.push_back(cluster.getCallerAddress(i));
-    fmt::print("writes of 4 ms on 2 slots: capacity about 500/s less overhead; deadline 500 ms; callers come back when told\n");
+    fmt::print("writes of 4 ms on 2 slots: capacity about 500/s less overhead; deadline 500 ms; callers retry after the given time\n");
     fmt::print("{:>9} {:>10} {:>9} {:>9} {:>11} {:>9}\n", "callers", "served/s", "p50 ms", "p99 ms", "refused/s", "unknown");
     for (unsigned callers : { 2U, 4U, 10U, 20U, 100U, 300U, 600U }) {
-        LoadShape load { addresses, callers, milliseconds(6000) };
+        LoadOptions load { addresses, callers, milliseconds(6000) };
         load.obeysRetryAfter = true;
         load.makeBody = [](unsigned caller, uint64_t) {
             auto body = makeWrite("orders", fmt::format("c{}", caller));
@@ -48,28 +48,28 @@
 
 // ---- fairness ----
 
-static void printShare(const char* what, const LoadResult& result)
+static void printResult(const char* what, const LoadResult& result)
 {
     fmt::print("{:<44} {:>9.0f} {:>8.1f} {:>8.1f} {:>10.0f}\n", what, result.getRate(), result.getQuantile(0.5), result.getQuantile(0.99), static_cast<double>(result.getFailures()) / result.seconds);
     std::fflush(stdout);
 }
 
-// A few callers beside a crowd: in another group, and of the other kind in the same group and at the same member.
+// Runs a few callers next to many others: in another group, and with the other kind of statement at the same member.
 void measureFairness()
 {
-    auto shape = getSmallShape();
-    shape.groups.push_back({ "bills", { "bills-a", "bills-b", "bills-c" } });
-    for (auto& it : shape.groups)
+    auto options = makeSmallOptions();
+    options.groups.push_back({ "bills", { "bills-a", "bills-b", "bills-c" } });
+    for (auto& it : options.groups)
         it.acknowledge = "primary";
-    Cluster cluster(shape);
-    cluster.beginAll();
-    for (auto& group : shape.groups) {
+    Cluster cluster(options);
+    cluster.startAll();
+    for (auto& group : options.groups) {
         for (auto& it : group.members)
             cluster.setMember(it, { { "serviceMs", 4 } });
     }
     auto makeLoad = [&](const char* group, bool isWrite, unsigned callers) {
-        LoadShape load { {}, callers, milliseconds(6000) };
-        for (unsigned i = 0; i < shape.hosts; ++i)
+        LoadOptions load { {}, callers, milliseconds(6000) };
+        for (unsigned i = 0; i < options.hosts; ++i)
             load.addresses.push_back(cluster.getCallerAddress(i));
         load.obeysRetryAfter = true;
         load.makeBody = [group, isWrite](unsigned caller, uint64_t) {
@@ -79,25 +79,25 @@
         };
         return load;
     };
-    auto runTwo = [](const LoadShape& few, const LoadShape& crowd) {
+    auto runConcurrently = [](const LoadOptions& foreground, const LoadOptions& background) {
         LoadResult results[2];
-        std::jthread other([&] { results[1] = runLoad(crowd); });
-        results[0] = runLoad(few);
+        std::jthread other([&] { results[1] = runLoad(background); });
+        results[0] = runLoad(foreground);
         other.join();
         return std::pair(results[0], results[1]);
     };
-    fmt::print("statements of 4 ms, 2 slots a member, deadline 500 ms, 6 s each; reads of age 0 go to the primary\n");
+    fmt::print("statements of 4 ms, 2 slots per member, deadline 500 ms, 6 s each; reads of age 0 go to the primary\n");
     fmt::print("{:<44} {:>9} {:>8} {:>8} {:>10}\n", "callers", "served/s", "p50 ms", "p99 ms", "refused/s");
-    printShare("4 writers of bills, alone", runLoad(makeLoad("bills", true, 4)));
-    auto [quiet, crowd] = runTwo(makeLoad("bills", true, 4), makeLoad("orders", true, 200));
-    printShare("4 writers of bills, beside the next line", quiet);
-    printShare("200 writers of orders", crowd);
-    auto [writers, readers] = runTwo(makeLoad("orders", true, 4), makeLoad("orders", false, 200));
-    printShare("4 writers of orders, beside the next line", writers);
-    printShare("200 readers of orders' primary", readers);
-    auto [fewReaders, manyWriters] = runTwo(makeLoad("orders", false, 4), makeLoad("orders", true, 200));
-    printShare("4 readers of orders' primary, beside the next", fewReaders);
-    printShare("200 writers of orders", manyWriters);
+    printResult("4 writers of bills, alone", runLoad(makeLoad("bills", true, 4)));
+    auto [foreground, background] = runConcurrently(makeLoad("bills", true, 4), makeLoad("orders", true, 200));
+    printResult("4 writers of bills, with next line", foreground);
+    printResult("200 writers of orders", background);
+    auto [writers, readers] = runConcurrently(makeLoad("orders", true, 4), makeLoad("orders", false, 200));
+    printResult("4 writers of orders, with next line", writers);
+    printResult("200 readers of orders' primary", readers);
+    auto [fewReaders, manyWriters] = runConcurrently(makeLoad("orders", false, 4), makeLoad("orders", true, 200));
+    printResult("4 readers of orders' primary, with next line", fewReaders);
+    printResult("200 writers of orders", manyWriters);
 }
 
 }
--- a/tests/harness/harness.cpp
+++ b/tests/harness/harness.cpp
@@ -50,7 +50,7 @@
         int log = open(logPath.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0644);
         dup2(log, STDOUT_FILENO);
         dup2(log, STDERR_FILENO);
-        close_range(3, ~0U, 0); // stand-ins in this process may listen: a child must not keep their sockets open
+        close_range(3, ~0U, 0); // the child must not inherit listening sockets
         execv(argv[0], argv.data());
         _exit(127);
     }
@@ -169,11 +169,11 @@
     return received;
 }
 
-// ---- shapes ----
+// ---- options ----
 
-static std::vector<GroupShape> makeGroups(const std::string& prefix, unsigned connections, unsigned slots, unsigned connectMs)
+static std::vector<GroupOptions> makeGroups(const std::string& prefix, unsigned connections, unsigned slots, unsigned connectMs)
 {
-    std::vector<GroupShape> groups;
+    std::vector<GroupOptions> groups;
     for (int i = 1; i <= 3; ++i) {
         auto name = fmt::format("{}{}", prefix, i);
         groups.push_back({ name, { name + "-a", name + "-b", name + "-c" }, connections, slots, connectMs });
@@ -181,28 +181,28 @@
     return groups;
 }
 
-Shape getSahyogShape(unsigned hosts)
+ClusterOptions makeSahyogOptions(unsigned hosts)
 {
-    Shape shape;
-    shape.groups = makeGroups("ledger", 16, 2, 10);
-    shape.hosts = hosts;
-    return shape;
+    ClusterOptions options;
+    options.groups = makeGroups("ledger", 16, 2, 10);
+    options.hosts = hosts;
+    return options;
 }
 
-Shape getBatbayarShape(unsigned hosts)
+ClusterOptions makeBatbayarOptions(unsigned hosts)
 {
-    Shape shape;
-    shape.dataCentres = { "ulaanbaatar", "darkhan", "erdenet" };
-    shape.groups = makeGroups("notes", 55, 5, 30);
-    shape.hosts = hosts;
-    return shape;
+    ClusterOptions options;
+    options.dataCentres = { "ulaanbaatar", "darkhan", "erdenet" };
+    options.groups = makeGroups("notes", 55, 5, 30);
+    options.hosts = hosts;
+    return options;
 }
 
-Shape getSmallShape()
+ClusterOptions makeSmallOptions()
 {
-    Shape shape;
-    shape.groups = { { "orders", { "orders-a", "orders-b", "orders-c" } } };
-    return shape;
+    ClusterOptions options;
+    options.groups = { { "orders", { "orders-a", "orders-b", "orders-c" } } };
+    return options;
 }
 
 // ---- cluster ----
@@ -219,9 +219,8 @@
     return isFree;
 }
 
-// Free ports below the ephemeral range: a port in that range can be taken by an outgoing connection of a process that was
-// started before the one that is to listen on it.
-std::vector<unsigned short> findPorts(size_t count)
+// Avoids the ephemeral range, where outgoing connections may occupy a port before its process listens on it.
+std::vector<unsigned short> findFreePorts(size_t count)
 {
     constexpr unsigned kFirst = 12000;
     constexpr unsigned kLast = 32000;
@@ -237,7 +236,7 @@
     return ports;
 }
 
-int getNumberFrom(const char* name, int fallback)
+int getEnvironmentNumber(const char* name, int fallback)
 {
     auto* text = std::getenv(name);
     return text ? std::atoi(text) : fallback;
@@ -253,36 +252,36 @@
     return 0;
 }
 
-static std::string findBinaries()
+static std::string findBinaryFolder()
 {
     if (auto* path = std::getenv("ALDERWARD_BINARIES"))
         return path;
     return std::filesystem::read_symlink("/proc/self/exe").parent_path().parent_path().string();
 }
 
-Cluster::Cluster(Shape shape)
-    : m_shape(std::move(shape))
-    , m_binaries(findBinaries())
+Cluster::Cluster(ClusterOptions options)
+    : m_options(std::move(options))
+    , m_binaryFolder(findBinaryFolder())
 {
     static int number = 0;
     m_folder = fmt::format("{}/alderward-{}-{}", std::filesystem::temp_directory_path().string(), getpid(), ++number);
     std::filesystem::create_directories(m_folder);
     size_t members = 0;
-    for (auto& it : m_shape.groups)
+    for (auto& it : m_options.groups)
         members += it.members.size();
-    auto ports = findPorts(1 + members + 3 * m_shape.hosts);
+    auto ports = findFreePorts(1 + members + 3 * m_options.hosts);
     auto next = ports.begin();
     m_platformPort = *next++;
-    for (auto& group : m_shape.groups) {
+    for (auto& group : m_options.groups) {
         for (auto& it : group.members)
             m_memberPorts[it] = *next++;
     }
-    for (unsigned i = 0; i < m_shape.hosts; ++i) {
+    for (unsigned i = 0; i < m_options.hosts; ++i) {
         m_callerPorts.push_back(*next++);
         m_peerPorts.push_back(*next++);
         m_operatorPorts.push_back(*next++);
     }
-    m_hosts.resize(m_shape.hosts);
+    m_hosts.resize(m_options.hosts);
 }
 
 Cluster::~Cluster()
@@ -295,13 +294,13 @@
         std::filesystem::remove_all(m_folder);
 }
 
-void Cluster::beginStandIns()
+void Cluster::startStandIns()
 {
-    m_platform = std::make_unique<Process>(std::vector<std::string> { m_binaries + "/tests/standin-platform", "--address", getPlatformAddress() }, m_folder + "/platform.log");
-    for (auto& group : m_shape.groups) {
+    m_platform = std::make_unique<Process>(std::vector<std::string> { m_binaryFolder + "/tests/standin-platform", "--address", getPlatformAddress() }, m_folder + "/platform.log");
+    for (auto& group : m_options.groups) {
         for (auto& it : group.members) {
             auto& primary = group.members.front();
-            std::vector<std::string> arguments { m_binaries + "/tests/standin-member", "--name", it, "--address", getMemberAddress(it), "--primary", primary, "--primary-address", getMemberAddress(primary), "--connections", std::to_string(group.connections), "--slots", std::to_string(group.slots), "--connect-ms", std::to_string(group.connectMs) };
+            std::vector<std::string> arguments { m_binaryFolder + "/tests/standin-member", "--name", it, "--address", getMemberAddress(it), "--primary", primary, "--primary-address", getMemberAddress(primary), "--connections", std::to_string(group.connections), "--slots", std::to_string(group.slots), "--connect-ms", std::to_string(group.connectMs) };
             if (!group.canFence)
                 arguments.emplace_back("--no-fence");
             m_members[it] = std::make_unique<Process>(arguments, m_folder + "/" + it + ".log");
@@ -313,38 +312,38 @@
 void Cluster::writeSettings(size_t index)
 {
     std::ofstream file(getSettingsPath(index));
-    file << fmt::format("[host]\nname = {}\ndata_centre = {}\ncaller_address = {}\npeer_address = {}\noperator_address = {}\nthreads = {}\n", getHostName(index), m_shape.dataCentres[index % m_shape.dataCentres.size()], getCallerAddress(index), getAddress(m_peerPorts[index]), getOperatorAddress(index), m_shape.threads);
+    file << fmt::format("[host]\nname = {}\ndata_centre = {}\ncaller_address = {}\npeer_address = {}\noperator_address = {}\nthreads = {}\n", getHostName(index), m_options.dataCentres[index % m_options.dataCentres.size()], getCallerAddress(index), getAddress(m_peerPorts[index]), getOperatorAddress(index), m_options.threads);
     file << fmt::format("[platform]\naddress = {}\n[session]\nkey = a-key-for-local-tests-only\n[debug]\nallow_faults = true\n", getPlatformAddress());
-    file << m_shape.extraSettings;
+    file << m_options.extraSettings;
 }
 
-void Cluster::listHost(const std::string& name, const json::object& value, milliseconds lag)
+void Cluster::registerHost(const std::string& name, const json::object& value, milliseconds lag)
 {
     postAdmin(getPlatformAddress(), "/admin/put", { { "key", "platform/hosts/" + name }, { "value", json::serialize(value) }, { "lagMs", lag.count() } });
 }
 
 void Cluster::setHostLeaving(const std::string& name, bool isLeaving)
 {
-    listHost(name, { { "leaving", isLeaving } });
+    registerHost(name, { { "leaving", isLeaving } });
 }
 
-void Cluster::beginHost(size_t index)
+void Cluster::startHost(size_t index)
 {
     writeSettings(index);
-    m_hosts[index] = std::make_unique<Process>(std::vector<std::string> { m_binaries + "/alderward", "--settings", getSettingsPath(index) }, m_folder + "/" + getHostName(index) + ".log");
+    m_hosts[index] = std::make_unique<Process>(std::vector<std::string> { m_binaryFolder + "/alderward", "--settings", getSettingsPath(index) }, m_folder + "/" + getHostName(index) + ".log");
 }
 
-void Cluster::beginAll()
+void Cluster::startAll()
 {
-    beginStandIns();
-    for (size_t i = 0; i < m_shape.hosts; ++i)
-        listHost(getHostName(i), { { "dataCentre", m_shape.dataCentres[i % m_shape.dataCentres.size()] }, { "peerAddress", getAddress(m_peerPorts[i]) }, { "callerAddress", getCallerAddress(i) }, { "operatorAddress", getOperatorAddress(i) } });
-    for (auto& it : m_shape.groups)
+    startStandIns();
+    for (size_t i = 0; i < m_options.hosts; ++i)
+        registerHost(getHostName(i), { { "dataCentre", m_options.dataCentres[i % m_options.dataCentres.size()] }, { "peerAddress", getAddress(m_peerPorts[i]) }, { "callerAddress", getCallerAddress(i) }, { "operatorAddress", getOperatorAddress(i) } });
+    for (auto& it : m_options.groups)
         applyRecord(it);
-    for (size_t i = 0; i < m_shape.hosts; ++i)
-        beginHost(i);
+    for (size_t i = 0; i < m_options.hosts; ++i)
+        startHost(i);
     bool isReady = waitUntil(milliseconds(20000), [&] {
-        for (auto& group : m_shape.groups) {
+        for (auto& group : m_options.groups) {
             auto homes = getHomes(group.name);
             if (homes.empty())
                 return false;
@@ -353,9 +352,9 @@
                     return false;
             }
         }
-        for (size_t i = 0; i < m_shape.hosts; ++i) {
+        for (size_t i = 0; i < m_options.hosts; ++i) {
             auto status = getStatus(i);
-            if (!status.contains("hosts") || status["hosts"].get_object().size() < m_shape.hosts)
+            if (!status.contains("hosts") || status["hosts"].get_object().size() < m_options.hosts)
                 return false;
         }
         return true;
@@ -368,7 +367,7 @@
 {
     auto answer = Client(address).post(path, body);
     if (answer.status != 200)
-        throw std::runtime_error("stand-in at " + address + " refused " + path);
+        throw std::runtime_error("stand-in or host at " + address + " did not accept " + path);
     return answer.body;
 }
 
@@ -392,7 +391,7 @@
     return postAdmin(getPlatformAddress(), "/admin/stats", {});
 }
 
-void Cluster::cutPeers(size_t index, const std::vector<std::string>& names)
+void Cluster::blockPeers(size_t index, const std::vector<std::string>& names)
 {
     json::array hosts;
     for (auto& it : names)
@@ -422,7 +421,7 @@
 std::vector<size_t> Cluster::getHomes(const std::string& group)
 {
     std::vector<size_t> homes;
-    for (size_t i = 0; i < m_shape.hosts; ++i) {
+    for (size_t i = 0; i < m_options.hosts; ++i) {
         auto status = getStatus(i);
         auto* entry = findGroup(status, group);
         if (entry && links::getBool(*entry, "isHome"))
@@ -441,7 +440,7 @@
 uint64_t Cluster::sumMetric(const std::string& name)
 {
     uint64_t n = 0;
-    for (size_t i = 0; i < m_shape.hosts; ++i)
+    for (size_t i = 0; i < m_options.hosts; ++i)
         n += m_hosts[i] && m_hosts[i]->isRunning() ? getMetric(i, name) : 0;
     return n;
 }
@@ -466,25 +465,25 @@
     return false;
 }
 
-Cluster::ToolRun Cluster::runTool(const std::vector<std::string>& arguments)
+Cluster::ToolResult Cluster::runTool(const std::vector<std::string>& arguments)
 {
-    std::vector<std::string> all { m_binaries + "/alderctl", "--platform", getPlatformAddress() };
+    std::vector<std::string> all { m_binaryFolder + "/alderctl", "--platform", getPlatformAddress() };
     all.insert(all.end(), arguments.begin(), arguments.end());
-    static std::atomic<int> number { 0 }; // tests run two tools at once
+    static std::atomic<int> number { 0 }; // tests run the tool concurrently
     auto log = fmt::format("{}/tool-{}.log", m_folder, ++number);
     Process process(all, log);
-    ToolRun run;
+    ToolResult run;
     run.code = process.wait(milliseconds(30000)).value_or(-1);
     std::ifstream file(log);
     run.output.assign(std::istreambuf_iterator<char>(file), {});
     return run;
 }
 
-std::string Cluster::writeRecord(const GroupShape& group, const std::function<void(json::object&)>& change)
+std::string Cluster::writeRecord(const GroupOptions& group, const std::function<void(json::object&)>& change)
 {
     json::array members;
     for (size_t i = 0; i < group.members.size(); ++i) {
-        json::object member { { "name", group.members[i] }, { "address", getMemberAddress(group.members[i]) }, { "dataCentre", m_shape.dataCentres[i % m_shape.dataCentres.size()] } };
+        json::object member { { "name", group.members[i] }, { "address", getMemberAddress(group.members[i]) }, { "dataCentre", m_options.dataCentres[i % m_options.dataCentres.size()] } };
         if (!group.canFence)
             member["fence"] = false;
         members.push_back(std::move(member));
@@ -499,7 +498,7 @@
     return path;
 }
 
-void Cluster::applyRecord(const GroupShape& group, const std::function<void(json::object&)>& change)
+void Cluster::applyRecord(const GroupOptions& group, const std::function<void(json::object&)>& change)
 {
     auto run = runTool({ "config", "apply", writeRecord(group, change) });
     if (run.code != 0)
@@ -512,7 +511,7 @@
 {
     if (!body.contains("session"))
         body["session"] = m_session;
-    // A frozen host never answers: a caller's own patience ends a little after its deadline.
+    // A frozen host never answers, so the client times out shortly after the deadline.
     auto* deadline = body.if_contains("deadlineMs");
     auto limit = milliseconds(1500 + (deadline ? deadline->to_number<int>() : 5000));
     auto answer = m_client->post(path, body, limit);
@@ -546,7 +545,7 @@
     return error && error->is_object() ? links::getString(error->get_object(), "kind") : std::string();
 }
 
-std::string getRan(const Answer& answer)
+std::string getRanField(const Answer& answer)
 {
     auto* error = answer.body.if_contains("error");
     if (error && error->is_object())
--- a/tests/process/drain_test.cpp
+++ b/tests/process/drain_test.cpp
@@ -1,4 +1,4 @@
-// Planned stops: no request in flight is cut off.
+// Planned stops: no request in flight is aborted.
 #include "harness/harness.h"
 #include <atomic>
 #include <boost/test/unit_test.hpp>
@@ -10,13 +10,13 @@
 
 BOOST_AUTO_TEST_SUITE(drain)
 
-// The balancer of this test: callers ask /healthz now and then and go to hosts that are ready.
-BOOST_AUTO_TEST_CASE(each_host_stopped_in_turn_under_load_fails_no_request)
+// The test plays the load balancer: it polls /healthz, and callers move to hosts that are ready.
+BOOST_AUTO_TEST_CASE(rolling_restart_under_load_fails_no_request)
 {
-    auto shape = getSmallShape();
-    shape.hosts = 4;
-    Cluster cluster(shape);
-    cluster.beginAll();
+    auto options = makeSmallOptions();
+    options.hosts = 4;
+    Cluster cluster(options);
+    cluster.startAll();
     cluster.setMember("orders-a", { { "serviceMs", 2 } });
     std::vector<std::atomic<bool>> isReady(4);
     for (auto& it : isReady)
@@ -28,13 +28,13 @@
     std::vector<std::thread> callers;
     for (int n = 0; n < 8; ++n) {
         callers.emplace_back([&, n] {
-            size_t at = static_cast<size_t>(n) % 4;
-            Caller caller(cluster.getCallerAddress(at));
+            size_t hostIndex = static_cast<size_t>(n) % 4;
+            Caller caller(cluster.getCallerAddress(hostIndex));
             for (int i = 0; !mustStop; ++i) {
-                if (!isReady[at]) {
-                    while (!isReady[at])
-                        at = (at + 1) % 4;
-                    caller.roam(cluster.getCallerAddress(at));
+                if (!isReady[hostIndex]) {
+                    while (!isReady[hostIndex])
+                        hostIndex = (hostIndex + 1) % 4;
+                    caller.switchHost(cluster.getCallerAddress(hostIndex));
                 }
                 auto key = "c" + std::to_string(n) + "-" + std::to_string(i);
                 auto answer = i % 2 ? caller.read("orders", "GET x") : caller.write("orders", "SET x " + key, key);
@@ -43,7 +43,7 @@
                     continue;
                 }
                 std::lock_guard lock(mutex);
-                failures.push_back(key + " at h" + std::to_string(at + 1) + ": " + std::to_string(answer.status) + " " + json::serialize(answer.body));
+                failures.push_back(key + " at h" + std::to_string(hostIndex + 1) + ": " + std::to_string(answer.status) + " " + json::serialize(answer.body));
             }
         });
     }
@@ -54,7 +54,7 @@
         isReady[i] = false;
         auto code = cluster.getHost(i).wait(milliseconds(20000));
         BOOST_TEST(code.value_or(-1) == 0);
-        cluster.beginHost(i);
+        cluster.startHost(i);
         BOOST_TEST(waitUntil(milliseconds(10000), [&] { return Client(cluster.getOperatorAddress(i)).get("/healthz").status == 200; }));
         isReady[i] = true;
     }
@@ -68,17 +68,17 @@
     BOOST_TEST(served > 200);
 }
 
-BOOST_AUTO_TEST_CASE(transaction_in_flight_is_finished_before_the_stop)
+BOOST_AUTO_TEST_CASE(stop_waits_for_open_transactions)
 {
-    Cluster cluster(getSmallShape());
-    cluster.beginAll();
+    Cluster cluster(makeSmallOptions());
+    cluster.startAll();
     Caller caller(cluster.getCallerAddress(0));
     auto begun = caller.send("/v1/transaction/begin", { { "group", "orders" } });
     auto name = std::string(begun.body.at("transaction").get_string());
     cluster.getHost(0).signal(SIGTERM);
     std::this_thread::sleep_for(milliseconds(1200));
     BOOST_TEST(cluster.getHost(0).isRunning());
-    caller.roam(cluster.getCallerAddress(1));
+    caller.switchHost(cluster.getCallerAddress(1));
     auto written = caller.send("/v1/statement", { { "group", "orders" }, { "kind", "write" }, { "statement", "SET a 1" }, { "transaction", name } });
     BOOST_TEST(written.status == 200u, json::serialize(written.body));
     auto committed = caller.send("/v1/transaction/commit", { { "group", "orders" }, { "transaction", name } });
@@ -87,10 +87,10 @@
     BOOST_TEST(getResult(caller.read("orders", "GET a")) == "1");
 }
 
-BOOST_AUTO_TEST_CASE(second_signal_ends_the_stop_and_reports_what_it_cuts)
+BOOST_AUTO_TEST_CASE(second_signal_ends_the_drain_immediately)
 {
-    Cluster cluster(getSmallShape());
-    cluster.beginAll();
+    Cluster cluster(makeSmallOptions());
+    cluster.startAll();
     Caller caller(cluster.getCallerAddress(0));
     caller.send("/v1/transaction/begin", { { "group", "orders" } });
     cluster.getHost(0).signal(SIGTERM);
--- a/tests/process/hosts_test.cpp
+++ b/tests/process/hosts_test.cpp
@@ -1,4 +1,4 @@
-// Hosts among themselves: restarts, homes that die, members without room.
+// Membership and relays of hosts: restarts, crashed homes, members at their connection limit.
 #include "harness/harness.h"
 #include "links/peer.h"
 #include <algorithm>
@@ -14,11 +14,11 @@
 
 namespace {
 
-Shape makeSeven()
+ClusterOptions makeSevenHosts()
 {
-    auto shape = getSmallShape();
-    shape.hosts = 7;
-    return shape;
+    auto options = makeSmallOptions();
+    options.hosts = 7;
+    return options;
 }
 
 size_t findNonHome(Cluster& cluster)
@@ -30,15 +30,15 @@
     return host;
 }
 
-// Takes part among the hosts as a peer whose view of them differs: it declines every relay.
+// A peer that declines every relay, as a host does that does not consider itself a home.
 class DecliningPeer {
 public:
     explicit DecliningPeer(const std::string& address)
-        : m_client(links::makePeerClient(m_cuts))
+        : m_client(links::makePeerClient(m_blockedPeers))
     {
         links::PeerHandlers handlers;
         handlers.exchange = [this, address](peer::ExchangeRequest) -> asio::awaitable<peer::ExchangeReply> {
-            // A newer incarnation each time refutes whatever a slow machine made the others suspect.
+            // A newer incarnation in each reply refutes suspicions that a slow test machine may cause.
             peer::ExchangeReply reply;
             auto* self = reply.add_hosts();
             self->set_name("h9");
@@ -54,7 +54,7 @@
             reply.set_not_home(true);
             co_return reply;
         };
-        m_server = links::beginPeerServer(m_contexts, address, std::move(handlers), m_cuts).value();
+        m_server = links::startPeerServer(m_contexts, address, std::move(handlers), m_blockedPeers).value();
         m_thread = std::thread([this] { m_contexts.run(); });
     }
     DecliningPeer(const DecliningPeer&) = delete;
@@ -82,8 +82,8 @@
     }
 
 private:
-    base::Contexts m_contexts { 1 };
-    links::PeerCuts m_cuts;
+    base::IoContextPool m_contexts { 1 };
+    links::BlockedPeers m_blockedPeers;
     std::unique_ptr<links::PeerClient> m_client;
     std::unique_ptr<links::PeerServer> m_server;
     std::thread m_thread;
@@ -95,16 +95,16 @@
 
 BOOST_AUTO_TEST_SUITE(hosts)
 
-// Two hosts that each take the other for the home must not send a request to and fro.
-BOOST_AUTO_TEST_CASE(relay_to_a_host_that_is_no_home_goes_back_unrun_and_its_sender_asks_another)
+// Guards against relay loops between two hosts that each consider the other to be the home.
+BOOST_AUTO_TEST_CASE(relay_to_a_host_that_is_no_home_is_declined_and_its_sender_tries_another_home)
 {
-    Cluster cluster(getSmallShape());
-    cluster.beginAll();
-    // The hosts listen on 127.0.0.1 only, so a port of theirs is free on the next address.
+    Cluster cluster(makeSmallOptions());
+    cluster.startAll();
+    // The hosts listen only on 127.0.0.1, so their ports are free on 127.0.0.2.
     auto port = cluster.getPeerAddress(0).substr(cluster.getPeerAddress(0).rfind(':'));
     DecliningPeer peer("127.0.0.2" + port);
-    cluster.listHost("h9", { { "dataCentre", "vadodara" }, { "peerAddress", "127.0.0.2" + port } });
-    cluster.applyRecord(getSmallShape().groups.front(), [](json::object& record) { record["hosts"] = json::array { "h9", "h1" }; });
+    cluster.registerHost("h9", { { "dataCentre", "vadodara" }, { "peerAddress", "127.0.0.2" + port } });
+    cluster.applyRecord(makeSmallOptions().groups.front(), [](json::object& record) { record["hosts"] = json::array { "h9", "h1" }; });
     BOOST_TEST(waitUntil(milliseconds(5000), [&] { return cluster.getHomes("orders") == std::vector<size_t> { 0 }; }));
 
     auto body = json::serialize(json::object { { "group", "orders" }, { "kind", "write" }, { "statement", "SET a far" }, { "requestKey", "far" } });
@@ -122,34 +122,34 @@
     BOOST_TEST(getResult(caller.read("orders", "GET a")) == "near");
 }
 
-// Exchanges arrive on the threads of gRPC and must be served on the one strand that owns the membership.
-BOOST_AUTO_TEST_CASE(exchanges_from_all_sides_touch_the_membership_in_one_place)
+// Exchanges arrive on gRPC threads and must be served on the strand that owns the membership.
+BOOST_AUTO_TEST_CASE(concurrent_exchanges_access_the_membership_only_on_its_strand)
 {
-    Cluster cluster(makeSeven());
-    cluster.beginAll();
+    Cluster cluster(makeSevenHosts());
+    cluster.startAll();
     BOOST_TEST(waitUntil(milliseconds(10000), [&] { return cluster.sumMetric("exchanges") > 100; }));
-    cluster.getHost(0).signal(SIGTERM); // its leaving is said by a path of its own
+    cluster.getHost(0).signal(SIGTERM); // leaving is announced by a separate code path
     BOOST_TEST(cluster.getHost(0).wait(milliseconds(20000)).value_or(-1) == 0);
     BOOST_TEST(cluster.sumMetric("invariant_violations") == 0u);
 }
 
-BOOST_AUTO_TEST_CASE(restarted_host_does_not_take_itself_for_the_only_home)
+BOOST_AUTO_TEST_CASE(restarted_host_does_not_consider_itself_the_only_home)
 {
-    Cluster cluster(makeSeven());
-    cluster.beginAll();
+    Cluster cluster(makeSevenHosts());
+    cluster.startAll();
     auto host = findNonHome(cluster);
     cluster.getHost(host).kill();
-    cluster.beginHost(host);
+    cluster.startHost(host);
     BOOST_TEST(waitUntil(milliseconds(8000), [&] { return Client(cluster.getOperatorAddress(host)).get("/healthz").status == 200; }));
     BOOST_TEST(waitUntil(milliseconds(8000), [&] { return Caller(cluster.getCallerAddress(host)).write("orders", "SET a 1", "k").status == 200; }));
-    // A home would have asked the members and seen the primary.
+    // A home would have probed the members and recorded the primary.
     BOOST_TEST(!cluster.hasEvent(host, "primary-seen", "orders"));
 }
 
-BOOST_AUTO_TEST_CASE(home_that_dies_costs_a_caller_at_most_one_answer_that_can_be_repeated)
+BOOST_AUTO_TEST_CASE(crashed_home_costs_a_caller_at_most_one_retryable_error)
 {
-    Cluster cluster(makeSeven());
-    cluster.beginAll();
+    Cluster cluster(makeSevenHosts());
+    cluster.startAll();
     auto host = findNonHome(cluster);
     Caller caller(cluster.getCallerAddress(host));
     int failures = 0;
@@ -167,14 +167,14 @@
     BOOST_TEST(getResult(caller.read("orders", "GET log")) == std::string(300, 'x'));
 }
 
-BOOST_AUTO_TEST_CASE(members_are_never_asked_for_more_connections_than_they_take)
+BOOST_AUTO_TEST_CASE(members_never_get_more_connections_than_they_accept)
 {
-    auto shape = makeSeven();
-    shape.groups.front().connections = 5;
-    Cluster cluster(shape);
-    cluster.beginAll();
+    auto options = makeSevenHosts();
+    options.groups.front().connections = 5;
+    Cluster cluster(options);
+    cluster.startAll();
     cluster.setMember("orders-a", { { "serviceMs", 3 } });
-    // Homes come and go while callers write through every host.
+    // Homes are killed and restarted while callers write through every host.
     for (int round = 0; round < 3; ++round) {
         auto home = cluster.getHomes("orders").front();
         cluster.getHost(home).kill();
@@ -184,7 +184,7 @@
             auto answer = Caller(cluster.getCallerAddress(i)).write("orders", "SET a b", "r" + std::to_string(round) + std::to_string(i));
             BOOST_TEST(answer.status == 200u, json::serialize(answer.body));
         }
-        cluster.beginHost(home);
+        cluster.startHost(home);
         BOOST_TEST(waitUntil(milliseconds(8000), [&] { return Client(cluster.getOperatorAddress(home)).get("/healthz").status == 200; }));
     }
     BOOST_TEST(cluster.getMemberStats("orders-a")["mostConnections"].to_number<int>() <= 5);
--- a/tests/process/traces_test.cpp
+++ b/tests/process/traces_test.cpp
@@ -1,5 +1,5 @@
-// Traces of live runs, replayed at once: the decisions must come out as they did, on every home.
-// ALDERWARD_SAVE_TRACES=FOLDER keeps the first home's traces; tests/traces holds such files, replayed by unit/trace_test.cpp.
+// Replaying the trace of a live run must give the same decisions on every home. ALDERWARD_SAVE_TRACES=FOLDER saves the first
+// home's traces; unit/trace_test.cpp replays those in tests/traces.
 #include "decisions/trace.h"
 #include "harness/harness.h"
 #include <algorithm>
@@ -14,11 +14,11 @@
 
 namespace {
 
-Shape makeTracedShape()
+ClusterOptions makeTracedOptions()
 {
-    auto shape = getSmallShape();
-    shape.extraSettings = "trace_events = 20000\n"; // goes into [debug]
-    return shape;
+    auto options = makeSmallOptions();
+    options.extraSettings = "trace_events = 20000\n"; // in section [debug]
+    return options;
 }
 
 void write(Cluster& cluster, const std::string& key)
@@ -36,19 +36,19 @@
 size_t replayAll(Cluster& cluster, const std::string& name)
 {
     size_t promotions = 0;
-    bool isSaved = false;
+    bool wasSaved = false;
     for (auto home : cluster.getHomes("orders")) {
         auto text = Client(cluster.getOperatorAddress(home)).getText("/debug/trace?group=orders");
         auto trace = decisions::parseTrace(text);
         BOOST_REQUIRE_MESSAGE(trace.has_value(), (trace ? std::string() : trace.error()));
         BOOST_TEST(!trace->empty());
         auto replay = decisions::replayTrace(*trace);
-        BOOST_TEST(replay.difference == "");
+        BOOST_TEST(replay.firstDifference == "");
         auto ordered = std::ranges::count_if(replay.actions, [](const std::string& it) { return it.starts_with("promote "); });
         promotions += static_cast<size_t>(ordered);
-        if (!isSaved && (ordered > 0 || name == "slow"))
+        if (!wasSaved && (ordered > 0 || name == "slow"))
             save(name, text);
-        isSaved = isSaved || ordered > 0 || name == "slow";
+        wasSaved = wasSaved || ordered > 0 || name == "slow";
     }
     return promotions;
 }
@@ -57,25 +57,25 @@
 
 BOOST_AUTO_TEST_SUITE(traces)
 
-BOOST_AUTO_TEST_CASE(killed_primary)
+BOOST_AUTO_TEST_CASE(killed_primary_trace_replays_identically)
 {
-    Cluster cluster(makeTracedShape());
-    cluster.beginAll();
+    Cluster cluster(makeTracedOptions());
+    cluster.startAll();
     write(cluster, "before");
     cluster.getMember("orders-a").kill();
     write(cluster, "after");
     BOOST_TEST(replayAll(cluster, "killed") >= 1u);
 }
 
-BOOST_AUTO_TEST_CASE(frozen_primary_that_wakes)
+BOOST_AUTO_TEST_CASE(frozen_and_resumed_primary_trace_replays_identically)
 {
-    Cluster cluster(makeTracedShape());
-    cluster.beginAll();
+    Cluster cluster(makeTracedOptions());
+    cluster.startAll();
     write(cluster, "before");
     cluster.getMember("orders-a").signal(SIGSTOP);
     write(cluster, "after");
     cluster.getMember("orders-a").signal(SIGCONT);
-    // Whichever home sees it first tells it; the others find that it follows already.
+    // One home is enough: after its follow request, the others see a member that already follows.
     auto homes = cluster.getHomes("orders");
     BOOST_TEST(waitUntil(milliseconds(10000), [&] {
         return std::ranges::any_of(homes, [&](size_t it) { return cluster.hasEvent(it, "follow-sent", "orders"); });
@@ -83,12 +83,12 @@
     BOOST_TEST(replayAll(cluster, "frozen") >= 1u);
 }
 
-BOOST_AUTO_TEST_CASE(leaving_primary)
+BOOST_AUTO_TEST_CASE(leaving_primary_trace_replays_identically)
 {
-    Cluster cluster(makeTracedShape());
-    cluster.beginAll();
+    Cluster cluster(makeTracedOptions());
+    cluster.startAll();
     write(cluster, "before");
-    cluster.applyRecord(cluster.getShape().groups.front(), [](json::object& record) { record["members"].get_array()[0].get_object()["leaving"] = true; });
+    cluster.applyRecord(cluster.getOptions().groups.front(), [](json::object& record) { record["members"].get_array()[0].get_object()["leaving"] = true; });
     auto home = cluster.getHomes("orders").front();
     BOOST_TEST(waitUntil(milliseconds(10000), [&] {
         auto primary = cluster.getPrimary("orders", home);
@@ -98,10 +98,10 @@
     BOOST_TEST(replayAll(cluster, "leaving") >= 1u);
 }
 
-BOOST_AUTO_TEST_CASE(slow_and_lagging_members)
+BOOST_AUTO_TEST_CASE(slow_and_lagging_members_trace_replays_identically)
 {
-    Cluster cluster(makeTracedShape());
-    cluster.beginAll();
+    Cluster cluster(makeTracedOptions());
+    cluster.startAll();
     cluster.setMember("orders-a", { { "serviceMs", 40 } });
     cluster.setMember("orders-b", { { "lagMs", 300 } });
     cluster.setMember("orders-c", { { "lagMs", 200 } });
